--- a/cmd/hollow/main.go
+++ b/cmd/controlload/main.go
@@ -1,4 +1,4 @@
-// Command hollow measures the control plane at sizes that one machine can't
+// Command controlload measures the control plane at sizes that one machine can't
 // hold whole: real core processes on loopback addresses, and beside them many
 // node agents in one process, each the real one with its own listener and a
 // made endpoint, but with no traffic. It ends by itself.
@@ -28,9 +28,10 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/trunk"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
@@ -70,7 +71,7 @@
 }
 
 type hollow struct {
-	ag   *supervisor.Agent
+	ag   *clustercontroller.Agent
 	addr string
 	srv  *http.Server
 	stop context.CancelFunc
@@ -78,7 +79,7 @@
 	view atomic.Uint64
 	ep   atomic.Uint64
 	ends atomic.Int64
-	doc  dialplan.Doc
+	doc  routeconfig.Doc
 }
 
 type bench struct {
@@ -86,7 +87,7 @@
 	seeds   []string
 	nodes   []*hollow
 	load    load
-	lines   *trunk.Lines
+	lines   *rpc.Lines
 	t0      time.Time
 	service int
 }
@@ -136,19 +137,19 @@
 	}
 	name := fmt.Sprint("node-", i)
 	life := strconv.FormatUint(rand.Uint64(), 16)
-	h.ag = &supervisor.Agent{Lines: b.lines, Seeds: b.seeds, Life: life, Name: name, Quiet: 2400 * time.Millisecond, Now: b.now, Note: func(string, ...any) {}}
-	h.ag.OnView = func(v *trunk.View) {
+	h.ag = &clustercontroller.Agent{Lines: b.lines, Seeds: b.seeds, Life: life, Name: name, Quiet: 2400 * time.Millisecond, Now: b.now, Note: func(string, ...any) {}}
+	h.ag.OnView = func(v *meshpb.View) {
 		h.ep.Store(v.Epoch)
 		h.ends.Store(int64(len(v.Endpoints)))
 		h.view.Store(v.Version)
 	}
-	use := func(d dialplan.Doc) {
-		dialplan.Compile(d)
+	use := func(d routeconfig.Doc) {
+		routeconfig.Compile(d)
 		h.doc = d
 		h.conf.Store(d.Version)
 	}
 	h.ag.OnConfig = func(_ uint64, data []byte) error {
-		d, err := dialplan.Read(data)
+		d, err := routeconfig.Read(data)
 		if err == nil {
 			use(d)
 		}
@@ -157,7 +158,7 @@
 	h.ag.OnPatch = func(version uint64, ps [][]byte) error {
 		d := h.doc
 		for _, p := range ps {
-			x, err := dialplan.ReadPatch(p)
+			x, err := routeconfig.ReadPatch(p)
 			if err != nil {
 				return err
 			}
@@ -172,10 +173,10 @@
 		return nil
 	}
 	zone := fmt.Sprint("zone-", i%8)
-	h.ag.Start(&trunk.NodeState{Name: name, Life: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: "up",
-		Endpoint: &trunk.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: "ready", Sound: true, Release: "v1"}})
+	h.ag.Start(&meshpb.NodeState{Name: name, Life: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: "up",
+		Endpoint: &meshpb.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: "ready", Sound: true, Release: "v1"}})
 	mux := http.NewServeMux()
-	mux.Handle(trunk.NodePathPrefix, trunk.NewNodeServer(h.ag))
+	mux.Handle(meshpb.NodePathPrefix, meshpb.NewNodeServer(h.ag))
 	h.srv = &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
 	go h.srv.Serve(counted{l, &b.load})
 	ctx, stop := context.WithCancel(context.Background())
@@ -363,7 +364,7 @@
 		return err
 	}
 	state := func(h *hollow, st string) {
-		h.ag.Set(func(n *trunk.NodeState) {
+		h.ag.Set(func(n *meshpb.NodeState) {
 			n.Endpoint.State = st
 		})
 	}
@@ -390,7 +391,7 @@
 	lives := map[string]bool{}
 	for i := range tenth {
 		h := b.nodes[i]
-		h.ag.Set(func(n *trunk.NodeState) {
+		h.ag.Set(func(n *meshpb.NodeState) {
 			n.Endpoint.Id = "j-" + strconv.FormatUint(rand.Uint64(), 16)
 			n.Endpoint.State = "ready"
 			lives[n.Endpoint.Id] = true
@@ -429,7 +430,7 @@
 }
 
 func main() {
-	app := kingpin.New("hollow", "Measures the control plane with hollow nodes on loopback; one JSON object for each size.")
+	app := kingpin.New("controlload", "Measures the control plane with hollow nodes on loopback; one JSON object for each size.")
 	bin := app.Flag("corkcove", "The program whose cores are started.").Default("target/corkcove").String()
 	dir := app.Flag("dir", "Where cores keep their settings, logs and data; a fresh folder in it is used.").Default(os.TempDir()).String()
 	cores := app.Flag("cores", "How many core processes (3 to 15).").Default("9").Int()
@@ -439,7 +440,7 @@
 	seconds := app.Flag("seconds", "How long a quiet stretch is (2 to 60).").Default("15").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *cores < 3 || *cores > 15 || *seconds < 2 || *seconds > 60 || *services < 1 || *routes < 1 || slices.Max(*nodes) > 4000 || slices.Min(*nodes) < 10 {
-		fmt.Fprintln(os.Stderr, "hollow: a number is out of range; see --help")
+		fmt.Fprintln(os.Stderr, "controlload: a number is out of range; see --help")
 		os.Exit(1)
 	}
 	var lim syscall.Rlimit
@@ -453,7 +454,7 @@
 		err := one(s, *bin, *dir, *seconds)
 		if err != nil {
 			bad = true
-			fmt.Fprintf(os.Stderr, "hollow: %d nodes: %v\n", n, err)
+			fmt.Fprintf(os.Stderr, "controlload: %d nodes: %v\n", n, err)
 		}
 		b, _ := json.Marshal(s)
 		fmt.Println(string(b))
@@ -465,12 +466,12 @@
 }
 
 func one(s *sheet, bin, dir string, seconds int) error {
-	d, err := os.MkdirTemp(dir, "hollow-")
+	d, err := os.MkdirTemp(dir, "controlload-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(d)
-	b := &bench{lines: trunk.NewLines(&http.Client{Transport: trunk.Transport(time.Second, 5*time.Second, 90*time.Second, 4)}), t0: time.Now(), service: s.Services}
+	b := &bench{lines: rpc.NewLines(&http.Client{Transport: rpc.Transport(time.Second, 5*time.Second, 90*time.Second, 4)}), t0: time.Now(), service: s.Services}
 	var once sync.Once
 	end := func() { once.Do(b.close) }
 	defer end()
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -16,15 +16,16 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/desk"
-	"corkcove/internal/directory"
-	"corkcove/internal/exchange"
-	"corkcove/internal/numbering"
-	"corkcove/internal/options"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/tollbook"
-	"corkcove/internal/tracer"
-	"corkcove/internal/trunk"
+	"corkcove/internal/changetrace"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/controlapi"
+	"corkcove/internal/coordination"
+	"corkcove/internal/discovery"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
+	"corkcove/internal/wal"
 )
 
 const (
@@ -42,11 +43,11 @@
 	return hex.EncodeToString(b[:])
 }
 
-func members(o options.Options) []*trunk.Member {
-	var out []*trunk.Member
+func members(o settings.Options) []*meshpb.Member {
+	var out []*meshpb.Member
 	for _, s := range o.Network.Seeds {
 		if a, err := netip.ParseAddrPort(s); err == nil {
-			out = append(out, &trunk.Member{Addr: a.Addr().String() + ":" + strconv.Itoa(o.Network.InnerPorts[0]), Control: s})
+			out = append(out, &meshpb.Member{Addr: a.Addr().String() + ":" + strconv.Itoa(o.Network.InnerPorts[0]), Control: s})
 		}
 	}
 	return out
@@ -54,54 +55,54 @@
 
 type coreNode struct {
 	*process
-	loop   *exchange.Loop
-	board  *exchange.Board
-	svc    *numbering.Service
-	master *supervisor.Master
+	loop   *replication.Loop
+	board  *replication.Board
+	svc    *coordination.Service
+	master *clustercontroller.Master
 	conf   uint64
-	lines  *trunk.Lines
+	lines  *rpc.Lines
 }
 
-func (c *coreNode) SaveView(ctx context.Context, v *trunk.View) error {
+func (c *coreNode) SaveView(ctx context.Context, v *meshpb.View) error {
 	data, err := proto.Marshal(v)
 	if err != nil {
 		return err
 	}
-	data = trunk.Pack(data)
-	_, err = numbering.Run(ctx, c.svc, 0, func(t *numbering.Table, _ time.Duration) (*trunk.Change, bool) {
-		return &trunk.Change{Blob: &trunk.Blob{Name: viewBlob, Version: v.Version, Data: data}}, true
+	data = rpc.Pack(data)
+	_, err = coordination.Run(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, bool) {
+		return &meshpb.Change{Blob: &meshpb.Blob{Name: viewBlob, Version: v.Version, Data: data}}, true
 	})
 	return err
 }
 
 // keptView reads the last view; of one that can't be read its version is kept.
-func keptView(b *trunk.Blob) *trunk.View {
-	v := &trunk.View{}
+func keptView(b *meshpb.Blob) *meshpb.View {
+	v := &meshpb.View{}
 	if b == nil {
 		return v
 	}
-	data, err := trunk.Unpack(b.Data)
+	data, err := rpc.Unpack(b.Data)
 	if err != nil || proto.Unmarshal(data, v) != nil {
-		return &trunk.View{Version: b.Version}
+		return &meshpb.View{Version: b.Version}
 	}
 	return v
 }
 
-func kept(t exchange.Table, viewEpoch uint64) *trunk.Kept {
-	c, v := t.Blob(desk.ConfigBlob), t.Blob(viewBlob)
-	return &trunk.Kept{Config: c.GetVersion(), ConfigSum: xxhash.Sum64(c.GetData()), View: v.GetVersion(), ViewEpoch: viewEpoch, ViewSum: xxhash.Sum64(v.GetData())}
+func kept(t replication.Table, viewEpoch uint64) *meshpb.Kept {
+	c, v := t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)
+	return &meshpb.Kept{Config: c.GetVersion(), ConfigSum: xxhash.Sum64(c.GetData()), View: v.GetVersion(), ViewEpoch: viewEpoch, ViewSum: xxhash.Sum64(v.GetData())}
 }
 
 // bundle gives what this member's copy of shard 0 holds of what the master names.
-func (c *coreNode) bundle(k *trunk.Kept) supervisor.Bundle {
-	type pair struct{ conf, view *trunk.Blob }
-	p, _ := exchange.Ask(c.loop, func() pair {
+func (c *coreNode) bundle(k *meshpb.Kept) clustercontroller.Bundle {
+	type pair struct{ conf, view *meshpb.Blob }
+	p, _ := replication.Ask(c.loop, func() pair {
 		t := c.board.Table(0)
-		return pair{t.Blob(desk.ConfigBlob), t.Blob(viewBlob)}
+		return pair{t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)}
 	})
-	var b supervisor.Bundle
+	var b clustercontroller.Bundle
 	if p.conf.GetVersion() == k.Config && k.Config > 0 && xxhash.Sum64(p.conf.Data) == k.ConfigSum {
-		x := &trunk.Config{}
+		x := &meshpb.Config{}
 		if proto.Unmarshal(p.conf.Data, x) == nil {
 			b.Config = x.Packed
 		}
@@ -114,8 +115,8 @@
 	return b
 }
 
-func users(t exchange.Table) map[string]string {
-	u := &trunk.UserStates{}
+func users(t replication.Table) map[string]string {
+	u := &meshpb.UserStates{}
 	if b := t.Blob(usersBlob); b != nil {
 		proto.Unmarshal(b.Data, u)
 	}
@@ -137,7 +138,7 @@
 		return
 	}
 	t := c.board.Table(0)
-	conf := desk.ReadConfig(t)
+	conf := controlapi.ReadConfig(t)
 	c.conf = conf.Version
 	u, r := users(t), c.board.Membership()
 	view := keptView(t.Blob(viewBlob))
@@ -154,8 +155,8 @@
 		return
 	}
 	t := c.board.Table(0)
-	if b := t.Blob(desk.ConfigBlob); b != nil && b.Version > c.conf {
-		conf := desk.ReadConfig(t)
+	if b := t.Blob(controlapi.ConfigBlob); b != nil && b.Version > c.conf {
+		conf := controlapi.ReadConfig(t)
 		c.conf = conf.Version
 		c.master.Loop.Put(func() { c.master.SetConfig(conf) })
 	}
@@ -163,40 +164,40 @@
 
 // SetState keeps a user state beside the others in shard 0; the master caps the
 // node's state with it from the next view on.
-func (c *coreNode) SetState(ctx context.Context, q *trunk.SetStateReq) (*trunk.SetStateResp, error) {
-	if !supervisor.UserState(q.State) {
-		return &trunk.SetStateResp{Why: "a state is one of up, maintenance, retired, down"}, nil
+func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateReq) (*meshpb.SetStateResp, error) {
+	if !clustercontroller.UserState(q.State) {
+		return &meshpb.SetStateResp{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	held := c.board.Leased()
-	known, _ := exchange.Ask(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
+	known, _ := replication.Ask(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
 	if !held {
-		return &trunk.SetStateResp{Why: "not the master", MasterAddr: c.masterAddr()}, nil
+		return &meshpb.SetStateResp{Why: "not the master", MasterAddr: c.masterAddr()}, nil
 	}
 	if !known {
-		return &trunk.SetStateResp{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
+		return &meshpb.SetStateResp{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
 	}
-	u, err := numbering.Run(ctx, c.svc, 0, func(t *numbering.Table, _ time.Duration) (*trunk.Change, map[string]string) {
+	u, err := coordination.Run(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, map[string]string) {
 		u := users(t)
-		if q.State == supervisor.Up {
+		if q.State == clustercontroller.Up {
 			delete(u, q.Node)
 		} else {
 			u[q.Node] = q.State
 		}
-		data, err := proto.Marshal(&trunk.UserStates{States: u})
+		data, err := proto.Marshal(&meshpb.UserStates{States: u})
 		if err != nil {
 			return nil, nil
 		}
-		return &trunk.Change{Blob: &trunk.Blob{Name: usersBlob, Data: data}}, u
+		return &meshpb.Change{Blob: &meshpb.Blob{Name: usersBlob, Data: data}}, u
 	})
 	if err != nil || u == nil {
-		return &trunk.SetStateResp{Why: "the state may or may not have been kept; ask again"}, nil
+		return &meshpb.SetStateResp{Why: "the state may or may not have been kept; ask again"}, nil
 	}
 	c.master.Loop.Put(func() { c.master.SetUsers(u, q.Node) })
-	return &trunk.SetStateResp{Ok: true}, nil
+	return &meshpb.SetStateResp{Ok: true}, nil
 }
 
 func (c *coreNode) masterAddr() string {
-	a, _ := exchange.Ask(c.loop, func() string {
+	a, _ := replication.Ask(c.loop, func() string {
 		if m, ok := c.board.Owner(0); ok {
 			return m.Addr
 		}
@@ -205,12 +206,12 @@
 	return a
 }
 
-func (c *coreNode) Hello(_ context.Context, q *trunk.HelloReq) (*trunk.HelloResp, error) {
-	r, _ := exchange.Ask(c.master.Loop, func() *trunk.HelloResp {
+func (c *coreNode) Hello(_ context.Context, q *meshpb.HelloReq) (*meshpb.HelloResp, error) {
+	r, _ := replication.Ask(c.master.Loop, func() *meshpb.HelloResp {
 		l, is := c.master.Hello(q.Node)
-		return &trunk.HelloResp{Master: is, Last: l}
+		return &meshpb.HelloResp{Master: is, Last: l}
 	})
-	r.Membership, _ = exchange.Ask(c.loop, func() *trunk.Membership { return c.board.Membership() })
+	r.Membership, _ = replication.Ask(c.loop, func() *meshpb.Membership { return c.board.Membership() })
 	if !r.Master {
 		r.MasterAddr = c.masterAddr()
 	}
@@ -227,7 +228,7 @@
 func (c *coreNode) await(ctx context.Context, f func() (done, never bool)) bool {
 	for end := time.Now().Add(followWait); ; {
 		var never bool
-		done, _ := exchange.Ask(c.loop, func() (d bool) {
+		done, _ := replication.Ask(c.loop, func() (d bool) {
 			d, never = f()
 			return d
 		})
@@ -238,37 +239,37 @@
 	}
 }
 
-func holds(t exchange.Table, k *trunk.Kept) bool {
-	return t.Blob(desk.ConfigBlob).GetVersion() == k.GetConfig() && t.Blob(viewBlob).GetVersion() == k.GetView()
+func holds(t replication.Table, k *meshpb.Kept) bool {
+	return t.Blob(controlapi.ConfigBlob).GetVersion() == k.GetConfig() && t.Blob(viewBlob).GetVersion() == k.GetView()
 }
 
 var errNotMine = errors.New("not the master that this member follows")
 
 // Relay brings what the master sends to some of its nodes, while this member's
 // lease to it runs: one that was cut off or frozen is not spoken for.
-func (c *coreNode) Relay(ctx context.Context, q *trunk.RelayReq) (*trunk.RelayResp, error) {
+func (c *coreNode) Relay(ctx context.Context, q *meshpb.RelayReq) (*meshpb.RelayResp, error) {
 	epoch := max(q.GetPoll().GetEpoch(), q.GetView().GetEpoch(), q.GetConfig().GetEpoch())
 	if !c.await(ctx, func() (done, never bool) { return c.board.Follows(0, epoch), c.board.Promised(0) > epoch }) {
 		return nil, errNotMine
 	}
-	b := sync.OnceValue(func() supervisor.Bundle {
+	b := sync.OnceValue(func() clustercontroller.Bundle {
 		// The copy may be about to come.
 		c.await(ctx, func() (bool, bool) { return holds(c.board.Table(0), q.Kept), false })
 		return c.bundle(q.Kept)
 	})
-	return supervisor.Relay(ctx, c.lines, q, b), nil
+	return clustercontroller.Relay(ctx, c.lines, q, b), nil
 }
 
 // readList reads the platform's list while this node is the master. The time
 // between readings leaves most of drainS for the view's way to the nodes.
 func (c *coreNode) readList(ctx context.Context) {
 	pf := c.o.Platform.Cloud
-	r := directory.New(directory.Options{Address: pf.Address, PerS: pf.RatePerS, Note: c.note("directory"),
-		Client: &http.Client{Timeout: time.Second, Transport: trunk.Transport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
-	period := min(max(options.Secs(c.o.Terms.Bounds.DrainS)/3, 300*time.Millisecond), 2*time.Second)
+	r := discovery.New(discovery.Options{Address: pf.Address, PerS: pf.RatePerS, Note: c.note("directory"),
+		Client: &http.Client{Timeout: time.Second, Transport: rpc.Transport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
+	period := min(max(settings.Secs(c.o.Terms.Bounds.DrainS)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
 	duty := func() bool {
-		is, _ := exchange.Ask(c.master.Loop, c.master.Leading)
+		is, _ := replication.Ask(c.master.Loop, c.master.Leading)
 		return is && c.board.Leased()
 	}
 	for ctx.Err() == nil {
@@ -292,17 +293,17 @@
 	}
 }
 
-func hotOptions(h options.Hot) supervisor.HotOptions {
-	return supervisor.HotOptions{Share: h.Share, Most: h.Most, Width: h.Width, Fall: options.Secs(h.FallS)}
+func hotOptions(h settings.Hot) clustercontroller.HotOptions {
+	return clustercontroller.HotOptions{Share: h.Share, Most: h.Most, Width: h.Width, Fall: settings.Secs(h.FallS)}
 }
 
 func runCore(p *process) error {
 	o := p.o
-	dk, err := tollbook.Folder(o.Self.DataDir)
+	dk, err := wal.Folder(o.Self.DataDir)
 	if err != nil {
 		return err
 	}
-	book, recs, err := tollbook.Open(dk)
+	book, recs, err := wal.Open(dk)
 	if err != nil {
 		return err
 	}
@@ -314,55 +315,55 @@
 	if err != nil {
 		return err
 	}
-	lines := trunk.NewLines(&http.Client{Transport: trunk.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
-	loop := exchange.NewLoop()
-	c := &coreNode{process: p, loop: loop, svc: numbering.NewService(loop, shards), lines: lines}
-	c.master = supervisor.NewMaster(supervisor.Options{
+	lines := rpc.NewLines(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
+	loop := replication.NewLoop()
+	c := &coreNode{process: p, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
+	c.master = clustercontroller.NewMaster(clustercontroller.Options{
 		Interval: 250 * time.Millisecond, PerNode: 4 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond, Linger: 2 * time.Second, LingerPer: 36 * time.Millisecond, LingerMost: 10 * time.Second,
 		Grace: 800 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2,
 		Hot: hotOptions(o.Hot),
-		Me:  o.InnerAddr(), Now: p.now, Note: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(tracer.View, what, epoch, version) },
+		Me:  o.InnerAddr(), Now: p.now, Note: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
 		Leased: func() bool { return c.board.Leased() }, Reached: func(a string) bool { return c.board.Reached(a) }, Bundle: c.bundle,
-	}, exchange.NewLoop(), lines, c)
-	hist := options.Secs(o.Terms.Bounds.HistoryS)
-	c.board, err = exchange.New(exchange.Options{
-		Me:    &trunk.Member{Addr: o.InnerAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
+	}, replication.NewLoop(), lines, c)
+	hist := settings.Secs(o.Terms.Bounds.HistoryS)
+	c.board, err = replication.New(replication.Options{
+		Me:    &meshpb.Member{Addr: o.InnerAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
 		Seeds: members(o), First: o.Self.FirstStart, Shards: shards,
 		Lease: leaseFor, Beat: beatEach, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 4 << 20,
-		NewTable: func() exchange.Table {
-			t := numbering.NewTable(hist)
-			t.BoundPins(options.Secs(o.Pins.IdleS), max(o.Pins.Most/shards, 1))
+		NewTable: func() replication.Table {
+			t := coordination.NewTable(hist)
+			t.BoundPins(settings.Secs(o.Pins.IdleS), max(o.Pins.Most/shards, 1))
 			return t
 		},
 		NewID: newID, Now: p.now, Rand: mrand.IntN, Note: p.note("exchange"),
 		OnOwner: c.onOwner, OnCommit: c.onCommit, OnStep: c.onStep,
-		OnMembership: func(r *trunk.Membership) { c.master.Loop.Put(func() { c.master.SetMembership(r) }) },
-	}, exchange.Net{Loop: loop, Lines: lines, Short: 600 * time.Millisecond, Long: 1500 * time.Millisecond}, exchange.Shelf{Loop: loop, Book: book}, recs)
+		OnMembership: func(r *meshpb.Membership) { c.master.Loop.Put(func() { c.master.SetMembership(r) }) },
+	}, replication.Net{Loop: loop, Lines: lines, Short: 600 * time.Millisecond, Long: 1500 * time.Millisecond}, replication.Shelf{Loop: loop, Book: book}, recs)
 	if err != nil {
 		return err
 	}
 	c.svc.Board = c.board
 	p.note("core")("starts as %s, first start %v, %d records", c.board.Me().Id, o.Self.FirstStart, len(recs))
 
-	door := exchange.Door{Loop: loop, Board: c.board}
+	door := replication.Door{Loop: loop, Board: c.board}
 	mux := http.NewServeMux()
-	mux.Handle(trunk.ExchangePathPrefix, trunk.NewExchangeServer(door))
-	mux.Handle(trunk.ControlPathPrefix, trunk.NewControlServer(c))
-	mux.Handle(trunk.TracerPathPrefix, trunk.NewTracerServer(teller{process: p}))
+	mux.Handle(meshpb.ExchangePathPrefix, meshpb.NewExchangeServer(door))
+	mux.Handle(meshpb.ControlPathPrefix, meshpb.NewControlServer(c))
+	mux.Handle(meshpb.TracerPathPrefix, meshpb.NewTracerServer(teller{process: p}))
 	is := &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute}
 	go is.Serve(inner)
-	api := desk.NewCore(c.svc, 650*time.Millisecond)
-	api.Near = trunk.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
-	api.Acked = func(version uint64) { p.trace(tracer.Config, "acknowledged", c.board.Epoch0(), version) }
+	api := controlapi.NewCore(c.svc, 650*time.Millisecond)
+	api.Near = rpc.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
+	api.Acked = func(version uint64) { p.trace(changetrace.Config, "acknowledged", c.board.Epoch0(), version) }
 	cs := &http.Server{Handler: api, IdleTimeout: time.Minute, ReadHeaderTimeout: 5 * time.Second}
 	go cs.Serve(ctl)
 	go c.master.Loop.Run(tick, c.master.Tick)
 	go loop.Run(tick, c.board.Tick)
-	go p.reseed(func() bool { out, _ := exchange.Ask(loop, c.board.Blank); return out }, func(o options.Options) {
+	go p.reseed(func() bool { out, _ := replication.Ask(loop, c.board.Blank); return out }, func(o settings.Options) {
 		loop.Put(func() { c.board.Reseed(members(o)) })
 	})
 
-	if o.Platform.Discovery == options.FromCloud {
+	if o.Platform.Discovery == settings.FromCloud {
 		rctx, end := context.WithCancel(context.Background())
 		defer end()
 		go c.readList(rctx)
@@ -372,9 +373,9 @@
 	p.note("core")("stops")
 	api.Leave()
 	loop.Put(c.board.Leave)
-	end := time.Now().Add(min(options.Secs(o.Terms.Bounds.GraceS)*3/4, 6*time.Second))
+	end := time.Now().Add(min(settings.Secs(o.Terms.Bounds.GraceS)*3/4, 6*time.Second))
 	for time.Now().Before(end) {
-		if done, _ := exchange.Ask(loop, c.board.Done); done {
+		if done, _ := replication.Ask(loop, c.board.Done); done {
 			break
 		}
 		time.Sleep(tick)
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -7,10 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/options"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 const (
@@ -34,16 +35,16 @@
 		ls[i] = l
 	}
 	bd := o.Terms.Bounds
-	pools := switchboard.NewPools(o.Self.ZoneName, 2.2, 5).Prefer(o.Self.NodeName, nearOnes)
-	var plan atomic.Pointer[dialplan.Table]
-	st := p.newStation(pools, &trunk.NodeState{})
+	pools := proxy.NewPools(o.Self.ZoneName, 2.2, 5).Prefer(o.Self.NodeName, nearOnes)
+	var plan atomic.Pointer[routeconfig.Table]
+	st := p.newStation(pools, &meshpb.NodeState{})
 	ag := st.ag
-	app := switchboard.NewAppLine(trunk.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
-		trunk.Transport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
-	out := switchboard.NewOutbound(switchboard.OutboundOptions{Pools: pools, Plan: &plan, App: app,
+	app := proxy.NewAppLine(rpc.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
+		rpc.Transport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
+	out := proxy.NewOutbound(proxy.OutboundOptions{Pools: pools, Plan: &plan, App: app,
 		Budget: st.budget, Cords: st.cords, Tickets: st.tickets, Keys: st.keys, Ready: ag.Ready, Note: p.note("outbound"), Peek: 256 << 10, Margin: 3 * time.Millisecond})
 	fr := newFront(ls[1], out)
-	takeConfigs(ag, &plan, st.tickets, func(t *dialplan.Table) { fr.limit(t.Limits) })
+	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 	var leaving atomic.Bool
 	st.serve(ls[0], out.Flows, nearOnes)
 	rd := &http.Server{IdleTimeout: time.Minute, Handler: readiness(func() bool { return !leaving.Load() && ag.Ready() })}
@@ -57,7 +58,7 @@
 		defer t.Stop()
 		for range t.C {
 			bs := pools.Blames()
-			ag.Set(func(n *trunk.NodeState) { n.Blames = bs })
+			ag.Set(func(n *meshpb.NodeState) { n.Blames = bs })
 		}
 	}()
 
@@ -65,7 +66,7 @@
 	t0 := time.Now()
 	leaving.Store(true)
 	out.Leave()
-	grace := options.Secs(bd.GraceS)
+	grace := settings.Secs(bd.GraceS)
 	linger := min(grace/2, 3*time.Second)
 	for {
 		e := time.Since(t0)
--- a/cmd/corkcove/main.go
+++ b/cmd/corkcove/main.go
@@ -14,12 +14,12 @@
 	"github.com/alecthomas/kingpin/v2"
 	"k8s.io/klog/v2"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/erlang"
-	"corkcove/internal/options"
-	"corkcove/internal/ringlog"
-	"corkcove/internal/tracer"
-	"corkcove/internal/trunk"
+	"corkcove/internal/changetrace"
+	"corkcove/internal/loadestimate"
+	"corkcove/internal/logring"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 var version = "0.1.0"
@@ -27,7 +27,7 @@
 func main() {
 	app := kingpin.New("corkcove", "A service mesh and API gateway: sidecars or edges carry the traffic, core nodes keep the control state.")
 	app.HelpFlag.Short('h')
-	file := app.Flag("settings", "Settings file; default: the file named in "+options.EnvName+".").String()
+	file := app.Flag("settings", "Settings file; default: the file named in "+settings.EnvName+".").String()
 	chatty := app.Flag("chatty", "Write each log line out as it comes, not only on trouble.").Bool()
 	side := app.Command("sidecar", "Carry the traffic of the endpoint on this machine.")
 	core := app.Command("core", "Keep nodes, endpoints, configuration, locks, numbers and keys.")
@@ -139,9 +139,9 @@
 			case sess.FullCommand():
 				err = t.sessions(*sessSince)
 			case ret.FullCommand():
-				err = t.estimate(erlang.Change{Retire: *retWho}, *retSave)
+				err = t.estimate(loadestimate.Change{Retire: *retWho}, *retSave)
 			case add.FullCommand():
-				err = t.estimate(erlang.Change{Add: &trunk.Endpoint{Id: "to-be-added", Service: *addSvc, Zone: *addZone, Slots: *addSlots, State: "up", Node: "to-be-added"}}, *addSave)
+				err = t.estimate(loadestimate.Change{Add: &meshpb.Endpoint{Id: "to-be-added", Service: *addSvc, Zone: *addZone, Slots: *addSlots, State: "up", Node: "to-be-added"}}, *addSave)
 			case chk.FullCommand():
 				err = t.checkEstimate(*chkFile, *chkIn)
 			}
@@ -155,23 +155,23 @@
 
 func checkOne(file, role string, conf bool) error {
 	if !conf {
-		_, err := options.Load(file, role)
+		_, err := settings.Load(file, role)
 		return err
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	_, err = dialplan.Read(b)
+	_, err = routeconfig.Read(b)
 	return err
 }
 
 type process struct {
 	path  string
 	role  string
-	o     options.Options
-	ring  *ringlog.Ring
-	steps *tracer.Ring
+	o     settings.Options
+	ring  *logring.Ring
+	steps *changetrace.Ring
 	t0    time.Time
 }
 
@@ -183,7 +183,7 @@
 
 // reload takes the settings file again; a bad one leaves the old in force.
 func (p *process) reload() {
-	o, err := options.Load(p.path, p.role)
+	o, err := settings.Load(p.path, p.role)
 	if err != nil {
 		p.ring.Note("options", "kept the old settings: %v", err)
 		p.ring.Spill("settings not taken")
@@ -197,12 +197,12 @@
 
 // reseed reads the settings again, which may change without a signal, while this
 // process looks for the core.
-func (p *process) reseed(lost func() bool, set func(options.Options)) {
+func (p *process) reseed(lost func() bool, set func(settings.Options)) {
 	for range time.Tick(reseedEach) {
 		if !lost() {
 			continue
 		}
-		if o, err := options.Load(p.path, p.role); err == nil {
+		if o, err := settings.Load(p.path, p.role); err == nil {
 			set(o)
 		}
 	}
@@ -223,9 +223,9 @@
 func run(role, file string, chatty bool, f func(*process) error) {
 	runtime.GOMAXPROCS(1)
 	if file == "" {
-		file = options.Path()
+		file = settings.Path()
 	}
-	o, err := options.Load(file, role)
+	o, err := settings.Load(file, role)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "corkcove "+role+": "+err.Error())
 		os.Exit(1)
@@ -235,7 +235,7 @@
 	}
 	log.SetOutput(io.Discard)
 	klog.LogToStderr(true)
-	p := &process{path: file, role: role, o: o, ring: ringlog.New(256, 5*time.Second, chatty), steps: tracer.NewRing(1024), t0: time.Now()}
+	p := &process{path: file, role: role, o: o, ring: logring.New(256, 5*time.Second, chatty), steps: changetrace.NewRing(1024), t0: time.Now()}
 	if err := f(p); err != nil {
 		p.ring.Spill("corkcove " + role + " ends: " + err.Error())
 		fmt.Fprintln(os.Stderr, "corkcove "+role+": "+err.Error())
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -6,39 +6,40 @@
 	"sync"
 	"time"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/exchange"
-	"corkcove/internal/options"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/tracer"
-	"corkcove/internal/trunk"
+	"corkcove/internal/affinity"
+	"corkcove/internal/changetrace"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 // Pin answers nodes that ask for the instance of a session.
-func (c *coreNode) Pin(ctx context.Context, q *trunk.PinReq) (*trunk.PinResp, error) {
+func (c *coreNode) Pin(ctx context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
 	if q.Key == "" || len(q.Allowed) == 0 {
-		return &trunk.PinResp{}, nil
+		return &meshpb.PinResp{}, nil
 	}
 	p, err := c.svc.Pin(ctx, q)
-	if errors.Is(err, exchange.ErrElsewhere) {
-		a, _ := exchange.Ask(c.loop, func() string {
+	if errors.Is(err, replication.ErrElsewhere) {
+		a, _ := replication.Ask(c.loop, func() string {
 			if m, ok := c.board.Owner(c.svc.PinShard(q.Key)); ok && m.Id != c.board.Me().Id {
 				return m.Addr
 			}
 			return ""
 		})
-		return &trunk.PinResp{OwnerAddr: a}, nil
+		return &meshpb.PinResp{OwnerAddr: a}, nil
 	}
 	if err != nil {
-		return &trunk.PinResp{}, nil
+		return &meshpb.PinResp{}, nil
 	}
 	return p.Resp(), nil
 }
 
 // pinAsker asks the core about sessions; it remembers who answered.
 type pinAsker struct {
-	lines *trunk.Lines
-	ag    *supervisor.Agent
+	lines *rpc.Lines
+	ag    *clustercontroller.Agent
 	mu    sync.Mutex
 	last  map[byte]string
 }
@@ -50,7 +51,7 @@
 
 var errPin = errors.New("no core node answered")
 
-func (a *pinAsker) ask(ctx context.Context, q *trunk.PinReq) (*trunk.PinResp, error) {
+func (a *pinAsker) ask(ctx context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
 	a.mu.Lock()
 	first := a.last[q.Key[0]]
 	a.mu.Unlock()
@@ -80,15 +81,15 @@
 	return nil, errPin
 }
 
-func (p *process) newCords(lines *trunk.Lines, ag *supervisor.Agent) *cord.Cords {
+func (p *process) newCords(lines *rpc.Lines, ag *clustercontroller.Agent) *affinity.Cords {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
-	idle := options.Secs(p.o.Pins.IdleS)
-	return cord.New(cord.Options{Ask: a.ask, Now: time.Now, Config: ag.Config, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Pins.Most,
-		Trace: func(what, key string) { p.steps.Add(tracer.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
+	idle := settings.Secs(p.o.Pins.IdleS)
+	return affinity.New(affinity.Options{Ask: a.ask, Now: time.Now, Config: ag.Config, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Pins.Most,
+		Trace: func(what, key string) { p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
 }
 
-func (t teller) Sessions(_ context.Context, q *trunk.SessionsReq) (*trunk.SessionsResp, error) {
-	r := &trunk.SessionsResp{Node: t.o.Self.NodeName}
+func (t teller) Sessions(_ context.Context, q *meshpb.SessionsReq) (*meshpb.SessionsResp, error) {
+	r := &meshpb.SessionsResp{Node: t.o.Self.NodeName}
 	if t.cords != nil {
 		r.Sessions, r.Moves, r.Dropped = t.cords.Report(q.Since)
 		r.Config = t.config()
--- a/cmd/corkcove/replaying.go
+++ b/cmd/corkcove/replaying.go
@@ -9,10 +9,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/options"
 	"corkcove/internal/replay"
-	"corkcove/internal/trunk"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 const ticketPage = 2000
@@ -49,11 +50,11 @@
 		return err
 	}
 	s := saving{t: t, w: w, addr: addr, views: map[viewMark]bool{}, configs: map[uint64]bool{}}
-	silent := eachOf(ss, most, func(addr string) (*trunk.TicketsResp, error) { return t.tickets(addr, span) }, s.node)
+	silent := eachOf(ss, most, func(addr string) (*meshpb.TicketsResp, error) { return t.tickets(addr, span) }, s.node)
 	if err := s.err; err != nil {
 		return err
 	}
-	if err := w.Close(&trunk.Tail{MadeUs: time.Now().UnixMicro(), SpanUs: span.Microseconds(), Silent: silent}); err != nil {
+	if err := w.Close(&meshpb.Tail{MadeUs: time.Now().UnixMicro(), SpanUs: span.Microseconds(), Silent: silent}); err != nil {
 		return err
 	}
 	if err := out.Flush(); err != nil {
@@ -96,7 +97,7 @@
 	err             error
 }
 
-func (s *saving) node(r *trunk.TicketsResp) {
+func (s *saving) node(r *meshpb.TicketsResp) {
 	if s.err != nil {
 		return
 	}
@@ -109,7 +110,7 @@
 	if s.err = s.w.Node(r); s.err != nil {
 		return
 	}
-	q := &trunk.PartsReq{}
+	q := &meshpb.PartsReq{}
 	for _, v := range r.Views {
 		if !s.views[viewMark{v.Epoch, v.Version}] {
 			q.Views = append(q.Views, v)
@@ -123,7 +124,7 @@
 	if len(q.Views)+len(q.Configs) == 0 {
 		return
 	}
-	p, err := trunk.Call(toolWait, s.t.lines.Tracer(s.addr[r.Node]).Parts, q)
+	p, err := rpc.Call(toolWait, s.t.lines.Tracer(s.addr[r.Node]).Parts, q)
 	if err != nil {
 		return
 	}
@@ -146,11 +147,11 @@
 	return "."
 }
 
-func (t *tool) tickets(addr string, span time.Duration) (*trunk.TicketsResp, error) {
-	var all *trunk.TicketsResp
+func (t *tool) tickets(addr string, span time.Duration) (*meshpb.TicketsResp, error) {
+	var all *meshpb.TicketsResp
 	from := uint32(0)
 	for {
-		r, err := trunk.Call(toolWait, t.lines.Tracer(addr).Tickets, &trunk.TicketsReq{SpanUs: span.Microseconds(), From: from, Most: ticketPage})
+		r, err := rpc.Call(toolWait, t.lines.Tracer(addr).Tickets, &meshpb.TicketsReq{SpanUs: span.Microseconds(), From: from, Most: ticketPage})
 		if err != nil {
 			return nil, err
 		}
@@ -182,13 +183,13 @@
 	if err != nil {
 		return err
 	}
-	r := replay.Rules{Seed: o.seed, Hot: hotOptions(options.DefaultHot())}
+	r := replay.Rules{Seed: o.seed, Hot: hotOptions(settings.DefaultHot())}
 	if o.config != "" {
 		b, err := os.ReadFile(o.config)
 		if err != nil {
 			return err
 		}
-		d, err := dialplan.Read(b)
+		d, err := routeconfig.Read(b)
 		if err != nil {
 			return fmt.Errorf("%s: %w", o.config, err)
 		}
@@ -289,5 +290,5 @@
 	if *v.Ratio < 0 || *v.Slack < 0 || *v.Window <= 0 {
 		return nil, fmt.Errorf("%s: retryRatio and retrySlack must not be below 0, retryWindowS must be above", file)
 	}
-	return &replay.Retries{Ratio: *v.Ratio, Slack: *v.Slack, Window: options.Secs(*v.Window)}, nil
+	return &replay.Retries{Ratio: *v.Ratio, Slack: *v.Slack, Window: settings.Secs(*v.Window)}, nil
 }
--- a/cmd/corkcove/sessions.go
+++ b/cmd/corkcove/sessions.go
@@ -8,9 +8,10 @@
 	"sync"
 	"time"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/trunk"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 type sessionLine struct {
@@ -47,7 +48,7 @@
 	Silent   []string      `json:"didNotAnswer"`
 }
 
-func joinSessions(rs []*trunk.SessionsResp, silent []string) sessionSheet {
+func joinSessions(rs []*meshpb.SessionsResp, silent []string) sessionSheet {
 	type at struct{ key, service string }
 	type seat struct {
 		at
@@ -55,7 +56,7 @@
 	}
 	sheet := sessionSheet{Silent: silent, Sessions: []sessionLine{}, Moves: []moveLine{}}
 	lines := map[seat]*sessionLine{}
-	latest := map[at]*trunk.Session{}
+	latest := map[at]*meshpb.Session{}
 	type hop struct{ key, from, to, why string }
 	hops := map[hop]*moveLine{}
 	movedTo := map[at]map[string]bool{}
@@ -65,7 +66,7 @@
 			h := hop{m.Key, m.Service + " " + m.From, m.ToService + " " + m.To, m.Why}
 			l := hops[h]
 			if l == nil {
-				l = &moveLine{Key: m.Key, From: h.from, To: h.to, Why: m.Why, Config: dialplan.FormatVersion(m.Config), at: m.AtUs}
+				l = &moveLine{Key: m.Key, From: h.from, To: h.to, Why: m.Why, Config: routeconfig.FormatVersion(m.Config), at: m.AtUs}
 				hops[h] = l
 			}
 			l.at = min(l.at, m.AtUs)
@@ -100,7 +101,7 @@
 			p := seat{k, s.Endpoint}
 			l := lines[p]
 			if l == nil {
-				l = &sessionLine{Key: s.Key, Service: s.Service, Endpoint: s.Endpoint, Config: dialplan.FormatVersion(s.Config), Since: clock(s.SinceUs)}
+				l = &sessionLine{Key: s.Key, Service: s.Service, Endpoint: s.Endpoint, Config: routeconfig.FormatVersion(s.Config), Since: clock(s.SinceUs)}
 				lines[p] = l
 			}
 			l.Pinned = l.Pinned || s.Pinned
@@ -165,14 +166,14 @@
 const askAtOnce = 16
 
 // each calls all nodes that the master knows, and names those that are silent.
-func each[R any](ss []*trunk.StatusResp, call func(addr string) (R, error)) (out []R, silent []string) {
+func each[R any](ss []*meshpb.StatusResp, call func(addr string) (R, error)) (out []R, silent []string) {
 	silent = eachOf(ss, askAtOnce, call, func(r R) { out = append(out, r) })
 	return out, silent
 }
 
 // eachOf calls all nodes, most at once, and hands on each answer as it comes,
 // one at a time.
-func eachOf[R any](ss []*trunk.StatusResp, most int, call func(addr string) (R, error), got func(R)) (silent []string) {
+func eachOf[R any](ss []*meshpb.StatusResp, most int, call func(addr string) (R, error), got func(R)) (silent []string) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sem := make(chan bool, most)
@@ -203,7 +204,7 @@
 func (t *tool) sessions(since string) error {
 	var from uint64
 	if since != "" {
-		n, err := dialplan.ParseVersion(since)
+		n, err := routeconfig.ParseVersion(since)
 		if err != nil {
 			return err
 		}
@@ -214,10 +215,10 @@
 		return err
 	}
 	if !ss[0].Master {
-		return supervisor.Error.New("there is no master now, so the nodes are not known")
+		return clustercontroller.Error.New("there is no master now, so the nodes are not known")
 	}
-	rs, silent := each(ss, func(addr string) (*trunk.SessionsResp, error) {
-		return trunk.Call(toolWait, t.lines.Tracer(addr).Sessions, &trunk.SessionsReq{Since: from})
+	rs, silent := each(ss, func(addr string) (*meshpb.SessionsResp, error) {
+		return rpc.Call(toolWait, t.lines.Tracer(addr).Sessions, &meshpb.SessionsReq{Since: from})
 	})
 	s := joinSessions(rs, silent)
 	t.print(s, s.String())
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -10,14 +10,15 @@
 
 	"github.com/dghubble/sling"
 
-	"corkcove/internal/desk"
-	"corkcove/internal/dialplan"
-	"corkcove/internal/options"
-	"corkcove/internal/subscriber"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/ticket"
-	"corkcove/internal/trunk"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/controlapi"
+	"corkcove/internal/endpointagent"
+	"corkcove/internal/proxy"
+	"corkcove/internal/requestlog"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 // front passes new streams to the server made for the limits in force; streams
@@ -27,7 +28,7 @@
 	h   http.Handler
 	mu  sync.Mutex
 	cur *feed
-	lim dialplan.Limits
+	lim routeconfig.Limits
 }
 
 type feed struct {
@@ -49,7 +50,7 @@
 
 func newFront(l net.Listener, h http.Handler) *front {
 	f := &front{l: l, h: h}
-	f.limit(dialplan.DefaultLimits())
+	f.limit(routeconfig.DefaultLimits())
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -65,7 +66,7 @@
 	return f
 }
 
-func (f *front) limit(l dialplan.Limits) {
+func (f *front) limit(l routeconfig.Limits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cur != nil && l == f.lim {
@@ -88,29 +89,29 @@
 		ls[i] = l
 	}
 	bd := o.Terms.Bounds
-	pools := switchboard.NewPools(o.Self.ZoneName, 2.2, 5).Beside(o.Self.NodeName)
-	var plan atomic.Pointer[dialplan.Table]
-	st := p.newStation(pools, &trunk.NodeState{Inbound: o.Network.Listen.Inbound, Service: o.Self.ServiceName})
+	pools := proxy.NewPools(o.Self.ZoneName, 2.2, 5).Beside(o.Self.NodeName)
+	var plan atomic.Pointer[routeconfig.Table]
+	st := p.newStation(pools, &meshpb.NodeState{Inbound: o.Network.Listen.Inbound, Service: o.Self.ServiceName})
 	ag := st.ag
-	sub := subscriber.New(subscriber.Options{Service: o.Self.ServiceName, Beat: options.Secs(o.Platform.BeatS), Missed: 3, Queue: 1.5,
-		Note: p.note("subscriber"), Changed: func(l subscriber.Life) {
-			ag.Set(func(n *trunk.NodeState) {
-				n.Endpoint = &trunk.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
+	sub := endpointagent.New(endpointagent.Options{Service: o.Self.ServiceName, Beat: settings.Secs(o.Platform.BeatS), Missed: 3, Queue: 1.5,
+		Note: p.note("subscriber"), Changed: func(l endpointagent.Life) {
+			ag.Set(func(n *meshpb.NodeState) {
+				n.Endpoint = &meshpb.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
 					Slots: uint32(l.Slots), State: l.State, ColdMs: uint64(l.Cold / time.Millisecond), Release: l.Release, Sound: l.Sound, Ill: uint32(l.Ill)}
 			})
 		}})
 
-	pacer := switchboard.NewPacer(o.Self.LimitSet.LinkMbps)
-	app := trunk.Transport(300*time.Millisecond, 0, 4*time.Second, 64)
-	in := switchboard.NewInbound(switchboard.InboundOptions{AppAddr: o.Self.AppAddr, LinkMbps: o.Self.LimitSet.LinkMbps, Pacer: pacer, Desk: sub,
-		Line: switchboard.NewAppLine(app, trunk.Transport(300*time.Millisecond, 0, time.Second, 1)), Note: p.note("inbound"),
+	pacer := proxy.NewPacer(o.Self.LimitSet.LinkMbps)
+	app := rpc.Transport(300*time.Millisecond, 0, 4*time.Second, 64)
+	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: o.Self.AppAddr, LinkMbps: o.Self.LimitSet.LinkMbps, Pacer: pacer, Desk: sub,
+		Line: proxy.NewAppLine(app, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), Note: p.note("inbound"),
 		Peek: 64 << 10})
-	between := trunk.Transport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
+	between := rpc.Transport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
 	between.ExpectContinueTimeout = time.Second
-	out := switchboard.NewOutbound(switchboard.OutboundOptions{Service: o.Self.ServiceName, Pools: pools, Plan: &plan, Line: between,
+	out := proxy.NewOutbound(proxy.OutboundOptions{Service: o.Self.ServiceName, Pools: pools, Plan: &plan, Line: between,
 		Budget: st.budget, Pacer: pacer, Cords: st.cords, Tickets: st.tickets, Keys: st.keys, Ready: ag.Ready, Note: p.note("outbound"), Peek: 256 << 10, Margin: 3 * time.Millisecond})
 	fr := newFront(ls[2], out)
-	takeConfigs(ag, &plan, st.tickets, func(t *dialplan.Table) { fr.limit(t.Limits) })
+	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 
 	go meet(o, ag, sub, &plan, app)
 	var leaving atomic.Bool
@@ -119,7 +120,7 @@
 	go ins.Serve(ls[1])
 	rd := &http.Server{IdleTimeout: time.Minute, Handler: readiness(func() bool { return !leaving.Load() && ag.Ready() })}
 	go rd.Serve(ls[3])
-	bs := &http.Server{Handler: desk.NewBeats(sub), IdleTimeout: time.Minute}
+	bs := &http.Server{Handler: controlapi.NewBeats(sub), IdleTimeout: time.Minute}
 	go bs.Serve(ls[4])
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -137,7 +138,7 @@
 	t0 := time.Now()
 	leaving.Store(true)
 	out.Leave()
-	grace := options.Secs(bd.GraceS)
+	grace := settings.Secs(bd.GraceS)
 	linger := min(grace/2, 2500*time.Millisecond)
 	closed := false
 	for {
@@ -145,7 +146,7 @@
 		if !closed && e > linger-500*time.Millisecond {
 			closed = true
 			sub.Stop()
-			ag.Set(func(n *trunk.NodeState) { n.State = "stopping" })
+			ag.Set(func(n *meshpb.NodeState) { n.State = "stopping" })
 			in.Leave()
 		}
 		if e > grace-lastCalls {
@@ -161,17 +162,17 @@
 
 // takeConfigs compiles what the master delivers; the agent calls it from one
 // goroutine at a time.
-func takeConfigs(ag *supervisor.Agent, plan *atomic.Pointer[dialplan.Table], tickets *ticket.Recorder, then func(*dialplan.Table)) {
-	var cur dialplan.Doc
-	use := func(d dialplan.Doc) {
-		t := dialplan.Compile(d)
+func takeConfigs(ag *clustercontroller.Agent, plan *atomic.Pointer[routeconfig.Table], tickets *requestlog.Recorder, then func(*routeconfig.Table)) {
+	var cur routeconfig.Doc
+	use := func(d routeconfig.Doc) {
+		t := routeconfig.Compile(d)
 		cur = d
 		plan.Store(t)
 		tickets.Config(d.Version, d.Write)
 		then(t)
 	}
 	ag.OnConfig = func(_ uint64, data []byte) error {
-		d, err := dialplan.Read(data)
+		d, err := routeconfig.Read(data)
 		if err != nil {
 			return err
 		}
@@ -181,7 +182,7 @@
 	ag.OnPatch = func(version uint64, patches [][]byte) error {
 		d := cur
 		for _, b := range patches {
-			p, err := dialplan.ReadPatch(b)
+			p, err := routeconfig.ReadPatch(b)
 			if err != nil {
 				return err
 			}
@@ -190,7 +191,7 @@
 			}
 		}
 		if d.Version != version {
-			return dialplan.Error.New("the patches lead to %s, not %s", dialplan.FormatVersion(d.Version), dialplan.FormatVersion(version))
+			return routeconfig.Error.New("the patches lead to %s, not %s", routeconfig.FormatVersion(d.Version), routeconfig.FormatVersion(version))
 		}
 		use(d)
 		return nil
@@ -199,9 +200,9 @@
 
 // meet asks the endpoint who it is when this process has started beside one
 // that runs already, rather than wait for its next beat.
-func meet(o options.Options, ag *supervisor.Agent, sub *subscriber.Desk, plan *atomic.Pointer[dialplan.Table], line http.RoundTripper) {
+func meet(o settings.Options, ag *clustercontroller.Agent, sub *endpointagent.Desk, plan *atomic.Pointer[routeconfig.Table], line http.RoundTripper) {
 	hc := &http.Client{Transport: line, Timeout: 400 * time.Millisecond}
-	end := time.Now().Add(options.Secs(o.Platform.BeatS))
+	end := time.Now().Add(settings.Secs(o.Platform.BeatS))
 	for tries := 0; tries < 3 && time.Now().Before(end) && !sub.Life().Known; {
 		time.Sleep(20 * time.Millisecond)
 		t, last := plan.Load(), ag.Last()
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -6,43 +6,44 @@
 	"net/http"
 	"time"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/options"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/ticket"
-	"corkcove/internal/trunk"
+	"corkcove/internal/affinity"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/proxy"
+	"corkcove/internal/requestlog"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 // station is what each node that carries traffic has beside its chain.
 type station struct {
 	*process
-	pools   *switchboard.Pools
-	ag      *supervisor.Agent
-	cords   *cord.Cords
-	tickets *ticket.Recorder
-	budget  *switchboard.Budget
-	keys    *switchboard.KeyMeter
+	pools   *proxy.Pools
+	ag      *clustercontroller.Agent
+	cords   *affinity.Cords
+	tickets *requestlog.Recorder
+	budget  *proxy.Budget
+	keys    *proxy.KeyMeter
 }
 
 // newStation starts the node's side of the control; n tells what only this
 // role says of itself.
-func (p *process) newStation(pools *switchboard.Pools, n *trunk.NodeState) station {
+func (p *process) newStation(pools *proxy.Pools, n *meshpb.NodeState) station {
 	o, bd := p.o, p.o.Terms.Bounds
-	lines := trunk.NewLines(&http.Client{Transport: trunk.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
-	ag := &supervisor.Agent{Lines: lines, Seeds: o.SeedInner(), Life: newID(), Name: o.Self.NodeName, Quiet: 2400 * time.Millisecond,
+	lines := rpc.NewLines(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
+	ag := &clustercontroller.Agent{Lines: lines, Seeds: o.SeedInner(), Life: newID(), Name: o.Self.NodeName, Quiet: 2400 * time.Millisecond,
 		Now: p.now, Note: p.note("supervisor"), Trace: p.trace}
 	n.Name, n.Life, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Life, o.InnerAddr(), o.Self.ZoneName, "up"
 	ag.Start(n)
 	tickets := p.newTickets()
-	ag.OnView = func(v *trunk.View) {
+	ag.OnView = func(v *meshpb.View) {
 		pools.Set(v)
 		tickets.View(v)
 	}
-	go p.reseed(func() bool { return ag.View() == nil }, func(o options.Options) { ag.Reseed(o.SeedInner()) })
-	pools.SlowStart(options.Secs(o.Hot.SlowS))
+	go p.reseed(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.Reseed(o.SeedInner()) })
+	pools.SlowStart(settings.Secs(o.Hot.SlowS))
 	return station{p, pools, ag, p.newCords(lines, ag), tickets,
-		switchboard.NewBudget(bd.RetryRatio, bd.RetrySlack, options.Secs(bd.RetryWindowS), pools.Nodes, p.now), switchboard.NewKeyMeter(time.Now)}
+		proxy.NewBudget(bd.RetryRatio, bd.RetrySlack, settings.Secs(bd.RetryWindowS), pools.Nodes, p.now), proxy.NewKeyMeter(time.Now)}
 }
 
 const keysEach = time.Second
@@ -72,16 +73,16 @@
 			}
 		}
 		was = now
-		tell(func(n *trunk.NodeState) { n.Reads = ks })
+		tell(func(n *meshpb.NodeState) { n.Reads = ks })
 	}
 }
 
 // serve answers the master and the tools.
-func (s station) serve(l net.Listener, flows *switchboard.Flows, near uint32) {
+func (s station) serve(l net.Listener, flows *proxy.Flows, near uint32) {
 	mux := http.NewServeMux()
-	mux.Handle(trunk.NodePathPrefix, trunk.NewNodeServer(s.ag))
+	mux.Handle(meshpb.NodePathPrefix, meshpb.NewNodeServer(s.ag))
 	far, heavy := s.pools.Weights()
-	mux.Handle(trunk.TracerPathPrefix, trunk.NewTracerServer(teller{process: s.process, flows: flows, far: far, heavy: heavy, cords: s.cords,
+	mux.Handle(meshpb.TracerPathPrefix, meshpb.NewTracerServer(teller{process: s.process, flows: flows, far: far, heavy: heavy, cords: s.cords,
 		config: s.ag.Config, tickets: s.tickets, near: near}))
 	is := &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute}
 	go is.Serve(l)
--- a/cmd/corkcove/tickets.go
+++ b/cmd/corkcove/tickets.go
@@ -4,19 +4,19 @@
 	"context"
 	"time"
 
-	"corkcove/internal/options"
-	"corkcove/internal/ticket"
-	"corkcove/internal/trunk"
+	"corkcove/internal/requestlog"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
-func (p *process) newTickets() *ticket.Recorder {
+func (p *process) newTickets() *requestlog.Recorder {
 	if p.o.Record.Requests == 0 {
 		return nil
 	}
-	return ticket.New(p.o.Record.Requests, options.Secs(p.o.Record.SpanS), time.Now)
+	return requestlog.New(p.o.Record.Requests, settings.Secs(p.o.Record.SpanS), time.Now)
 }
 
-func (t teller) Tickets(_ context.Context, q *trunk.TicketsReq) (*trunk.TicketsResp, error) {
+func (t teller) Tickets(_ context.Context, q *meshpb.TicketsReq) (*meshpb.TicketsResp, error) {
 	r := t.tickets.Report(time.Duration(q.SpanUs)*time.Microsecond, q.From, q.Most)
 	s, b := t.o.Self, t.o.Terms.Bounds
 	r.Node, r.Zone, r.Service, r.Role = s.NodeName, s.ZoneName, s.ServiceName, t.role
@@ -24,6 +24,6 @@
 	return r, nil
 }
 
-func (t teller) Parts(_ context.Context, q *trunk.PartsReq) (*trunk.PartsResp, error) {
+func (t teller) Parts(_ context.Context, q *meshpb.PartsReq) (*meshpb.PartsResp, error) {
 	return t.tickets.Parts(q), nil
 }
--- a/cmd/corkcove/tools.go
+++ b/cmd/corkcove/tools.go
@@ -11,11 +11,12 @@
 	"strings"
 	"time"
 
-	"corkcove/internal/erlang"
-	"corkcove/internal/options"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/tracer"
-	"corkcove/internal/trunk"
+	"corkcove/internal/changetrace"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/loadestimate"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/settings"
 )
 
 const toolWait = 2 * time.Second
@@ -24,7 +25,7 @@
 
 // tool knows how to reach the core.
 type tool struct {
-	lines *trunk.Lines
+	lines *rpc.Lines
 	cores []string
 	json  bool
 }
@@ -32,22 +33,22 @@
 func newTool(file string, cores []string, asJSON bool) (*tool, error) {
 	if len(cores) == 0 {
 		if file == "" {
-			file = options.Path()
+			file = settings.Path()
 		}
-		o, err := options.Load(file, "")
+		o, err := settings.Load(file, "")
 		if err != nil {
 			return nil, fmt.Errorf("no --core was given, and the settings name none: %w", err)
 		}
 		cores = o.SeedInner()
 	}
-	return &tool{lines: trunk.NewLines(&http.Client{Transport: trunk.Transport(time.Second, 2*time.Second, time.Second, 2)}), cores: cores, json: asJSON}, nil
+	return &tool{lines: rpc.NewLines(&http.Client{Transport: rpc.Transport(time.Second, 2*time.Second, time.Second, 2)}), cores: cores, json: asJSON}, nil
 }
 
 // status asks each core node known; the master's answer comes first.
-func (t *tool) status() ([]*trunk.StatusResp, error) {
+func (t *tool) status() ([]*meshpb.StatusResp, error) {
 	seen := map[string]bool{}
 	todo := append([]string{}, t.cores...)
-	var out []*trunk.StatusResp
+	var out []*meshpb.StatusResp
 	var last error
 	for len(todo) > 0 {
 		a := todo[0]
@@ -56,7 +57,7 @@
 			continue
 		}
 		seen[a] = true
-		r, err := trunk.Call(toolWait, t.lines.Control(a).Status, &trunk.StatusReq{})
+		r, err := rpc.Call(toolWait, t.lines.Control(a).Status, &meshpb.StatusReq{})
 		if err != nil {
 			last = err
 			continue
@@ -127,7 +128,7 @@
 }
 
 // shardText tells who owns what, how far the copies are, and what may be lost.
-func shardText(ss []*trunk.StatusResp) string {
+func shardText(ss []*meshpb.StatusResp) string {
 	var b strings.Builder
 	lose, learners := map[uint32]int32{}, map[string]bool{}
 	for _, s := range ss {
@@ -174,13 +175,13 @@
 }
 
 func (t *tool) setState(node, state string) error {
-	if !supervisor.UserState(state) {
+	if !clustercontroller.UserState(state) {
 		return fmt.Errorf("%q is no state: give up, maintenance, retired or down", state)
 	}
 	todo := append([]string{}, t.cores...)
 	why := "no core node answers"
 	for i := 0; i < len(todo) && i < 8; i++ {
-		r, err := trunk.Call(toolWait, t.lines.Control(todo[i]).SetState, &trunk.SetStateReq{Node: node, State: state})
+		r, err := rpc.Call(toolWait, t.lines.Control(todo[i]).SetState, &meshpb.SetStateReq{Node: node, State: state})
 		if err != nil {
 			continue
 		}
@@ -201,7 +202,7 @@
 }
 
 // all names every process that the core knows, with its address.
-func all(ss []*trunk.StatusResp) map[string]string {
+func all(ss []*meshpb.StatusResp) map[string]string {
 	at := map[string]string{}
 	for _, s := range ss {
 		for _, m := range s.Membership.GetMembers() {
@@ -217,14 +218,14 @@
 }
 
 func (t *tool) trace(what string) error {
-	if _, err := tracer.Parse(what); err != nil {
+	if _, err := changetrace.Parse(what); err != nil {
 		return err
 	}
 	ss, err := t.status()
 	if err != nil {
 		return err
 	}
-	r := tracer.Gather(t.lines, what, all(ss), toolWait)
+	r := changetrace.Gather(t.lines, what, all(ss), toolWait)
 	t.print(r, r.String())
 	if !r.Known {
 		return fmt.Errorf("no process that answered knows %s", what)
@@ -232,7 +233,7 @@
 	return nil
 }
 
-func (t *tool) origins() ([]erlang.Origin, *trunk.StatusResp, error) {
+func (t *tool) origins() ([]loadestimate.Origin, *meshpb.StatusResp, error) {
 	ss, err := t.status()
 	if err != nil {
 		return nil, nil, err
@@ -240,33 +241,33 @@
 	if !ss[0].Master {
 		return nil, nil, fmt.Errorf("there is no master now, so the view is not known")
 	}
-	var os []erlang.Origin
+	var os []loadestimate.Origin
 	for _, n := range ss[0].Nodes {
 		if n.Addr == "" {
 			continue
 		}
-		r, err := trunk.Call(toolWait, t.lines.Tracer(n.Addr).Flows, &trunk.FlowsReq{})
+		r, err := rpc.Call(toolWait, t.lines.Tracer(n.Addr).Flows, &meshpb.FlowsReq{})
 		if err != nil {
 			fmt.Fprintf(stderr, "%s did not answer; its requests are left out\n", n.Name)
 			continue
 		}
-		os = append(os, erlang.Origin{Node: r.Node, Zone: r.Zone, Far: r.Far, Heavy: r.Heavy, Flows: r.Flows})
+		os = append(os, loadestimate.Origin{Node: r.Node, Zone: r.Zone, Far: r.Far, Heavy: r.Heavy, Flows: r.Flows})
 	}
 	return os, ss[0], nil
 }
 
-func (t *tool) estimate(c erlang.Change, save string) error {
+func (t *tool) estimate(c loadestimate.Change, save string) error {
 	from, s, err := t.origins()
 	if err != nil {
 		return err
 	}
-	var es []*trunk.Endpoint
+	var es []*meshpb.Endpoint
 	for _, n := range s.Nodes {
-		if n.Official == supervisor.Up {
-			es = append(es, &trunk.Endpoint{Id: n.Endpoint, Service: n.Service, Zone: n.Zone, Slots: n.Slots, State: n.Official, Node: n.Name})
+		if n.Official == clustercontroller.Up {
+			es = append(es, &meshpb.Endpoint{Id: n.Endpoint, Service: n.Service, Zone: n.Zone, Slots: n.Slots, State: n.Official, Node: n.Name})
 		}
 	}
-	e, err := erlang.Run(from, es, c, erlang.Options{Span: 120 * time.Second, Seed: 1})
+	e, err := loadestimate.Run(from, es, c, loadestimate.Options{Span: 120 * time.Second, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -317,7 +318,7 @@
 	if err != nil {
 		return err
 	}
-	var e erlang.Estimate
+	var e loadestimate.Estimate
 	if err := json.Unmarshal(b, &e); err != nil {
 		return fmt.Errorf("%s holds no estimate: %w", file, err)
 	}
@@ -325,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	vs := erlang.Check(e, os)
+	vs := loadestimate.Check(e, os)
 	if len(vs) == 0 {
 		return fmt.Errorf("none of the bindings in %s has flows now", file)
 	}
--- a/cmd/standin/main.go
+++ b/cmd/fakeendpoint/main.go
@@ -23,7 +23,7 @@
 )
 
 func main() {
-	app := kingpin.New("standin", "Stand-ins for what corkcove meets outside.")
+	app := kingpin.New("fakeendpoint", "Stand-ins for what corkcove meets outside.")
 	ep := app.Command("endpoint", "An application endpoint.").Default()
 	addr := ep.Flag("addr", "Where to listen: the sidecar's appAddr.").Required().String()
 	control := ep.Flag("control", "The sidecar's controlAddr; none in a gateway.").String()
--- a/examples/gateway.sh
+++ b/examples/gateway.sh
@@ -41,11 +41,11 @@
 ends=
 for i in 1 2 3 4; do
 	s=$(((i - 1) % 2 + 1))
-	target/standin --addr "127.0.7.$i:7704" --service shop --site "site-$s" >"$dir/standin-$i.log" 2>&1 &
-	echo $! >"$dir/standin-$i.pid"
+	target/fakeendpoint --addr "127.0.7.$i:7704" --service shop --site "site-$s" >"$dir/fakeendpoint-$i.log" 2>&1 &
+	echo $! >"$dir/fakeendpoint-$i.pid"
 	ends="$ends --endpoint shop,site-$s,127.0.7.$i:7704"
 done
-target/standin platform --addr 127.0.8.1:7800 --page 3 $ends >"$dir/platform.log" 2>&1 &
+target/fakeendpoint platform --addr 127.0.8.1:7800 --page 3 $ends >"$dir/platform.log" 2>&1 &
 echo $! >"$dir/platform.pid"
 for i in 1 2 3; do
 	settings "core-$i" "127.0.5.$i" "site-$i" "dataDir = \"$dir/data-$i\"" "controlAddr = \"127.0.5.$i:7700\""
--- a/examples/try.sh
+++ b/examples/try.sh
@@ -43,8 +43,8 @@
 serviceName = \"shop\""
 	CORKCOVE_CONFIG=$dir/sidecar-$i.toml target/corkcove sidecar >"$dir/sidecar-$i.log" 2>&1 &
 	echo $! >"$dir/sidecar-$i.pid"
-	target/standin --addr "127.0.2.$i:7704" --control "127.0.2.$i:7700" --service shop --site "site-$s" >"$dir/standin-$i.log" 2>&1 &
-	echo $! >"$dir/standin-$i.pid"
+	target/fakeendpoint --addr "127.0.2.$i:7704" --control "127.0.2.$i:7700" --service shop --site "site-$s" >"$dir/fakeendpoint-$i.log" 2>&1 &
+	echo $! >"$dir/fakeendpoint-$i.pid"
 done
 cat >"$dir/configuration.json" <<'EOF'
 {"stamp":"r1","resourceList":[
--- a/internal/cord/cord.go
+++ b/internal/affinity/cord.go
@@ -1,6 +1,6 @@
 // Package cord keeps sessions plugged into the instance they began at. What it
 // knows is a cache of the pins in the control state.
-package cord
+package affinity
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Why a session moved.
@@ -54,7 +54,7 @@
 }
 
 type Options struct {
-	Ask    func(context.Context, *trunk.PinReq) (*trunk.PinResp, error)
+	Ask    func(context.Context, *meshpb.PinReq) (*meshpb.PinResp, error)
 	Now    func() time.Time
 	Config func() uint64
 	// Settle is how long an instance must have been out of the view before its
@@ -93,7 +93,7 @@
 	mu      sync.Mutex
 	plugs   map[spot]plug
 	gone    map[string]time.Time
-	moves   []*trunk.SessionMove
+	moves   []*meshpb.SessionMove
 	dropped uint64
 }
 
@@ -172,10 +172,10 @@
 	now := c.o.Now()
 	c.mu.Lock()
 	if len(c.moves) >= keepMoves {
-		c.moves = append([]*trunk.SessionMove(nil), c.moves[keepMoves/4:]...)
+		c.moves = append([]*meshpb.SessionMove(nil), c.moves[keepMoves/4:]...)
 		c.dropped += keepMoves / 4
 	}
-	c.moves = append(c.moves, &trunk.SessionMove{Key: at.key, Service: at.service, From: from, To: dest, ToService: to.service, Why: why, Config: c.o.Config(), AtUs: now.UnixMicro()})
+	c.moves = append(c.moves, &meshpb.SessionMove{Key: at.key, Service: at.service, From: from, To: dest, ToService: to.service, Why: why, Config: c.o.Config(), AtUs: now.UnixMicro()})
 	c.mu.Unlock()
 	c.o.Trace("moved by "+why, at.key)
 }
@@ -259,7 +259,7 @@
 		if want == "" {
 			return Place{State: Lease, Wait: c.o.Settle}
 		}
-		r, err := c.o.Ask(ctx, &trunk.PinReq{Key: q.Key, Allowed: q.Allowed, Service: service, Want: want, From: from, Why: why, Config: c.o.Config()})
+		r, err := c.o.Ask(ctx, &meshpb.PinReq{Key: q.Key, Allowed: q.Allowed, Service: service, Want: want, From: from, Why: why, Config: c.o.Config()})
 		if err != nil || !r.Ok || r.Endpoint == "" {
 			if known {
 				return Place{State: Lease, Wait: c.o.Settle}
@@ -317,7 +317,7 @@
 		return
 	}
 	go func() {
-		r, err := c.o.Ask(context.WithoutCancel(ctx), &trunk.PinReq{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.Config()})
+		r, err := c.o.Ask(context.WithoutCancel(ctx), &meshpb.PinReq{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.Config()})
 		if err == nil && r.Ok && r.Endpoint != "" && r.Endpoint != p.endpoint {
 			c.moved(at, at, p.endpoint, r.Endpoint, "LEARNT")
 			c.set(at, r.Endpoint, true)
@@ -327,20 +327,20 @@
 
 // Report tells of the sessions in use here and of the moves since a
 // configuration.
-func (c *Cords) Report(since uint64) ([]*trunk.Session, []*trunk.SessionMove, uint64) {
+func (c *Cords) Report(since uint64) ([]*meshpb.Session, []*meshpb.SessionMove, uint64) {
 	now := c.o.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var ss []*trunk.Session
+	var ss []*meshpb.Session
 	for s, p := range c.plugs {
 		if now.Sub(p.used) <= c.o.Idle {
-			ss = append(ss, &trunk.Session{Key: s.key, Service: s.service, Endpoint: p.endpoint, Pinned: p.pinned, Config: p.config, SinceUs: p.since.UnixMicro(), UsedUs: p.used.UnixMicro()})
+			ss = append(ss, &meshpb.Session{Key: s.key, Service: s.service, Endpoint: p.endpoint, Pinned: p.pinned, Config: p.config, SinceUs: p.since.UnixMicro(), UsedUs: p.used.UnixMicro()})
 		}
 	}
-	slices.SortFunc(ss, func(a, b *trunk.Session) int {
+	slices.SortFunc(ss, func(a, b *meshpb.Session) int {
 		return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Service, b.Service))
 	})
-	var ms []*trunk.SessionMove
+	var ms []*meshpb.SessionMove
 	for _, m := range c.moves {
 		if m.Config >= since {
 			ms = append(ms, m)
--- a/internal/cord/cord_test.go
+++ b/internal/affinity/cord_test.go
@@ -1,4 +1,4 @@
-package cord
+package affinity
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/numbering"
-	"corkcove/internal/trunk"
+	"corkcove/internal/coordination"
+	"corkcove/internal/rpc/meshpb"
 )
 
 type seats struct {
@@ -89,15 +89,15 @@
 }
 
 // core is the owner of the pins; a takeover loads its state elsewhere.
-type core struct{ t *numbering.Table }
+type core struct{ t *coordination.Table }
 
 func (c *core) takeover() {
 	s := c.t.Dump(0)
-	c.t = numbering.NewTable(time.Minute)
+	c.t = coordination.NewTable(time.Minute)
 	c.t.Load(s, 0, false)
 }
 
-func (c *core) answer(q *trunk.PinReq) *trunk.PinResp {
+func (c *core) answer(q *meshpb.PinReq) *meshpb.PinResp {
 	ch, p := c.t.Pin(q, 0)
 	if ch != nil {
 		c.t.Apply(ch, 0)
@@ -115,7 +115,7 @@
 func newPlayer(k *core, now *time.Time, see *seats) *player {
 	p := &player{see: see, conf: 1}
 	p.c = New(Options{Now: func() time.Time { return *now }, Config: func() uint64 { return p.conf }, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(_ context.Context, q *trunk.PinReq) (*trunk.PinResp, error) {
+		Ask: func(_ context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
 			p.yield()
 			return k.answer(q), nil
 		}})
@@ -142,7 +142,7 @@
 		}
 		for choices := []int{}; choices != nil; total++ {
 			now := time.Unix(0, 0)
-			k := &core{numbering.NewTable(time.Minute)}
+			k := &core{coordination.NewTable(time.Minute)}
 			a, b, c := newPlayer(k, &now, &seats{up: map[string][]string{"s": old}}), newPlayer(k, &now, &seats{up: map[string][]string{"s": old}}), newPlayer(k, &now, &seats{up: map[string][]string{"s": later}})
 			var went []string
 			st := &stage{choices: choices}
@@ -181,7 +181,7 @@
 	total := 0
 	for choices := []int{}; choices != nil; total++ {
 		now := time.Unix(0, 0)
-		k := &core{numbering.NewTable(time.Minute)}
+		k := &core{coordination.NewTable(time.Minute)}
 		var ps []*player
 		for range 2 {
 			p := newPlayer(k, &now, &seats{up: map[string][]string{"s": all}, out: map[string]string{}})
@@ -245,13 +245,13 @@
 
 func TestKnownPinsHoldWhileNoCoreAnswersAndNewOnesFollowTheHash(t *testing.T) {
 	now := time.Unix(0, 0)
-	k := &core{numbering.NewTable(time.Minute)}
+	k := &core{coordination.NewTable(time.Minute)}
 	see := &seats{up: map[string][]string{"s": {"e0", "e1", "e2"}}}
 	p := newPlayer(k, &now, see)
 	p.yield = direct
 	was := p.find("k1", "s").Endpoint
 	silent := New(Options{Now: p.c.o.Now, Config: p.c.o.Config, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(context.Context, *trunk.PinReq) (*trunk.PinResp, error) { return nil, errors.New("silent") }})
+		Ask: func(context.Context, *meshpb.PinReq) (*meshpb.PinResp, error) { return nil, errors.New("silent") }})
 	silent.Known("k1", "s", was)
 	q := func(key string) Place {
 		return silent.Find(context.Background(), Ask{Key: key, Allowed: []string{"s"}, Service: "s"}, see)
@@ -270,7 +270,7 @@
 
 func TestVersionThatForbidsTheServiceMovesTheSessionAndSaysSo(t *testing.T) {
 	now := time.Unix(0, 0)
-	k := &core{numbering.NewTable(time.Minute)}
+	k := &core{coordination.NewTable(time.Minute)}
 	see := &seats{up: map[string][]string{"s": {"e0", "e1"}, "t": {"f0", "f1"}}}
 	a, b := newPlayer(k, &now, see), newPlayer(k, &now, see)
 	a.yield, b.yield = direct, direct
@@ -290,10 +290,10 @@
 }
 
 func TestPinsAreBoundedAndIdleOnesEnd(t *testing.T) {
-	tb := numbering.NewTable(time.Minute)
+	tb := coordination.NewTable(time.Minute)
 	tb.BoundPins(10*time.Second, 3)
-	ask := func(key string, now time.Duration) numbering.Pinned {
-		c, p := tb.Pin(&trunk.PinReq{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
+	ask := func(key string, now time.Duration) coordination.Pinned {
+		c, p := tb.Pin(&meshpb.PinReq{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
 		if c != nil {
 			tb.Apply(c, now)
 		}
--- a/internal/tracer/tracer.go
+++ b/internal/changetrace/tracer.go
@@ -1,6 +1,6 @@
 // Package tracer keeps what a process did to each change, and gathers it from
 // all processes.
-package tracer
+package changetrace
 
 import (
 	"fmt"
@@ -12,8 +12,9 @@
 
 	"github.com/zeebo/errs"
 
-	"corkcove/internal/ringlog"
-	"corkcove/internal/trunk"
+	"corkcove/internal/logring"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("tracer")
@@ -38,10 +39,10 @@
 // Ring keeps the last steps behind a short lock.
 type Ring struct {
 	mu sync.Mutex
-	ss ringlog.Buffer[Step]
+	ss logring.Buffer[Step]
 }
 
-func NewRing(size int) *Ring { return &Ring{ss: ringlog.NewBuffer[Step](size)} }
+func NewRing(size int) *Ring { return &Ring{ss: logring.NewBuffer[Step](size)} }
 
 func (r *Ring) Add(s Step) {
 	r.mu.Lock()
@@ -85,7 +86,7 @@
 }
 
 // Find gives the steps of a change, and the first commit that covers it.
-func (r *Ring) Find(c Change) []*trunk.TraceLine {
+func (r *Ring) Find(c Change) []*meshpb.TraceLine {
 	ss := r.all()
 	if c.Version == 0 {
 		for _, s := range ss {
@@ -94,7 +95,7 @@
 			}
 		}
 	}
-	var out []*trunk.TraceLine
+	var out []*meshpb.TraceLine
 	marks := map[[2]uint64]int{}
 	for _, s := range ss {
 		hit := s.Kind == c.Kind && s.Version == c.Version
@@ -116,7 +117,7 @@
 				marks[[2]uint64{s.Epoch, s.Mark}] = s.Shard
 			}
 		}
-		out = append(out, &trunk.TraceLine{AtUs: s.At.UnixMicro(), Step: s.What, Epoch: s.Epoch, Detail: d})
+		out = append(out, &meshpb.TraceLine{AtUs: s.At.UnixMicro(), Step: s.What, Epoch: s.Epoch, Detail: d})
 	}
 	return out
 }
@@ -142,7 +143,7 @@
 }
 
 // Gather asks every process by name and address.
-func Gather(l *trunk.Lines, what string, at map[string]string, wait time.Duration) Report {
+func Gather(l *rpc.Lines, what string, at map[string]string, wait time.Duration) Report {
 	rep := Report{Change: what, Silent: []string{}, Nodes: []Node{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -150,7 +151,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, err := trunk.Call(wait, l.Tracer(a).Trace, &trunk.TraceReq{What: what})
+			r, err := rpc.Call(wait, l.Tracer(a).Trace, &meshpb.TraceReq{What: what})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/tracer/tracer_test.go
+++ b/internal/changetrace/tracer_test.go
@@ -1,4 +1,4 @@
-package tracer
+package changetrace
 
 import (
 	"testing"
--- a/internal/supervisor/agent.go
+++ b/internal/clustercontroller/agent.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -8,13 +8,14 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Agent is a node's side: it answers polls, takes views and configurations
 // whose epoch and version rise, and says hello while no master polls it.
 type Agent struct {
-	Lines  *trunk.Lines
+	Lines  *rpc.Lines
 	Seeds  []string
 	Life   string
 	Name   string
@@ -22,25 +23,25 @@
 	Now    func() time.Duration
 	Note   func(f string, a ...any)
 	Trace  func(kind, what string, epoch, version uint64)
-	OnView func(*trunk.View)
+	OnView func(*meshpb.View)
 	// OnConfig applies a whole configuration, OnPatch changes to the one in
 	// force; an error leaves the old one.
 	OnConfig func(version uint64, data []byte) error
 	OnPatch  func(version uint64, patches [][]byte) error
 
 	mu     sync.Mutex
-	node   *trunk.NodeState
+	node   *meshpb.NodeState
 	wake   chan struct{}
 	cut    chan struct{}
 	epoch  uint64
-	view   *trunk.View
+	view   *meshpb.View
 	conf   uint64
 	polled time.Duration
 	cmu    sync.Mutex
-	last   *trunk.Endpoint
+	last   *meshpb.Endpoint
 }
 
-func (a *Agent) Start(n *trunk.NodeState) {
+func (a *Agent) Start(n *meshpb.NodeState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node = n
@@ -50,10 +51,10 @@
 }
 
 // Set changes the node's own account and answers the lingering poll.
-func (a *Agent) Set(f func(*trunk.NodeState)) {
+func (a *Agent) Set(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.node).(*trunk.NodeState)
+	n := proto.Clone(a.node).(*meshpb.NodeState)
 	f(n)
 	if proto.Equal(n, a.node) {
 		return
@@ -66,10 +67,10 @@
 
 // Murmur changes what the node's next answer to a poll says, without answering
 // the lingering one.
-func (a *Agent) Murmur(f func(*trunk.NodeState)) {
+func (a *Agent) Murmur(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.node).(*trunk.NodeState)
+	n := proto.Clone(a.node).(*meshpb.NodeState)
 	f(n)
 	a.node = n
 }
@@ -82,10 +83,10 @@
 	return true
 }
 
-func (a *Agent) Poll(ctx context.Context, q *trunk.PollReq) (*trunk.PollResp, error) {
+func (a *Agent) Poll(ctx context.Context, q *meshpb.PollReq) (*meshpb.PollResp, error) {
 	a.mu.Lock()
 	if q.Name != a.Name || !a.fence(q.Epoch) {
-		r := &trunk.PollResp{Stale: true, Epoch: a.epoch}
+		r := &meshpb.PollResp{Stale: true, Epoch: a.epoch}
 		a.mu.Unlock()
 		return r, nil
 	}
@@ -125,9 +126,9 @@
 		}
 	}
 	a.polled = max(a.Now()+promised, a.polledUnless(c))
-	out := proto.Clone(a.node).(*trunk.NodeState)
+	out := proto.Clone(a.node).(*meshpb.NodeState)
 	out.ViewEpoch, out.ViewVersion, out.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.conf
-	return &trunk.PollResp{Node: out, Epoch: a.epoch}, nil
+	return &meshpb.PollResp{Node: out, Epoch: a.epoch}, nil
 }
 
 // polledUnless is what a poll that came since the one with that mark has
@@ -139,20 +140,20 @@
 	return 0
 }
 
-func (a *Agent) Publish(_ context.Context, q *trunk.ViewReq) (*trunk.ViewResp, error) {
-	v := &trunk.View{}
+func (a *Agent) Publish(_ context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
+	v := &meshpb.View{}
 	if err := proto.Unmarshal(q.Packed, v); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	ok := a.take(v, max(q.Epoch, v.Epoch), q.To)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &trunk.ViewResp{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
+	return &meshpb.ViewResp{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
 }
 
 // take takes a view from a master under an epoch, which may be later than the
 // view's own.
-func (a *Agent) take(v *trunk.View, epoch uint64, to string) bool {
+func (a *Agent) take(v *meshpb.View, epoch uint64, to string) bool {
 	if v == nil || to != "" && to != a.Name {
 		return false
 	}
@@ -183,14 +184,14 @@
 	return true
 }
 
-func (a *Agent) Deliver(_ context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
+func (a *Agent) Deliver(_ context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
 	if q.To != "" && q.To != a.Name {
-		return &trunk.DeliverResp{}, nil
+		return &meshpb.DeliverResp{}, nil
 	}
 	ok := a.configure(q.Epoch, q.Version, q.Base, q.Data, q.Patches)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &trunk.DeliverResp{Ok: ok, Version: a.conf}, nil
+	return &meshpb.DeliverResp{Ok: ok, Version: a.conf}, nil
 }
 
 func (a *Agent) configure(epoch, version, base uint64, data []byte, patches [][]byte) bool {
@@ -209,7 +210,7 @@
 		}
 		var ps [][]byte
 		for _, p := range patches {
-			if p, err = trunk.Unpack(p); err != nil {
+			if p, err = rpc.Unpack(p); err != nil {
 				break
 			}
 			ps = append(ps, p)
@@ -217,7 +218,7 @@
 		if err == nil {
 			err = a.OnPatch(version, ps)
 		}
-	} else if data, err = trunk.Unpack(data); err == nil {
+	} else if data, err = rpc.Unpack(data); err == nil {
 		err = a.OnConfig(version, data)
 	}
 	if err != nil {
@@ -240,7 +241,7 @@
 }
 
 // Last is the endpoint that the master knew beside this node before it started.
-func (a *Agent) Last() *trunk.Endpoint {
+func (a *Agent) Last() *meshpb.Endpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
@@ -253,7 +254,7 @@
 	return a.conf
 }
 
-func (a *Agent) View() *trunk.View {
+func (a *Agent) View() *meshpb.View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view
@@ -342,7 +343,7 @@
 			continue
 		}
 		asked[c] = true
-		r, err := trunk.Call(helloWait, a.Lines.Control(c).Hello, &trunk.HelloReq{Node: n})
+		r, err := rpc.Call(helloWait, a.Lines.Control(c).Hello, &meshpb.HelloReq{Node: n})
 		if err != nil {
 			continue
 		}
--- a/internal/supervisor/delta_test.go
+++ b/internal/clustercontroller/delta_test.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -11,24 +11,25 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/trunk"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // eavesdrop counts what goes to one node.
 type eavesdrop struct {
-	trunk.Node
+	meshpb.Node
 	mu     sync.Mutex
-	views  []*trunk.View
+	views  []*meshpb.View
 	wholes int
 	steps  int
 	bytes  int
 	drop   bool
 }
 
-func (e *eavesdrop) Publish(c context.Context, q *trunk.ViewReq) (*trunk.ViewResp, error) {
+func (e *eavesdrop) Publish(c context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
 	e.mu.Lock()
-	v := &trunk.View{}
+	v := &meshpb.View{}
 	proto.Unmarshal(q.Packed, v)
 	e.views = append(e.views, v)
 	d := e.drop
@@ -39,7 +40,7 @@
 	return e.Node.Publish(c, q)
 }
 
-func (e *eavesdrop) Deliver(c context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
+func (e *eavesdrop) Deliver(c context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
 	e.mu.Lock()
 	if q.Base > 0 {
 		e.steps += len(q.Patches)
@@ -76,11 +77,11 @@
 		defer s.do(s.m.Step)
 		e := &eavesdrop{Node: s.ns[0]}
 		a := s.ns[0].agent
-		var doc dialplan.Doc
-		a.OnConfig = func(_ uint64, b []byte) (err error) { doc, err = dialplan.Read(b); return err }
+		var doc routeconfig.Doc
+		a.OnConfig = func(_ uint64, b []byte) (err error) { doc, err = routeconfig.Read(b); return err }
 		a.OnPatch = func(_ uint64, ps [][]byte) error {
 			for _, b := range ps {
-				p, err := dialplan.ReadPatch(b)
+				p, err := routeconfig.ReadPatch(b)
 				if err != nil {
 					return err
 				}
@@ -91,25 +92,25 @@
 			return nil
 		}
 		s.m.lines.PutNode("a0", e)
-		last := &trunk.Config{Version: 3, Packed: trunk.Pack(config(3, 400, 2))}
+		last := &meshpb.Config{Version: 3, Packed: rpc.Pack(config(3, 400, 2))}
 		s.do(func() {
-			s.m.Lead(1, nil, map[string]string{}, last, &trunk.Membership{Version: 1})
+			s.m.Lead(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
 		})
 		s.hello()
 		pass(3 * time.Second)
 		qt.Assert(t, e.wholes, qt.Equals, 1)
 		whole := len(s.m.packed)
 		for i := range 5 {
-			old, err := dialplan.Read(config(3+i, 400, 2+float64(i)))
+			old, err := routeconfig.Read(config(3+i, 400, 2+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
-			now, err := dialplan.Read(config(4+i, 400, 3+float64(i)))
+			now, err := routeconfig.Read(config(4+i, 400, 3+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
-			last = &trunk.Config{Version: now.Version, Packed: trunk.Pack(now.Write()), Steps: append(last.Steps, &trunk.Step{Base: old.Version, Version: now.Version, Patch: trunk.Pack(now.Since(old))})}
+			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Write()), Steps: append(last.Steps, &meshpb.Step{Base: old.Version, Version: now.Version, Patch: rpc.Pack(now.Since(old))})}
 			if i == 4 {
 				// Another master, which has never led, knows the way from the control state.
 				s.do(s.m.Step)
 				s.m.conf, s.m.packed, s.m.steps = 0, nil, nil
-				s.do(func() { s.m.Lead(2, s.st.v, map[string]string{}, last, &trunk.Membership{Version: 1}) })
+				s.do(func() { s.m.Lead(2, s.st.v, map[string]string{}, last, &meshpb.Membership{Version: 1}) })
 			} else {
 				s.do(func() { s.m.SetConfig(last) })
 			}
@@ -119,12 +120,12 @@
 		qt.Assert(t, e.steps, qt.Equals, 5)
 		qt.Assert(t, e.bytes < whole/2, qt.IsTrue)
 		qt.Assert(t, doc.Version, qt.Equals, uint64(8))
-		got := dialplan.Compile(doc).Find("a", "/p7/x")
+		got := routeconfig.Compile(doc).Find("a", "/p7/x")
 		qt.Assert(t, got.Timeout, qt.Equals, 7*time.Second)
 
 		pass(2 * time.Second)
 		n := len(e.views)
-		s.ns[3].agent.Set(func(n *trunk.NodeState) { n.Endpoint.State = "draining" })
+		s.ns[3].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		pass(time.Second)
 		qt.Assert(t, len(e.views), qt.Equals, n+1)
 		qt.Assert(t, e.views[n].Base > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
@@ -135,7 +136,7 @@
 		e.mu.Unlock()
 		// An answer that got lost leaves the master with an older version; the node
 		// then says which one it holds, and gets the difference from that.
-		s.ns[5].agent.Set(func(n *trunk.NodeState) { n.Endpoint.Slots++ })
+		s.ns[5].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 		pass(1600 * time.Millisecond)
 		for older := false; !older; pass(time.Millisecond) {
 			s.do(func() {
@@ -158,7 +159,7 @@
 		e.drop = true
 		e.mu.Unlock()
 		for i := range keepViews + 4 {
-			s.ns[4+i%8].agent.Set(func(n *trunk.NodeState) { n.Endpoint.Slots++ })
+			s.ns[4+i%8].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 			pass(600 * time.Millisecond)
 		}
 		e.mu.Lock()
--- a/internal/supervisor/grey.go
+++ b/internal/clustercontroller/grey.go
@@ -1,11 +1,11 @@
-package supervisor
+package clustercontroller
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // shade marks endpoints grey that answer badly beside their peers, at most a
 // bounded share of a service: where most are ill, none is better than another.
-func shade(es []*trunk.Endpoint, ill map[string]uint32) []*trunk.Endpoint {
+func shade(es []*meshpb.Endpoint, ill map[string]uint32) []*meshpb.Endpoint {
 	by := map[string][]int{}
 	for i, e := range es {
 		if e.State == Up {
@@ -52,7 +52,7 @@
 				out, copied = slices.Clone(es), true
 			}
 			e := es[i]
-			out[i] = &trunk.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: e.State, ColdMs: e.ColdMs,
+			out[i] = &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: e.State, ColdMs: e.ColdMs,
 				Release: e.Release, Node: e.Node, Inbound: e.Inbound, Sound: e.Sound, Ill: e.Ill, Grey: true}
 		}
 	}
@@ -72,7 +72,7 @@
 type verdicts map[string]*verdict
 
 func (vs verdicts) judge(hs map[string]*history, now time.Duration) map[string]uint32 {
-	sum := map[string]*trunk.Blame{}
+	sum := map[string]*meshpb.Blame{}
 	for _, h := range hs {
 		if !h.reached {
 			continue
@@ -80,7 +80,7 @@
 		for _, b := range h.state.GetBlames() {
 			s := sum[b.Endpoint]
 			if s == nil {
-				s = &trunk.Blame{}
+				s = &meshpb.Blame{}
 				sum[b.Endpoint] = s
 			}
 			s.Good += b.Good
--- a/internal/supervisor/grey_test.go
+++ b/internal/clustercontroller/grey_test.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"fmt"
@@ -7,18 +7,18 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
-func service(n int) []*trunk.Endpoint {
-	var es []*trunk.Endpoint
+func service(n int) []*meshpb.Endpoint {
+	var es []*meshpb.Endpoint
 	for i := range n {
-		es = append(es, &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up})
+		es = append(es, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up})
 	}
 	return es
 }
 
-func greys(es []*trunk.Endpoint) int {
+func greys(es []*meshpb.Endpoint) int {
 	n := 0
 	for _, e := range es {
 		if e.Grey {
@@ -49,7 +49,7 @@
 	hs := map[string]*history{}
 	say := func(good, bad uint32) {
 		for i := range 3 {
-			hs[fmt.Sprint("n", i)] = &history{reached: true, state: &trunk.NodeState{Blames: []*trunk.Blame{{Endpoint: "e0", Good: good, Bad: bad}}}}
+			hs[fmt.Sprint("n", i)] = &history{reached: true, state: &meshpb.NodeState{Blames: []*meshpb.Blame{{Endpoint: "e0", Good: good, Bad: bad}}}}
 		}
 	}
 	say(0, 1)
--- a/internal/supervisor/hot.go
+++ b/internal/clustercontroller/hot.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // HotOptions bound the keys whose reads are spread over several endpoints.
@@ -29,7 +29,7 @@
 
 // width is what the master holds of one hot key.
 type width struct {
-	*trunk.HotKey
+	*meshpb.HotKey
 	calm time.Duration
 }
 
@@ -44,7 +44,7 @@
 
 // Load takes over what the last view had; its widths stand until their reads
 // have stayed out for a while.
-func (h *HotKeys) Load(ks []*trunk.HotKey, now time.Duration) {
+func (h *HotKeys) Load(ks []*meshpb.HotKey, now time.Duration) {
 	h.by = map[uint64]*width{}
 	for _, k := range ks {
 		h.by[k.Key] = &width{HotKey: k, calm: now}
@@ -54,20 +54,20 @@
 func NewHotKeys(o HotOptions) *HotKeys { return &HotKeys{o: o, by: map[uint64]*width{}} }
 
 type demand struct {
-	*trunk.KeyRate
+	*meshpb.KeyRate
 	nodes uint32
 	work  float64
 }
 
 // Judge gives the hot keys now, from what the nodes read and the endpoints there
 // are; steps tells each change.
-func (h *HotKeys) Judge(reads iter.Seq[[]*trunk.KeyRate], es []*trunk.Endpoint, now time.Duration, wall int64) (out []*trunk.HotKey, steps []string) {
+func (h *HotKeys) Judge(reads iter.Seq[[]*meshpb.KeyRate], es []*meshpb.Endpoint, now time.Duration, wall int64) (out []*meshpb.HotKey, steps []string) {
 	sum := map[uint64]*demand{}
 	for ks := range reads {
 		for _, k := range ks {
 			d := sum[k.Key]
 			if d == nil {
-				d = &demand{KeyRate: &trunk.KeyRate{Key: k.Key, Service: k.Service, Route: k.Route}}
+				d = &demand{KeyRate: &meshpb.KeyRate{Key: k.Key, Service: k.Service, Route: k.Route}}
 				sum[k.Key] = d
 			}
 			d.PerS += k.PerS
@@ -88,7 +88,7 @@
 	}
 	for k, w := range h.by {
 		if sum[k] == nil {
-			sum[k] = &demand{KeyRate: &trunk.KeyRate{Key: k, Service: w.Service, Route: w.Route}}
+			sum[k] = &demand{KeyRate: &meshpb.KeyRate{Key: k, Service: w.Service, Route: w.Route}}
 		}
 	}
 	for _, d := range h.order(sum) {
@@ -105,7 +105,7 @@
 			s := fmt.Sprintf("key %016x of %s: width %d -> %d (%s)", d.Key, d.Service, w.Width, to, y)
 			delete(h.by, d.Key)
 			if to > 1 {
-				h.by[d.Key] = &width{&trunk.HotKey{Key: d.Key, Width: uint32(to), Service: d.Service, Route: d.Route, PerS: d.PerS, SinceUs: wall, Nodes: d.nodes, Why: y}, now}
+				h.by[d.Key] = &width{&meshpb.HotKey{Key: d.Key, Width: uint32(to), Service: d.Service, Route: d.Route, PerS: d.PerS, SinceUs: wall, Nodes: d.nodes, Why: y}, now}
 			}
 			return s
 		}
@@ -116,7 +116,7 @@
 			h.refused++
 		case w == nil:
 			h.widened++
-			steps = append(steps, set(&width{HotKey: &trunk.HotKey{Width: 1}}, want))
+			steps = append(steps, set(&width{HotKey: &meshpb.HotKey{Width: 1}}, want))
 		case want > int(w.Width):
 			h.widened++
 			steps = append(steps, set(w, want))
@@ -131,7 +131,7 @@
 	for _, w := range h.by {
 		out = append(out, w.HotKey)
 	}
-	slices.SortFunc(out, func(a, b *trunk.HotKey) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b *meshpb.HotKey) int { return cmp.Compare(a.Key, b.Key) })
 	return out, steps
 }
 
@@ -152,6 +152,6 @@
 }
 
 // sameWidths tells that no node would act on the difference.
-func sameWidths(a, b []*trunk.HotKey) bool {
-	return slices.EqualFunc(a, b, func(x, y *trunk.HotKey) bool { return x.Key == y.Key && x.Width == y.Width && x.Service == y.Service })
+func sameWidths(a, b []*meshpb.HotKey) bool {
+	return slices.EqualFunc(a, b, func(x, y *meshpb.HotKey) bool { return x.Key == y.Key && x.Width == y.Width && x.Service == y.Service })
 }
--- a/internal/supervisor/hot_test.go
+++ b/internal/clustercontroller/hot_test.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"fmt"
@@ -9,22 +9,22 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var hotRules = HotOptions{Share: 0.5, Most: 2, Width: 6, Fall: 4 * time.Second}
 
-func endpointsOf(n int) (es []*trunk.Endpoint) {
+func endpointsOf(n int) (es []*meshpb.Endpoint) {
 	for i := range n {
-		es = append(es, &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Slots: 8})
+		es = append(es, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Slots: 8})
 	}
 	return es
 }
 
 // told is what n nodes say of a key, each the same.
-func told(n int, key uint64, perS float64) (out [][]*trunk.KeyRate) {
+func told(n int, key uint64, perS float64) (out [][]*meshpb.KeyRate) {
 	for range n {
-		out = append(out, []*trunk.KeyRate{{Key: key, PerS: perS, WorkMs: 40, Service: "s", Route: "read"}})
+		out = append(out, []*meshpb.KeyRate{{Key: key, PerS: perS, WorkMs: 40, Service: "s", Route: "read"}})
 	}
 	return out
 }
@@ -32,7 +32,7 @@
 func TestKeyHotOnlyInSumIsSeenAndFallsSlowly(t *testing.T) {
 	h := NewHotKeys(hotRules)
 	es := endpointsOf(10)
-	at := func(s float64, told [][]*trunk.KeyRate) []*trunk.HotKey {
+	at := func(s float64, told [][]*meshpb.KeyRate) []*meshpb.HotKey {
 		out, _ := h.Judge(slices.Values(told), es, time.Duration(s*float64(time.Second)), 0)
 		return out
 	}
@@ -72,16 +72,16 @@
 	h := NewHotKeys(hotRules)
 	es := endpointsOf(10)
 	was, _ := h.Judge(slices.Values(told(100, 7, 4)), es, 0, 0)
-	view := &trunk.View{Epoch: 1, Version: 3, Hot: was}
-	b, err := proto.Marshal(view.Since(&trunk.View{Epoch: 1, Version: 2}))
+	view := &meshpb.View{Epoch: 1, Version: 3, Hot: was}
+	b, err := proto.Marshal(view.Since(&meshpb.View{Epoch: 1, Version: 2}))
 	qt.Assert(t, err, qt.IsNil)
-	d := &trunk.View{}
+	d := &meshpb.View{}
 	qt.Assert(t, proto.Unmarshal(b, d), qt.IsNil)
-	kept := d.Onto(&trunk.View{Epoch: 1, Version: 2, Hot: told7(1)})
+	kept := d.Onto(&meshpb.View{Epoch: 1, Version: 2, Hot: told7(1)})
 	n := NewHotKeys(hotRules)
 	n.Load(kept.Hot, 10*time.Second)
 	// Nobody has told it anything yet.
-	out, steps := n.Judge(slices.Values[[][]*trunk.KeyRate](nil), es, 11*time.Second, 0)
+	out, steps := n.Judge(slices.Values[[][]*meshpb.KeyRate](nil), es, 11*time.Second, 0)
 	qt.Assert(t, steps, qt.HasLen, 0)
 	qt.Assert(t, sameWidths(out, was), qt.IsTrue)
 	out, steps = n.Judge(slices.Values(told(100, 7, 4)), es, 13*time.Second, 0)
@@ -90,4 +90,4 @@
 	qt.Assert(t, view.Lean().Hot, qt.HasLen, 1)
 }
 
-func told7(w uint32) []*trunk.HotKey { return []*trunk.HotKey{{Key: 7, Service: "s", Width: w}} }
+func told7(w uint32) []*meshpb.HotKey { return []*meshpb.HotKey{{Key: 7, Service: "s", Width: w}} }
--- a/internal/supervisor/master.go
+++ b/internal/clustercontroller/master.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -9,12 +9,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/exchange"
-	"corkcove/internal/trunk"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 type Store interface {
-	SaveView(ctx context.Context, v *trunk.View) error
+	SaveView(ctx context.Context, v *meshpb.View) error
 }
 
 type Options struct {
@@ -42,7 +43,7 @@
 	// nothing to any node.
 	Reached func(addr string) bool
 	// Bundle gives what this member holds of what is kept.
-	Bundle func(*trunk.Kept) Bundle
+	Bundle func(*meshpb.Kept) Bundle
 	Note   func(f string, a ...any)
 	Trace  func(what string, epoch, version uint64)
 }
@@ -52,8 +53,8 @@
 // Master runs on its own mailbox; all its fields belong to that goroutine.
 type Master struct {
 	o     Options
-	Loop  *exchange.Loop
-	lines *trunk.Lines
+	Loop  *replication.Loop
+	lines *rpc.Lines
 	store Store
 
 	leading    bool
@@ -63,17 +64,17 @@
 	hs         map[string]*history
 	users      map[string]string
 	polls      map[string]context.CancelFunc
-	membership *trunk.Membership
+	membership *meshpb.Membership
 
-	listed []*trunk.Endpoint
+	listed []*meshpb.Endpoint
 	ills   verdicts
 	judged time.Duration
 	heated time.Duration
 	hots   *HotKeys
-	hot    []*trunk.HotKey
-	view   *trunk.View
-	inner  []*trunk.Endpoint
-	kept   *trunk.Kept
+	hot    []*meshpb.HotKey
+	view   *meshpb.View
+	inner  []*meshpb.Endpoint
+	kept   *meshpb.Kept
 	dirty  bool
 	// rejoining: endpoints that nodes have not found again count as they were.
 	rejoining bool
@@ -83,9 +84,9 @@
 
 	conf    uint64
 	packed  []byte
-	steps   []*trunk.Step
+	steps   []*meshpb.Step
 	sends   map[string]*courier
-	views   []*trunk.View
+	views   []*meshpb.View
 	packs   map[uint64][]byte
 	packsOf uint64
 	packsIn uint64
@@ -112,9 +113,9 @@
 	again time.Duration
 }
 
-func NewMaster(o Options, l *exchange.Loop, lines *trunk.Lines, st Store) *Master {
+func NewMaster(o Options, l *replication.Loop, lines *rpc.Lines, st Store) *Master {
 	return &Master{o: o, Loop: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeys(o.Hot),
-		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &trunk.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
+		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
 
 func (m *Master) note(f string, a ...any) {
@@ -131,7 +132,7 @@
 
 // Lead makes this process the master under the epoch of shard 0, which also
 // keeps the last view that was published.
-func (m *Master) Lead(epoch uint64, kept *trunk.View, users map[string]string, conf *trunk.Config, membership *trunk.Membership) {
+func (m *Master) Lead(epoch uint64, kept *meshpb.View, users map[string]string, conf *meshpb.Config, membership *meshpb.Membership) {
 	now := m.o.Now()
 	if kept.GetVersion() > m.view.Version {
 		m.view = kept
@@ -151,10 +152,10 @@
 			m.listed = append(m.listed, e)
 			continue
 		}
-		was := &trunk.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: back(e.State), Sound: true, Release: e.Release}
+		was := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: back(e.State), Sound: true, Release: e.Release}
 		h := m.hs[e.Node]
 		if h == nil {
-			h = &history{state: &trunk.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: was}, endpoint: e.Id, last: was}
+			h = &history{state: &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: was}, endpoint: e.Id, last: was}
 			m.hs[e.Node] = h
 		}
 		h.seen, h.fails, h.reached, h.kept = now, 0, true, true
@@ -164,7 +165,7 @@
 		name, addr := cut(l)
 		h := m.hs[name]
 		if h == nil {
-			h = &history{state: &trunk.NodeState{Name: name}, seen: now}
+			h = &history{state: &meshpb.NodeState{Name: name}, seen: now}
 			m.hs[name] = h
 		}
 		if h.state.Addr == "" {
@@ -193,7 +194,7 @@
 }
 
 // SetKept names what shard 0 keeps; it is called before Lead.
-func (m *Master) SetKept(k *trunk.Kept) { m.kept = k }
+func (m *Master) SetKept(k *meshpb.Kept) { m.kept = k }
 
 func (m *Master) Step() {
 	if !m.leading {
@@ -210,7 +211,7 @@
 
 func (m *Master) Leading() bool { return m.leading }
 
-func (m *Master) SetMembership(r *trunk.Membership) { m.membership = r }
+func (m *Master) SetMembership(r *meshpb.Membership) { m.membership = r }
 
 // SetUsers takes all user states; the node just set to up starts with a clean
 // history.
@@ -225,7 +226,7 @@
 
 // SetListed takes a whole reading of the platform's list; until the next one
 // it stays in force.
-func (m *Master) SetListed(es []*trunk.Endpoint) {
+func (m *Master) SetListed(es []*meshpb.Endpoint) {
 	if !m.leading {
 		return
 	}
@@ -236,11 +237,11 @@
 func (m *Master) Knows(node string) bool { return m.hs[node] != nil }
 
 // Nodes tells what the master knows of each node, and why a state was lowered.
-func (m *Master) Nodes() []*trunk.NodeLine {
-	var out []*trunk.NodeLine
+func (m *Master) Nodes() []*meshpb.NodeLine {
+	var out []*meshpb.NodeLine
 	for n, h := range m.hs {
 		e := h.state.GetEndpoint()
-		l := &trunk.NodeLine{Name: n, Addr: h.state.GetAddr(), Zone: h.state.GetZone(), Service: h.state.GetService(), Endpoint: e.GetId(),
+		l := &meshpb.NodeLine{Name: n, Addr: h.state.GetAddr(), Zone: h.state.GetZone(), Service: h.state.GetService(), Endpoint: e.GetId(),
 			Reported: e.GetState(), Official: h.official(m.users[n]), User: m.users[n], Slots: e.GetSlots(), Reached: h.reached}
 		switch {
 		case !h.reached:
@@ -265,7 +266,7 @@
 }
 
 // SetConfig hands a newly committed configuration to all nodes at once.
-func (m *Master) SetConfig(c *trunk.Config) {
+func (m *Master) SetConfig(c *meshpb.Config) {
 	if c.GetVersion() > m.conf {
 		m.conf, m.packed, m.steps = c.Version, c.Packed, c.Steps
 	}
@@ -296,10 +297,10 @@
 // Config is the version of the configuration in force.
 func (m *Master) Config() uint64 { return m.conf }
 
-func (m *Master) View() *trunk.View { return m.view }
+func (m *Master) View() *meshpb.View { return m.view }
 
 // Hello makes a node known; it gives back the endpoint that the node had last.
-func (m *Master) Hello(n *trunk.NodeState) (*trunk.Endpoint, bool) {
+func (m *Master) Hello(n *meshpb.NodeState) (*meshpb.Endpoint, bool) {
 	if !m.leading || !m.sure() {
 		return nil, false
 	}
@@ -334,8 +335,8 @@
 		}
 		i++
 		after := time.Duration(i) * m.o.PerNode
-		req := &trunk.RelayReq{Poll: &trunk.PollReq{Epoch: ep, NextMs: uint64(min(m.spread(), next) / time.Millisecond)}, Kept: m.kept}
-		m.send("poll", req, &trunk.RelayTo{Name: name, Addr: h.state.Addr, Last: h.last}, func(a *trunk.RelayAck) {
+		req := &meshpb.RelayReq{Poll: &meshpb.PollReq{Epoch: ep, NextMs: uint64(min(m.spread(), next) / time.Millisecond)}, Kept: m.kept}
+		m.send("poll", req, &meshpb.RelayTo{Name: name, Addr: h.state.Addr, Last: h.last}, func(a *meshpb.RelayAck) {
 			if m.epoch != ep || !m.leading || m.hs[name] != h || m.polls[name] != nil {
 				return
 			}
@@ -380,7 +381,7 @@
 func (m *Master) poll(name, addr string) { m.pollAfter(name, addr, 0, nil) }
 
 // pollAfter begins to poll a node in a while; n is what it said just now.
-func (m *Master) pollAfter(name, addr string, wait time.Duration, n *trunk.NodeState) {
+func (m *Master) pollAfter(name, addr string, wait time.Duration, n *meshpb.NodeState) {
 	if m.polls[name] != nil || addr == "" || m.paused {
 		return
 	}
@@ -410,7 +411,7 @@
 				linger = 0
 			}
 			cx, cancel := context.WithTimeout(ctx, linger+m.o.Grace+late)
-			r, err := c.Poll(cx, &trunk.PollReq{Epoch: ep, Life: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, Last: last})
+			r, err := c.Poll(cx, &meshpb.PollReq{Epoch: ep, Life: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, Last: last})
 			cancel()
 			if ctx.Err() != nil {
 				return
@@ -456,7 +457,7 @@
 	}()
 }
 
-func (m *Master) heard(name string, h *history, n *trunk.NodeState) {
+func (m *Master) heard(name string, h *history, n *meshpb.NodeState) {
 	was := h.official(m.users[name])
 	same := h.reached && h.state.GetLife() == n.Life && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
 	h.report(n, m.o.Now(), m.o.rules())
@@ -549,7 +550,7 @@
 	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && sameWidths(m.hot, m.view.Hot) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeLines) == len(m.hs) {
 		return
 	}
-	v := &trunk.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.Me, Hot: m.hot}
+	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.Me, Hot: m.hot}
 	for n, h := range m.hs {
 		v.NodeLines = append(v.NodeLines, n+" "+h.state.GetAddr())
 	}
@@ -590,7 +591,7 @@
 	m.hot = hot
 }
 
-func (m *Master) reads(yield func([]*trunk.KeyRate) bool) {
+func (m *Master) reads(yield func([]*meshpb.KeyRate) bool) {
 	for _, h := range m.hs {
 		if r := h.state.GetReads(); h.reached && len(r) > 0 && !yield(r) {
 			return
@@ -599,16 +600,16 @@
 }
 
 // Hot gives the hot keys and how many widths were raised and lowered.
-func (m *Master) Hot() ([]*trunk.HotKey, *trunk.HotCounts) {
-	return m.hot, &trunk.HotCounts{Widened: m.hots.widened, Narrowed: m.hots.narrowed, Refused: m.hots.refused}
+func (m *Master) Hot() ([]*meshpb.HotKey, *meshpb.HotCounts) {
+	return m.hot, &meshpb.HotCounts{Widened: m.hots.widened, Narrowed: m.hots.narrowed, Refused: m.hots.refused}
 }
 
-func (m *Master) publish(v *trunk.View) {
+func (m *Master) publish(v *meshpb.View) {
 	m.view, m.made = v, m.o.Now()
 	m.trace("published", v.Version)
 	m.views = append(m.views, v)
 	if len(m.views) > keepViews {
-		m.views = append([]*trunk.View(nil), m.views[1:]...)
+		m.views = append([]*meshpb.View(nil), m.views[1:]...)
 	}
 	for n, h := range m.hs {
 		m.follow(n, h)
@@ -658,7 +659,7 @@
 }
 
 // met notes what a node says it holds.
-func (m *Master) met(name string, n *trunk.NodeState) {
+func (m *Master) met(name string, n *meshpb.NodeState) {
 	c := m.sends[name]
 	if c != nil && c.life == "" {
 		c.life = n.Life
@@ -690,7 +691,7 @@
 	c.busy = true
 	version, ep, has := m.view.Version, m.epoch, c.view
 	key := fmt.Sprint("view ", has, " ", m.view.Epoch, " ", version)
-	m.send(key, &trunk.RelayReq{View: &trunk.ViewReq{Epoch: ep, Packed: m.pack(has)}}, &trunk.RelayTo{Name: name, Addr: h.state.Addr}, func(a *trunk.RelayAck) {
+	m.send(key, &meshpb.RelayReq{View: &meshpb.ViewReq{Epoch: ep, Packed: m.pack(has)}}, &meshpb.RelayTo{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
 		c.busy = false
 		r := a.GetView()
 		if r == nil || m.epoch != ep {
@@ -731,7 +732,7 @@
 		return
 	}
 	c.cbusy = true
-	q := &trunk.DeliverReq{Epoch: m.epoch, Version: m.conf}
+	q := &meshpb.DeliverReq{Epoch: m.epoch, Version: m.conf}
 	if c.conf > 0 && !c.whole {
 		if q.Patches = m.way(c.conf); q.Patches != nil {
 			q.Base = c.conf
@@ -745,7 +746,7 @@
 		q.Data = m.packed
 	}
 	key := fmt.Sprint("config ", q.Base, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0)
-	m.send(key, &trunk.RelayReq{Config: q}, &trunk.RelayTo{Name: name, Addr: h.state.Addr}, func(a *trunk.RelayAck) {
+	m.send(key, &meshpb.RelayReq{Config: q}, &meshpb.RelayTo{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
 		c.cbusy = false
 		r := a.GetConfig()
 		if r == nil {
--- a/internal/supervisor/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -1,6 +1,6 @@
 // Package supervisor is the cluster controller: it gathers node states, merges
 // them with what it remembers, and broadcasts a stamped view.
-package supervisor
+package clustercontroller
 
 import (
 	"sort"
@@ -8,7 +8,7 @@
 
 	"github.com/zeebo/errs"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("supervisor")
@@ -28,7 +28,7 @@
 
 // history is what the master remembers of one node beside its last report.
 type history struct {
-	state    *trunk.NodeState
+	state    *meshpb.NodeState
 	seen     time.Duration
 	fails    int
 	reached  bool
@@ -37,14 +37,14 @@
 	crashes  []time.Duration
 	unproven bool
 	setOut   bool
-	last     *trunk.Endpoint
+	last     *meshpb.Endpoint
 	// kept: the last view showed last, and the node, just started like all others,
 	// may not have found it again yet.
 	kept bool
 }
 
 // known is the endpoint that the node reports, or had a moment ago.
-func (h *history) known() *trunk.Endpoint {
+func (h *history) known() *meshpb.Endpoint {
 	if e := h.state.GetEndpoint(); e.GetId() != "" || !h.kept {
 		return e
 	}
@@ -59,7 +59,7 @@
 }
 
 // report merges a node's own account into its history.
-func (h *history) report(n *trunk.NodeState, now time.Duration, r rules) {
+func (h *history) report(n *meshpb.NodeState, now time.Duration, r rules) {
 	id := n.Endpoint.GetId()
 	if id != "" && h.endpoint != "" && id != h.endpoint {
 		h.lost(now, r)
@@ -138,15 +138,15 @@
 
 // compose merges what the nodes report of their endpoints with the endpoints
 // that the platform lists.
-func compose(hs map[string]*history, users map[string]string, listed []*trunk.Endpoint) []*trunk.Endpoint {
-	out := append([]*trunk.Endpoint(nil), listed...)
+func compose(hs map[string]*history, users map[string]string, listed []*meshpb.Endpoint) []*meshpb.Endpoint {
+	out := append([]*meshpb.Endpoint(nil), listed...)
 	for n, h := range hs {
 		s := h.official(users[n])
 		if s == Down {
 			continue
 		}
 		e := h.known()
-		out = append(out, &trunk.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: s,
+		out = append(out, &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: s,
 			ColdMs: e.ColdMs, Release: e.Release, Node: n, Inbound: h.state.Inbound, Sound: e.Sound, Ill: e.Ill})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Id < out[j].Id })
@@ -154,7 +154,7 @@
 }
 
 // matters tells whether the nodes would act on the difference.
-func matters(a, b []*trunk.Endpoint) bool {
+func matters(a, b []*meshpb.Endpoint) bool {
 	if len(a) != len(b) {
 		return true
 	}
--- a/internal/supervisor/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -7,7 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // How long a relay waits for its nodes: until all have said something, or none
@@ -24,8 +25,8 @@
 
 // Relay brings a request of the master's to several nodes and gathers what they
 // say. It keeps nothing: order and epochs are the nodes' to check.
-func Relay(ctx context.Context, lines *trunk.Lines, q *trunk.RelayReq, x func() Bundle) *trunk.RelayResp {
-	acks := make(chan *trunk.RelayAck, len(q.To))
+func Relay(ctx context.Context, lines *rpc.Lines, q *meshpb.RelayReq, x func() Bundle) *meshpb.RelayResp {
+	acks := make(chan *meshpb.RelayAck, len(q.To))
 	sem := make(chan bool, relayOnce)
 	go func() {
 		var wg sync.WaitGroup
@@ -43,7 +44,7 @@
 		wg.Wait()
 		close(acks)
 	}()
-	r := &trunk.RelayResp{}
+	r := &meshpb.RelayResp{}
 	end := time.After(relayMost)
 	still := time.NewTimer(relayStill)
 	defer still.Stop()
@@ -65,23 +66,23 @@
 	}
 }
 
-func relayed(n trunk.Node, to *trunk.RelayTo, q *trunk.RelayReq, x func() Bundle) *trunk.RelayAck {
-	a := &trunk.RelayAck{Name: to.Name}
+func relayed(n meshpb.Node, to *meshpb.RelayTo, q *meshpb.RelayReq, x func() Bundle) *meshpb.RelayAck {
+	a := &meshpb.RelayAck{Name: to.Name}
 	var err error
 	switch {
 	case q.Poll != nil:
-		a.Poll, err = trunk.Call(relayMost, n.Poll, &trunk.PollReq{Epoch: q.Poll.Epoch, NextMs: q.Poll.NextMs, Name: to.Name, Last: to.Last})
+		a.Poll, err = rpc.Call(relayMost, n.Poll, &meshpb.PollReq{Epoch: q.Poll.Epoch, NextMs: q.Poll.NextMs, Name: to.Name, Last: to.Last})
 		if err == nil && !a.Poll.GetStale() {
 			fill(n, to, q, a.Poll.GetNode(), x)
 		}
 	case q.View != nil:
-		a.View, err = trunk.Call(relayMost, n.Publish, &trunk.ViewReq{To: to.Name, Packed: q.View.Packed, Epoch: q.View.Epoch})
+		a.View, err = rpc.Call(relayMost, n.Publish, &meshpb.ViewReq{To: to.Name, Packed: q.View.Packed, Epoch: q.View.Epoch})
 	case q.Config != nil:
 		c, wait := q.Config, relayMost
 		if c.Base == 0 {
 			wait *= 2
 		}
-		a.Config, err = trunk.Call(wait, n.Deliver, &trunk.DeliverReq{Epoch: c.Epoch, Version: c.Version, Data: c.Data, To: to.Name, Base: c.Base, Patches: c.Patches})
+		a.Config, err = rpc.Call(wait, n.Deliver, &meshpb.DeliverReq{Epoch: c.Epoch, Version: c.Version, Data: c.Data, To: to.Name, Base: c.Base, Patches: c.Patches})
 	}
 	if err != nil {
 		return nil
@@ -91,20 +92,20 @@
 
 // fill gives a node that has just started what it lacks, and notes that it has
 // it now.
-func fill(n trunk.Node, to *trunk.RelayTo, q *trunk.RelayReq, s *trunk.NodeState, bundle func() Bundle) {
+func fill(n meshpb.Node, to *meshpb.RelayTo, q *meshpb.RelayReq, s *meshpb.NodeState, bundle func() Bundle) {
 	k := q.Kept
 	if s == nil || k == nil || s.ConfigVersion > 0 && s.ViewVersion > 0 {
 		return
 	}
 	x := bundle()
 	if s.ConfigVersion == 0 && x.Config != nil {
-		r, err := trunk.Call(2*relayMost, n.Deliver, &trunk.DeliverReq{Epoch: q.Poll.Epoch, Version: k.Config, Data: x.Config, To: to.Name})
+		r, err := rpc.Call(2*relayMost, n.Deliver, &meshpb.DeliverReq{Epoch: q.Poll.Epoch, Version: k.Config, Data: x.Config, To: to.Name})
 		if err == nil && r.Ok {
 			s.ConfigVersion = r.Version
 		}
 	}
 	if s.ViewVersion == 0 && x.View != nil {
-		r, err := trunk.Call(relayMost, n.Publish, &trunk.ViewReq{To: to.Name, Packed: x.View, Epoch: q.Poll.Epoch})
+		r, err := rpc.Call(relayMost, n.Publish, &meshpb.ViewReq{To: to.Name, Packed: x.View, Epoch: q.Poll.Epoch})
 		if err == nil && r.Ok {
 			s.ViewEpoch, s.ViewVersion = r.Epoch, r.Version
 		}
@@ -123,19 +124,19 @@
 // parcel is the same request for several nodes; done runs on the master's
 // goroutine once for each, with nil where nothing was heard.
 type parcel struct {
-	req  *trunk.RelayReq
-	done map[string]func(*trunk.RelayAck)
+	req  *meshpb.RelayReq
+	done map[string]func(*meshpb.RelayAck)
 }
 
 // send puts a node's request beside those that go out together.
-func (m *Master) send(key string, req *trunk.RelayReq, to *trunk.RelayTo, done func(*trunk.RelayAck)) {
+func (m *Master) send(key string, req *meshpb.RelayReq, to *meshpb.RelayTo, done func(*meshpb.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
 		time.AfterFunc(gatherFor, func() { m.Loop.Put(m.flush) })
 	}
 	p := m.parcels[key]
 	if p == nil {
-		p = &parcel{req: req, done: map[string]func(*trunk.RelayAck){}}
+		p = &parcel{req: req, done: map[string]func(*meshpb.RelayAck){}}
 		m.parcels[key] = p
 	}
 	if p.done[to.Name] == nil {
@@ -176,7 +177,7 @@
 			}
 			continue
 		}
-		parts := make([][]*trunk.RelayTo, len(rs))
+		parts := make([][]*meshpb.RelayTo, len(rs))
 		for _, to := range p.req.To {
 			i := xxhash.Sum64String(to.Name) % uint64(len(rs))
 			parts[i] = append(parts[i], to)
@@ -189,14 +190,14 @@
 	}
 }
 
-func (m *Master) bundle(k *trunk.Kept) Bundle {
+func (m *Master) bundle(k *meshpb.Kept) Bundle {
 	if k == nil || m.o.Bundle == nil {
 		return Bundle{}
 	}
 	return m.o.Bundle(k)
 }
 
-func (m *Master) direct(p *parcel, to *trunk.RelayTo) {
+func (m *Master) direct(p *parcel, to *meshpb.RelayTo) {
 	n := m.lines.Node(to.Addr)
 	done := p.done[to.Name]
 	go func() {
@@ -207,11 +208,11 @@
 
 // relay sends a part of a parcel through a member. What it does not bring back
 // is called directly, once; a member that does not answer is left out a while.
-func (m *Master) relay(p *parcel, addr string, to []*trunk.RelayTo) {
+func (m *Master) relay(p *parcel, addr string, to []*meshpb.RelayTo) {
 	c := m.lines.Control(addr)
-	q := &trunk.RelayReq{To: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Kept: p.req.Kept}
+	q := &meshpb.RelayReq{To: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Kept: p.req.Kept}
 	go func() {
-		r, err := trunk.Call(relayWait, c.Relay, q)
+		r, err := rpc.Call(relayWait, c.Relay, q)
 		m.Loop.Put(func() {
 			got := map[string]bool{}
 			for _, a := range r.GetAcks() {
--- a/internal/supervisor/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -11,13 +11,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // relayer is a core member that relays, and counts what it was asked.
 type relayer struct {
-	trunk.Control
-	lines  *trunk.Lines
+	meshpb.Control
+	lines  *rpc.Lines
 	mu     sync.Mutex
 	asked  int
 	nodes  int
@@ -27,7 +28,7 @@
 	bundle Bundle
 }
 
-func (r *relayer) Relay(ctx context.Context, q *trunk.RelayReq) (*trunk.RelayResp, error) {
+func (r *relayer) Relay(ctx context.Context, q *meshpb.RelayReq) (*meshpb.RelayResp, error) {
 	r.mu.Lock()
 	r.asked++
 	r.nodes += len(q.To)
@@ -40,19 +41,19 @@
 	return Relay(ctx, r.lines, q, func() Bundle { return r.bundle }), nil
 }
 
-func (r *relayer) Hello(context.Context, *trunk.HelloReq) (*trunk.HelloResp, error) {
+func (r *relayer) Hello(context.Context, *meshpb.HelloReq) (*meshpb.HelloResp, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hellos++
-	return &trunk.HelloResp{MasterAddr: r.master, Master: r.master == "self"}, nil
+	return &meshpb.HelloResp{MasterAddr: r.master, Master: r.master == "self"}, nil
 }
 
 // crowd is a stage with relays; far makes nodes out of the relays' reach.
-func crowd(t *testing.T, nodes, relays int) (*stage, []*relayer, *trunk.Membership) {
+func crowd(t *testing.T, nodes, relays int) (*stage, []*relayer, *meshpb.Membership) {
 	s := newStage(t, nodes)
-	membership := &trunk.Membership{Version: 1, Members: []*trunk.Member{{Id: "m", Addr: "m"}}}
+	membership := &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "m", Addr: "m"}}}
 	var rs []*relayer
-	lines := trunk.NewLines(&http.Client{Transport: deadEnd{}})
+	lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
 	for i, n := range s.ns {
 		lines.PutNode(fmt.Sprint("a", i), n)
 	}
@@ -60,14 +61,14 @@
 		r := &relayer{lines: lines}
 		a := fmt.Sprint("core", i)
 		s.m.lines.PutControl(a, r)
-		membership.Members = append(membership.Members, &trunk.Member{Id: a, Addr: a})
+		membership.Members = append(membership.Members, &meshpb.Member{Id: a, Addr: a})
 		rs = append(rs, r)
 	}
 	return s, rs, membership
 }
 
-func keptOf(n int) *trunk.View {
-	v := &trunk.View{Epoch: 1, Version: 9}
+func keptOf(n int) *meshpb.View {
+	v := &meshpb.View{Epoch: 1, Version: 9}
 	for i := range n {
 		v.NodeLines = append(v.NodeLines, fmt.Sprintf("n%d a%d", i, i))
 	}
@@ -108,7 +109,7 @@
 		// A changed configuration is one call for each relay.
 		was := rs[0].asked
 		s.do(func() {
-			s.m.SetConfig(&trunk.Config{Version: 6, Packed: trunk.Pack([]byte("e")), Steps: []*trunk.Step{{Base: 5, Version: 6, Patch: trunk.Pack([]byte("p"))}}})
+			s.m.SetConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Steps: []*meshpb.Step{{Base: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
 		})
 		pass(100 * time.Millisecond)
 		s.all(t, 6)
@@ -140,7 +141,7 @@
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
 		rs[0].down = true
-		rs[1].lines = trunk.NewLines(&http.Client{Transport: deadEnd{}})
+		rs[1].lines = rpc.NewLines(&http.Client{Transport: deadEnd{}})
 		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
 		pass(4 * time.Second)
 		s.all(t, 5)
@@ -207,7 +208,7 @@
 func TestHelloAsksFewAndALingeringPollKeepsItQuiet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t0 := time.Now()
-		lines := trunk.NewLines(&http.Client{Transport: deadEnd{}})
+		lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
 		var rs []*relayer
 		a := &Agent{Name: "n", Life: "l", Quiet: time.Second, Now: func() time.Duration { return time.Since(t0) }, Note: func(string, ...any) {}, Lines: lines}
 		for i := range 9 {
@@ -219,7 +220,7 @@
 			a.Seeds = append(a.Seeds, fmt.Sprint("c", i))
 			rs = append(rs, r)
 		}
-		a.Start(&trunk.NodeState{Name: "n", Life: "l"})
+		a.Start(&meshpb.NodeState{Name: "n", Life: "l"})
 		qt.Assert(t, a.hello(t.Context()), qt.IsTrue)
 		n := 0
 		for _, r := range rs {
@@ -232,13 +233,13 @@
 			return a.Now()-a.polled > a.Quiet
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go a.Poll(ctx, &trunk.PollReq{Epoch: 1, Name: "n", Life: "l", Seq: 1, LingerMs: 10000})
+		go a.Poll(ctx, &meshpb.PollReq{Epoch: 1, Name: "n", Life: "l", Seq: 1, LingerMs: 10000})
 		pass(5 * time.Second)
 		qt.Assert(t, quiet(), qt.IsFalse)
 		stop()
 		pass(time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsTrue, qt.Commentf("the master's side broke off"))
-		a.Poll(t.Context(), &trunk.PollReq{Epoch: 1, Name: "n", NextMs: 3000})
+		a.Poll(t.Context(), &meshpb.PollReq{Epoch: 1, Name: "n", NextMs: 3000})
 		pass(3500 * time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsFalse)
 		pass(time.Second)
@@ -255,9 +256,9 @@
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
 		v := keptOf(60)
-		v.Endpoints = []*trunk.Endpoint{{Id: "e0", Service: "s", State: Up, Node: "n0", Inbound: "i0"}}
+		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: Up, Node: "n0", Inbound: "i0"}}
 		has := s.ns[7].agent
-		qt.Assert(t, has.take(&trunk.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
+		qt.Assert(t, has.take(&meshpb.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
 		s.m.o.Transition = 5 * time.Second
 		s.do(func() { s.m.Lead(2, v, map[string]string{}, conf(5, "d"), membership) })
 		pass(400 * time.Millisecond)
@@ -274,8 +275,8 @@
 			qt.Check(t, f.agent.View().GetEpoch(), qt.Equals, uint64(2))
 		}
 		late := s.ns[3].agent
-		qt.Assert(t, late.take(&trunk.View{Epoch: 1, Version: 99}, 1, ""), qt.IsFalse, qt.Commentf("from a master before"))
-		qt.Assert(t, late.take(&trunk.View{Epoch: 1, Version: 99}, 2, ""), qt.IsFalse, qt.Commentf("older than what it has"))
+		qt.Assert(t, late.take(&meshpb.View{Epoch: 1, Version: 99}, 1, ""), qt.IsFalse, qt.Commentf("from a master before"))
+		qt.Assert(t, late.take(&meshpb.View{Epoch: 1, Version: 99}, 2, ""), qt.IsFalse, qt.Commentf("older than what it has"))
 	})
 }
 
@@ -288,19 +289,19 @@
 		defer s.do(s.m.Step)
 		v := keptOf(30)
 		for i, f := range s.ns {
-			v.Endpoints = append(v.Endpoints, &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
-			f.agent.Set(func(n *trunk.NodeState) { n.Endpoint = nil })
+			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
+			f.agent.Set(func(n *meshpb.NodeState) { n.Endpoint = nil })
 		}
 		s.do(func() { s.m.Lead(2, v, map[string]string{}, conf(5, "d"), roll) })
 		pass(time.Second)
 		qt.Assert(t, s.count(0), qt.Equals, 30)
 		for i, f := range s.ns[:20] {
-			f.agent.Set(func(n *trunk.NodeState) {
-				n.Endpoint = &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}
+			f.agent.Set(func(n *meshpb.NodeState) {
+				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}
 			})
 		}
-		s.ns[20].agent.Set(func(n *trunk.NodeState) {
-			n.Endpoint = &trunk.Endpoint{Id: "e20", Service: "s", State: "gone", Sound: true, Slots: 4}
+		s.ns[20].agent.Set(func(n *meshpb.NodeState) {
+			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Sound: true, Slots: 4}
 		})
 		pass(500 * time.Millisecond)
 		qt.Assert(t, s.count(0), qt.Equals, 29)
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -1,4 +1,4 @@
-package supervisor
+package clustercontroller
 
 import (
 	"context"
@@ -12,16 +12,17 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/exchange"
-	"corkcove/internal/trunk"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var ru = rules{window: time.Minute, limit: 3, fails: 2, silent: 700 * time.Millisecond}
 
-func state(id, st string, cold uint64) *trunk.NodeState {
-	n := &trunk.NodeState{Name: "n", Inbound: "in", State: "up"}
+func state(id, st string, cold uint64) *meshpb.NodeState {
+	n := &meshpb.NodeState{Name: "n", Inbound: "in", State: "up"}
 	if id != "" {
-		n.Endpoint = &trunk.Endpoint{Id: id, State: st, Sound: true, ColdMs: cold, Slots: 4}
+		n.Endpoint = &meshpb.Endpoint{Id: id, State: st, Sound: true, ColdMs: cold, Slots: 4}
 	}
 	return n
 }
@@ -89,7 +90,7 @@
 
 var errCut = fmt.Errorf("cut off")
 
-func (f *fakeNode) Poll(c context.Context, q *trunk.PollReq) (*trunk.PollResp, error) {
+func (f *fakeNode) Poll(c context.Context, q *meshpb.PollReq) (*meshpb.PollResp, error) {
 	if f.off() {
 		<-c.Done()
 		return nil, errCut
@@ -97,14 +98,14 @@
 	return f.agent.Poll(c, q)
 }
 
-func (f *fakeNode) Publish(c context.Context, q *trunk.ViewReq) (*trunk.ViewResp, error) {
+func (f *fakeNode) Publish(c context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
 	if f.off() {
 		return nil, errCut
 	}
 	return f.agent.Publish(c, q)
 }
 
-func (f *fakeNode) Deliver(c context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
+func (f *fakeNode) Deliver(c context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
 	if f.off() {
 		return nil, errCut
 	}
@@ -115,15 +116,15 @@
 
 func (deadEnd) RoundTrip(*http.Request) (*http.Response, error) { return nil, errCut }
 
-type saved struct{ v *trunk.View }
+type saved struct{ v *meshpb.View }
 
-func (s *saved) SaveView(_ context.Context, v *trunk.View) error { s.v = v; return nil }
+func (s *saved) SaveView(_ context.Context, v *meshpb.View) error { s.v = v; return nil }
 
 type stage struct {
 	m    *Master
 	st   *saved
 	ns   []*fakeNode
-	last [][]*trunk.Endpoint
+	last [][]*meshpb.Endpoint
 	// sizes counts the endpoints of each view that the first node took.
 	sizes []int
 }
@@ -131,14 +132,14 @@
 func newStage(t *testing.T, n int) *stage {
 	t0 := time.Now()
 	now := func() time.Duration { return time.Since(t0) }
-	s := &stage{st: &saved{}, last: make([][]*trunk.Endpoint, n)}
-	lines := trunk.NewLines(&http.Client{Transport: deadEnd{}})
+	s := &stage{st: &saved{}, last: make([][]*meshpb.Endpoint, n)}
+	lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
 	s.m = NewMaster(Options{Interval: 250 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond,
-		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, exchange.NewLoop(), lines, s.st)
+		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, replication.NewLoop(), lines, s.st)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
 		a := &Agent{Name: fmt.Sprint("n", i), Life: "l", Quiet: time.Second, Now: now, Note: func(string, ...any) {}, Lines: lines}
-		a.OnView = func(v *trunk.View) {
+		a.OnView = func(v *meshpb.View) {
 			f.mu.Lock()
 			f.views = append(f.views, v.Version)
 			s.last[i] = v.Endpoints
@@ -154,8 +155,8 @@
 			return nil
 		}
 		a.OnPatch = func(st uint64, _ [][]byte) error { return a.OnConfig(st, nil) }
-		a.Start(&trunk.NodeState{Name: a.Name, Life: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: "up",
-			Endpoint: &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}})
+		a.Start(&meshpb.NodeState{Name: a.Name, Life: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: "up",
+			Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}})
 		f.agent = a
 		lines.PutNode(fmt.Sprint("a", i), f)
 		s.ns = append(s.ns, f)
@@ -164,12 +165,12 @@
 	return s
 }
 
-func conf(version uint64, doc string) *trunk.Config {
-	return &trunk.Config{Version: version, Packed: trunk.Pack([]byte(doc))}
+func conf(version uint64, doc string) *meshpb.Config {
+	return &meshpb.Config{Version: version, Packed: rpc.Pack([]byte(doc))}
 }
 
 func (s *stage) do(f func()) {
-	exchange.Ask(s.m.Loop, func() bool { f(); return true })
+	replication.Ask(s.m.Loop, func() bool { f(); return true })
 	synctest.Wait()
 }
 
@@ -192,14 +193,14 @@
 		s := newStage(t, 4)
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &trunk.Membership{Version: 1}) })
+		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(2 * time.Second)
 		qt.Assert(t, s.count(0), qt.Equals, 4)
 		qt.Assert(t, s.ns[0].confs, qt.DeepEquals, []uint64{3})
 		before := s.st.v.Version
 		for _, f := range s.ns[1:] {
-			f.agent.Set(func(n *trunk.NodeState) { n.Endpoint.State = "draining" })
+			f.agent.Set(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		}
 		pass(time.Second)
 		qt.Assert(t, s.st.v.Version, qt.Equals, before+1)
@@ -214,7 +215,7 @@
 		s := newStage(t, 3)
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &trunk.Membership{Version: 1}) })
+		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(2 * time.Second)
 		for _, f := range s.ns {
@@ -229,7 +230,7 @@
 		s.ns[0].mu.Lock()
 		s.sizes = nil
 		s.ns[0].mu.Unlock()
-		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &trunk.Membership{Version: 1}) })
+		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(1500 * time.Millisecond)
 		for i, f := range s.ns {
@@ -247,8 +248,8 @@
 		s := newStage(t, 3)
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
-		kept := &trunk.View{Epoch: 1, Version: 9, NodeLines: []string{"n0 a0", "n1 a1", "n2 a2"}}
-		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &trunk.Membership{Version: 1}) })
+		kept := &meshpb.View{Epoch: 1, Version: 9, NodeLines: []string{"n0 a0", "n1 a1", "n2 a2"}}
+		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
 		pass(600 * time.Millisecond)
 		qt.Assert(t, s.st.v.Version > 9, qt.IsTrue)
 		qt.Assert(t, s.count(1), qt.Equals, 3)
@@ -259,12 +260,12 @@
 func TestNodesRefuseALowerEpochAndAnOlderVersion(t *testing.T) {
 	got := 0
 	a := &Agent{Name: "n", Life: "l", Now: func() time.Duration { return 0 }, Note: func(string, ...any) {},
-		OnView: func(*trunk.View) { got++ }, OnConfig: func(uint64, []byte) error { return nil }}
-	a.Start(&trunk.NodeState{Name: "n"})
+		OnView: func(*meshpb.View) { got++ }, OnConfig: func(uint64, []byte) error { return nil }}
+	a.Start(&meshpb.NodeState{Name: "n"})
 	c := context.Background()
 	pub := func(e, s uint64) bool {
-		b, _ := proto.Marshal(&trunk.View{Epoch: e, Version: s})
-		r, _ := a.Publish(c, &trunk.ViewReq{Packed: b})
+		b, _ := proto.Marshal(&meshpb.View{Epoch: e, Version: s})
+		r, _ := a.Publish(c, &meshpb.ViewReq{Packed: b})
 		return r.Ok
 	}
 	qt.Assert(t, pub(2, 5), qt.IsTrue)
@@ -273,11 +274,11 @@
 	qt.Assert(t, pub(2, 5), qt.IsTrue)
 	qt.Assert(t, pub(3, 6), qt.IsTrue)
 	qt.Assert(t, got, qt.Equals, 2)
-	r, _ := a.Poll(c, &trunk.PollReq{Epoch: 2, Name: "n"})
+	r, _ := a.Poll(c, &meshpb.PollReq{Epoch: 2, Name: "n"})
 	qt.Assert(t, r.Stale, qt.IsTrue)
 	qt.Assert(t, r.Epoch, qt.Equals, uint64(3))
-	a.Deliver(c, &trunk.DeliverReq{Epoch: 3, Version: 8, Data: trunk.Pack(nil)})
-	d, _ := a.Deliver(c, &trunk.DeliverReq{Epoch: 3, Version: 7, Data: trunk.Pack(nil)})
+	a.Deliver(c, &meshpb.DeliverReq{Epoch: 3, Version: 8, Data: rpc.Pack(nil)})
+	d, _ := a.Deliver(c, &meshpb.DeliverReq{Epoch: 3, Version: 7, Data: rpc.Pack(nil)})
 	qt.Assert(t, d.Version, qt.Equals, uint64(8))
 }
 
@@ -289,7 +290,7 @@
 		held := true
 		s.do(func() {
 			s.m.o.Leased = func() bool { return held }
-			s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &trunk.Membership{Version: 1})
+			s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1})
 		})
 		s.hello()
 		pass(2 * time.Second)
--- a/internal/desk/beats.go
+++ b/internal/controlapi/beats.go
@@ -1,15 +1,15 @@
-package desk
+package controlapi
 
 import (
 	"time"
 
-	"corkcove/internal/subscriber"
+	"corkcove/internal/endpointagent"
 )
 
 // Beats is the interface for the endpoint beside a node.
 type Beats struct {
 	Table
-	sub *subscriber.Desk
+	sub *endpointagent.Desk
 }
 
 type beatReq struct {
@@ -23,7 +23,7 @@
 	CallSeq     uint64  `json:"callSeq"`
 }
 
-func NewBeats(s *subscriber.Desk) *Beats {
+func NewBeats(s *endpointagent.Desk) *Beats {
 	b := &Beats{sub: s}
 	b.add("PUT /-/endpoints/{}", handle(nil, b.beat))
 	b.add("DELETE /-/endpoints/{}", handle(nil, b.leave))
@@ -37,7 +37,7 @@
 	if q.SlotCount < 1 {
 		return verdict{out: malformed, why: "slotCount must be 1 at least"}
 	}
-	b.sub.Beat(subscriber.Beat{ID: c.id, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, Release: q.Version,
+	b.sub.Beat(endpointagent.Beat{ID: c.id, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, Release: q.Version,
 		Slots: q.SlotCount, State: q.State, Cold: time.Duration(q.ColdLeftS * float64(time.Second)), Seq: q.CallSeq})
 	return verdict{body: none{}}
 }
--- a/internal/desk/core.go
+++ b/internal/controlapi/core.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"context"
@@ -14,14 +14,15 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/exchange"
-	"corkcove/internal/numbering"
-	"corkcove/internal/trunk"
+	"corkcove/internal/coordination"
+	"corkcove/internal/replication"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
-	ConfigBlob = numbering.ConfigBlob
+	ConfigBlob = coordination.ConfigBlob
 	// An order takes about ten times its size while it is read and checked: one
 	// above heavyBody goes alone, and bodies under way have mostBodies in all.
 	maxConfig  = 16 << 20
@@ -34,7 +35,7 @@
 
 type Core struct {
 	Table
-	Svc     *numbering.Service
+	Svc     *coordination.Service
 	Patient time.Duration
 	Step    time.Duration
 	// Near reaches the other members; without it callers are redirected.
@@ -42,7 +43,7 @@
 	Acked func(version uint64)
 
 	mu     sync.Mutex
-	last   dialplan.Doc
+	last   routeconfig.Doc
 	bodies atomic.Int64
 	heavy  chan struct{}
 }
@@ -88,7 +89,7 @@
 	Revision  uint64  `json:"revision"`
 }
 
-func NewCore(s *numbering.Service, patient time.Duration) *Core {
+func NewCore(s *coordination.Service, patient time.Duration) *Core {
 	c := &Core{Svc: s, Patient: patient, Step: 20 * time.Millisecond, heavy: make(chan struct{}, 1)}
 	c.add("POST /-/locks/{}", handle(c, c.take))
 	c.add("PUT /-/locks/{}", handle(c, c.renew))
@@ -113,12 +114,12 @@
 		switch {
 		case err == nil:
 			return r, verdict{}, true
-		case errors.Is(err, exchange.ErrElsewhere):
+		case errors.Is(err, replication.ErrElsewhere):
 			type who struct {
-				m  *trunk.Member
+				m  *meshpb.Member
 				ok bool
 			}
-			o, _ := exchange.Ask(d.Svc.Loop, func() who {
+			o, _ := replication.Ask(d.Svc.Loop, func() who {
 				m, ok := d.Svc.Board.Owner(shard)
 				if ok && m.Id == d.Svc.Board.Me().Id {
 					return who{}
@@ -128,7 +129,7 @@
 			if o.ok && o.m.Control != "" {
 				return r, verdict{out: elsewhere, to: "http://" + o.m.Control + c.r.RequestURI}, false
 			}
-		case errors.Is(err, exchange.ErrBusy):
+		case errors.Is(err, replication.ErrBusy):
 		default:
 			return r, verdict{out: unsure}, false
 		}
@@ -151,11 +152,11 @@
 	return time.Duration(math.Ceil(*f*1000)) * time.Millisecond, true
 }
 
-func granted(g numbering.Grant, v verdict, done bool) verdict {
+func granted(g coordination.Grant, v verdict, done bool) verdict {
 	if !done {
 		return v
 	}
-	if g.Outcome == numbering.Held || g.Outcome == numbering.Lost {
+	if g.Outcome == coordination.Held || g.Outcome == coordination.Lost {
 		return verdict{out: held}
 	}
 	return verdict{body: lockResp{g.Fence}}
@@ -166,7 +167,7 @@
 	if !good || q.HolderID == "" {
 		return verdict{out: malformed, why: "holderId and a holdS above 0 are wanted"}
 	}
-	return granted(at(d, c, d.Svc.Shard(c.id), func(x context.Context) (numbering.Grant, error) { return d.Svc.Take(x, c.id, q.HolderID, h) }))
+	return granted(at(d, c, d.Svc.Shard(c.id), func(x context.Context) (coordination.Grant, error) { return d.Svc.Take(x, c.id, q.HolderID, h) }))
 }
 
 func (d *Core) renew(c call, q lockReq) verdict {
@@ -174,13 +175,13 @@
 	if !good || q.HolderID == "" {
 		return verdict{out: malformed, why: "holderId, fenceNo and a holdS above 0 are wanted"}
 	}
-	return granted(at(d, c, d.Svc.Shard(c.id), func(x context.Context) (numbering.Grant, error) {
+	return granted(at(d, c, d.Svc.Shard(c.id), func(x context.Context) (coordination.Grant, error) {
 		return d.Svc.Renew(x, c.id, q.HolderID, q.FenceNo, h)
 	}))
 }
 
 func (d *Core) drop(c call, q lockReq) verdict {
-	_, v, done := at(d, c, d.Svc.Shard(c.id), func(x context.Context) (numbering.Grant, error) {
+	_, v, done := at(d, c, d.Svc.Shard(c.id), func(x context.Context) (coordination.Grant, error) {
 		return d.Svc.Release(x, c.id, q.HolderID, q.FenceNo)
 	})
 	if !done {
@@ -201,24 +202,24 @@
 	if q.Payload == nil {
 		return verdict{out: malformed, why: "payload is wanted"}
 	}
-	r, v, done := at(d, c, d.Svc.Shard(numbering.GroupOf(c.id)), func(x context.Context) (numbering.Cell, error) {
+	r, v, done := at(d, c, d.Svc.Shard(coordination.GroupOf(c.id)), func(x context.Context) (coordination.Cell, error) {
 		return d.Svc.Put(x, c.id, *q.Payload, q.Topic)
 	})
 	if !done {
 		return v
 	}
-	if r.Outcome == numbering.Moved {
+	if r.Outcome == coordination.Moved {
 		return verdict{out: moved, body: cellResp{r.Revision}}
 	}
 	return verdict{body: cellResp{r.Revision}}
 }
 
 func (d *Core) get(c call, _ none) verdict {
-	r, v, done := at(d, c, d.Svc.Shard(numbering.GroupOf(c.id)), func(x context.Context) (numbering.Cell, error) { return d.Svc.Get(x, c.id) })
+	r, v, done := at(d, c, d.Svc.Shard(coordination.GroupOf(c.id)), func(x context.Context) (coordination.Cell, error) { return d.Svc.Get(x, c.id) })
 	if !done {
 		return v
 	}
-	if r.Outcome == numbering.Absent {
+	if r.Outcome == coordination.Absent {
 		return verdict{out: absent}
 	}
 	return verdict{body: readResp{r.Payload, r.Revision}}
@@ -237,11 +238,11 @@
 		}
 	}
 	wait := min(time.Duration(ms)*time.Millisecond, watchMost)
-	e, v, done := at(d, c, d.Svc.Shard(c.id), func(x context.Context) (numbering.Events, error) { return d.Svc.Watch(x, c.id, after, wait) })
+	e, v, done := at(d, c, d.Svc.Shard(c.id), func(x context.Context) (coordination.Events, error) { return d.Svc.Watch(x, c.id, after, wait) })
 	if !done {
 		return v
 	}
-	if e.Outcome == numbering.Gone {
+	if e.Outcome == coordination.Gone {
 		return verdict{out: gone}
 	}
 	r := watchResp{EventList: []event{}, Revision: max(e.Revision, after)}
@@ -254,16 +255,16 @@
 // Configuration
 
 // ReadConfig gives an empty configuration where there is none that can be read.
-func ReadConfig(t exchange.Table) *trunk.Config {
+func ReadConfig(t replication.Table) *meshpb.Config {
 	c, err := decode(t.Blob(ConfigBlob))
 	if err != nil {
-		return &trunk.Config{}
+		return &meshpb.Config{}
 	}
 	return c
 }
 
-func decode(b *trunk.Blob) (*trunk.Config, error) {
-	c := &trunk.Config{}
+func decode(b *meshpb.Blob) (*meshpb.Config, error) {
+	c := &meshpb.Config{}
 	if err := proto.Unmarshal(b.GetData(), c); err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -271,8 +272,8 @@
 }
 
 func (d *Core) config(c call, _ none) verdict {
-	b, v, done := at(d, c, 0, func(ctx context.Context) (*trunk.Blob, error) {
-		return numbering.Run(ctx, d.Svc, 0, func(t *numbering.Table, _ time.Duration) (*trunk.Change, *trunk.Blob) {
+	b, v, done := at(d, c, 0, func(ctx context.Context) (*meshpb.Blob, error) {
+		return coordination.Run(ctx, d.Svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, *meshpb.Blob) {
 			return nil, t.Blob(ConfigBlob)
 		})
 	})
@@ -286,7 +287,7 @@
 	if err != nil {
 		return verdict{out: unsure}
 	}
-	doc, err := trunk.Unpack(x.Packed)
+	doc, err := rpc.Unpack(x.Packed)
 	if err != nil {
 		return verdict{out: unsure}
 	}
@@ -294,17 +295,17 @@
 }
 
 // doc reads a kept configuration, or takes the one read last if it is the same.
-func (d *Core) doc(c *trunk.Config) (dialplan.Doc, error) {
+func (d *Core) doc(c *meshpb.Config) (routeconfig.Doc, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.last.Version == c.Version {
 		return d.last, nil
 	}
-	b, err := trunk.Unpack(c.Packed)
+	b, err := rpc.Unpack(c.Packed)
 	if err != nil {
-		return dialplan.Doc{}, err
+		return routeconfig.Doc{}, err
 	}
-	x, err := dialplan.Read(b)
+	x, err := routeconfig.Read(b)
 	if err == nil {
 		d.last = x
 	}
@@ -320,40 +321,40 @@
 
 func newOrder(method string, on uint64, b []byte) order {
 	h := sha256.New()
-	io.WriteString(h, method+" "+dialplan.FormatVersion(on)+" ")
+	io.WriteString(h, method+" "+routeconfig.FormatVersion(on)+" ")
 	h.Write(b)
 	g := sha256.New()
 	io.WriteString(g, method+" ")
 	g.Write(b)
-	return order{on, h.Sum(nil)[:numbering.SumSize], g.Sum(nil)[:numbering.SumSize]}
+	return order{on, h.Sum(nil)[:coordination.SumSize], g.Sum(nil)[:coordination.SumSize]}
 }
 
-func (o order) standing(t *numbering.Table) standing {
+func (o order) standing(t *coordination.Table) standing {
 	return standing{t.Blob(ConfigBlob), t.Taken(o.sum) || t.Taken(o.bare), t.Forgotten()}
 }
 
 // look reads, in one step, whether the order was taken and what is in force.
 func (d *Core) look(ctx context.Context, o order) (standing, error) {
-	return numbering.RunAgain(ctx, d.Svc, 0, func(t *numbering.Table, _ time.Duration) (*trunk.Change, standing, bool) {
+	return coordination.RunAgain(ctx, d.Svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, standing, bool) {
 		s := o.standing(t)
 		return nil, s, s.taken
 	})
 }
 
 // decide takes the order if what it was checked against is still in force.
-func (d *Core) decide(ctx context.Context, o order, next *trunk.Blob) (standing, error) {
-	return numbering.RunAgain(ctx, d.Svc, 0, func(t *numbering.Table, _ time.Duration) (*trunk.Change, standing, bool) {
+func (d *Core) decide(ctx context.Context, o order, next *meshpb.Blob) (standing, error) {
+	return coordination.RunAgain(ctx, d.Svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, standing, bool) {
 		s := o.standing(t)
 		if s.taken || s.cur.GetVersion() != o.on {
 			return nil, s, s.taken
 		}
-		return &trunk.Change{Blob: next, Taken: &trunk.Taken{Version: next.Version, Sum: o.sum}}, standing{cur: next, taken: true}, false
+		return &meshpb.Change{Blob: next, Taken: &meshpb.Taken{Version: next.Version, Sum: o.sum}}, standing{cur: next, taken: true}, false
 	})
 }
 
 // standing is how an order stands against the configuration in force.
 type standing struct {
-	cur       *trunk.Blob
+	cur       *meshpb.Blob
 	taken     bool
 	forgotten uint64
 }
@@ -362,28 +363,28 @@
 	if s.taken {
 		return verdict{body: none{}}
 	}
-	return verdict{out: moved, why: "the configuration in force is " + dialplan.FormatVersion(s.cur.GetVersion())}
+	return verdict{out: moved, why: "the configuration in force is " + routeconfig.FormatVersion(s.cur.GetVersion())}
 }
 
 var errKept = Error.New("the configuration in force can't be read")
 
 func (d *Core) putConfig(w http.ResponseWriter, c call) {
-	d.change(w, c, func(b []byte) (uint64, func(*trunk.Config) (dialplan.Doc, error), error) {
-		doc, err := dialplan.Read(b)
-		return doc.Version, func(*trunk.Config) (dialplan.Doc, error) { return doc, nil }, err
+	d.change(w, c, func(b []byte) (uint64, func(*meshpb.Config) (routeconfig.Doc, error), error) {
+		doc, err := routeconfig.Read(b)
+		return doc.Version, func(*meshpb.Config) (routeconfig.Doc, error) { return doc, nil }, err
 	})
 }
 
 func (d *Core) patchConfig(w http.ResponseWriter, c call) {
-	d.change(w, c, func(b []byte) (uint64, func(*trunk.Config) (dialplan.Doc, error), error) {
-		p, err := dialplan.ReadPatch(b)
-		return p.Version, func(cur *trunk.Config) (dialplan.Doc, error) {
+	d.change(w, c, func(b []byte) (uint64, func(*meshpb.Config) (routeconfig.Doc, error), error) {
+		p, err := routeconfig.ReadPatch(b)
+		return p.Version, func(cur *meshpb.Config) (routeconfig.Doc, error) {
 			if cur.Version == 0 {
-				return dialplan.Doc{}, dialplan.Error.New("there is no configuration to change")
+				return routeconfig.Doc{}, routeconfig.Error.New("there is no configuration to change")
 			}
 			old, err := d.doc(cur)
 			if err != nil {
-				return dialplan.Doc{}, errKept
+				return routeconfig.Doc{}, errKept
 			}
 			return old.With(p)
 		}, err
@@ -392,11 +393,11 @@
 
 // keepSteps bounds the patches kept beside a configuration, by which any master
 // brings nodes on from the ones before.
-func keepSteps(st []*trunk.Step) []*trunk.Step {
+func keepSteps(st []*meshpb.Step) []*meshpb.Step {
 	size := 0
 	for i := len(st) - 1; i >= 0; i-- {
 		if size += len(st[i].Patch); size > mostSteps || len(st)-i > 24 {
-			return append([]*trunk.Step(nil), st[i+1:]...)
+			return append([]*meshpb.Step(nil), st[i+1:]...)
 		}
 	}
 	return st
@@ -432,7 +433,7 @@
 	}
 }
 
-func (d *Core) change(w http.ResponseWriter, c call, read func([]byte) (uint64, func(*trunk.Config) (dialplan.Doc, error), error)) {
+func (d *Core) change(w http.ResponseWriter, c call, read func([]byte) (uint64, func(*meshpb.Config) (routeconfig.Doc, error), error)) {
 	fin, room := d.admit(c.r)
 	if !room {
 		write(w, verdict{out: busy})
@@ -447,7 +448,7 @@
 		return
 	}
 	ctl.SetReadDeadline(time.Time{})
-	on, err := dialplan.ParseVersion(c.r.Header.Get("If-Match"))
+	on, err := routeconfig.ParseVersion(c.r.Header.Get("If-Match"))
 	if err != nil {
 		write(w, verdict{out: malformed, why: "If-Match: " + err.Error()})
 		return
@@ -486,12 +487,12 @@
 		return
 	}
 	if version <= on {
-		write(w, verdict{out: unprocessable, why: "stamp " + dialplan.FormatVersion(version) + " is not above " + dialplan.FormatVersion(on)})
+		write(w, verdict{out: unprocessable, why: "stamp " + routeconfig.FormatVersion(version) + " is not above " + routeconfig.FormatVersion(on)})
 		return
 	}
 	cur, err := decode(s.cur)
 	if err != nil {
-		cur = &trunk.Config{}
+		cur = &meshpb.Config{}
 	}
 	cur.Version = on
 	doc, err := make(cur)
@@ -508,7 +509,7 @@
 		write(w, verdict{out: unsure})
 		return
 	}
-	next := &trunk.Blob{Name: ConfigBlob, Data: data, Version: version}
+	next := &meshpb.Blob{Name: ConfigBlob, Data: data, Version: version}
 	s, v, done = at(d, c, 0, func(ctx context.Context) (standing, error) { return d.decide(ctx, o, next) })
 	if !done {
 		write(w, v)
@@ -526,11 +527,11 @@
 }
 
 // following is doc as it is kept, with the steps that lead to it.
-func (d *Core) following(cur *trunk.Config, doc dialplan.Doc) ([]byte, error) {
-	next := &trunk.Config{Version: doc.Version, Packed: trunk.Pack(doc.Write())}
+func (d *Core) following(cur *meshpb.Config, doc routeconfig.Doc) ([]byte, error) {
+	next := &meshpb.Config{Version: doc.Version, Packed: rpc.Pack(doc.Write())}
 	if cur.Version > 0 {
 		if old, err := d.doc(cur); err == nil {
-			next.Steps = keepSteps(append(cur.Steps, &trunk.Step{Base: cur.Version, Version: doc.Version, Patch: trunk.Pack(doc.Since(old))}))
+			next.Steps = keepSteps(append(cur.Steps, &meshpb.Step{Base: cur.Version, Version: doc.Version, Patch: rpc.Pack(doc.Since(old))}))
 		}
 	}
 	return proto.Marshal(next)
--- a/internal/desk/core_test.go
+++ b/internal/controlapi/core_test.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/exchange"
-	"corkcove/internal/numbering"
-	"corkcove/internal/trunk"
+	"corkcove/internal/coordination"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // A made core: real desks over real boards, on the clock of synctest, with
@@ -67,7 +67,7 @@
 // writer is one life's way to its shelf.
 type writer struct {
 	s  *shelf
-	l  *exchange.Loop
+	l  *replication.Loop
 	ch chan job
 }
 
@@ -101,8 +101,8 @@
 }
 
 type life struct {
-	l   *exchange.Loop
-	b   *exchange.Board
+	l   *replication.Loop
+	b   *replication.Board
 	d   *Core
 	end chan struct{}
 }
@@ -142,17 +142,17 @@
 
 func (m *member) start(first bool) {
 	w := m.w
-	var seeds []*trunk.Member
+	var seeds []*meshpb.Member
 	for _, x := range w.ms {
-		seeds = append(seeds, &trunk.Member{Addr: x.addr, Control: x.addr})
+		seeds = append(seeds, &meshpb.Member{Addr: x.addr, Control: x.addr})
 	}
-	l, end := exchange.NewLoop(), make(chan struct{})
+	l, end := replication.NewLoop(), make(chan struct{})
 	wr := writer{m.disk, l, make(chan job, 1<<16)}
 	w.wg.Go(func() { wr.run(end) })
-	s := numbering.NewService(l, 4)
-	b, err := exchange.New(exchange.Options{Me: &trunk.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, First: first, Shards: 4,
+	s := coordination.NewService(l, 4)
+	b, err := replication.New(replication.Options{Me: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, First: first, Shards: 4,
 		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 1 << 18,
-		NewTable: func() exchange.Table { return numbering.NewTable(20 * time.Second) },
+		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) },
 		NewID:    func() string { w.ids++; return fmt.Sprint("id", w.ids) },
 		Now:      func() time.Duration { return time.Since(w.t0) }, Rand: func(int) int { return 0 },
 		OnCommit: s.Committed}, tube{m, l}, wr, m.disk.read())
@@ -201,7 +201,7 @@
 			if !up {
 				continue
 			}
-			if own, _ := exchange.Ask(x.l, func() bool { _, own := x.b.Own(0); return own }); own {
+			if own, _ := replication.Ask(x.l, func() bool { _, own := x.b.Own(0); return own }); own {
 				return m
 			}
 		}
@@ -213,10 +213,10 @@
 
 type tube struct {
 	m *member
-	l *exchange.Loop
+	l *replication.Loop
 }
 
-func pass[Q, R proto.Message](x tube, to string, q Q, cb func(R), f func(exchange.Door, context.Context, Q) (R, error)) {
+func pass[Q, R proto.Message](x tube, to string, q Q, cb func(R), f func(replication.Door, context.Context, Q) (R, error)) {
 	q = proto.Clone(q).(Q)
 	x.m.w.wg.Go(func() {
 		ctx, stop := context.WithTimeout(context.Background(), 600*time.Millisecond)
@@ -230,7 +230,7 @@
 			x.l.Put(func() { cb(none) })
 			return
 		}
-		r, err := f(exchange.Door{Loop: t.l, Board: t.b}, ctx, q)
+		r, err := f(replication.Door{Loop: t.l, Board: t.b}, ctx, q)
 		if _, here = x.m.w.at(x.m.addr); err != nil || !here {
 			r = none
 		}
@@ -238,23 +238,23 @@
 	})
 }
 
-func (x tube) Lease(to *trunk.Member, q *trunk.LeaseReq, cb func(*trunk.LeaseResp)) {
-	pass(x, to.Addr, q, cb, exchange.Door.Hold)
+func (x tube) Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp)) {
+	pass(x, to.Addr, q, cb, replication.Door.Hold)
 }
-func (x tube) Copy(to *trunk.Member, q *trunk.CopyReq, cb func(*trunk.CopyResp)) {
-	pass(x, to.Addr, q, cb, exchange.Door.Copy)
+func (x tube) Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp)) {
+	pass(x, to.Addr, q, cb, replication.Door.Copy)
 }
-func (x tube) Ask(to *trunk.Member, q *trunk.AskReq, cb func(*trunk.AskResp)) {
-	pass(x, to.Addr, q, cb, exchange.Door.Ask)
+func (x tube) Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp)) {
+	pass(x, to.Addr, q, cb, replication.Door.Ask)
 }
-func (x tube) Hand(to *trunk.Member, q *trunk.HandReq, cb func(*trunk.HandResp)) {
-	pass(x, to.Addr, q, cb, exchange.Door.Hand)
+func (x tube) Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp)) {
+	pass(x, to.Addr, q, cb, replication.Door.Hand)
 }
-func (x tube) Enroll(to *trunk.Member, q *trunk.EnrollReq, cb func(*trunk.EnrollResp)) {
-	pass(x, to.Addr, q, cb, exchange.Door.Enroll)
+func (x tube) Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp)) {
+	pass(x, to.Addr, q, cb, replication.Door.Enroll)
 }
-func (x tube) Join(to string, q *trunk.JoinReq, cb func(*trunk.JoinResp)) {
-	pass(x, to, q, cb, exchange.Door.Join)
+func (x tube) Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp)) {
+	pass(x, to, q, cb, replication.Door.Join)
 }
 
 // sending is one call of the operator or of an application.
--- a/internal/desk/desk_test.go
+++ b/internal/controlapi/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"encoding/json"
@@ -12,31 +12,31 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/exchange"
-	"corkcove/internal/numbering"
-	"corkcove/internal/trunk"
+	"corkcove/internal/coordination"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc/meshpb"
 )
 
-type book struct{ l *exchange.Loop }
+type book struct{ l *replication.Loop }
 
 func (b book) Append(_ []byte, f func(error))       { go b.l.Put(func() { f(nil) }) }
 func (b book) Checkpoint(_ [][]byte, f func(error)) { go b.l.Put(func() { f(nil) }) }
 
 type office struct {
 	d *Core
-	l *exchange.Loop
+	l *replication.Loop
 }
 
 func open(t *testing.T) *office {
-	l := exchange.NewLoop()
+	l := replication.NewLoop()
 	t0 := time.Now()
-	me := &trunk.Member{Addr: "a", Control: "c"}
-	s := numbering.NewService(l, 4)
-	b, err := exchange.New(exchange.Options{Me: me, Seeds: []*trunk.Member{me}, First: true, Shards: 4,
+	me := &meshpb.Member{Addr: "a", Control: "c"}
+	s := coordination.NewService(l, 4)
+	b, err := replication.New(replication.Options{Me: me, Seeds: []*meshpb.Member{me}, First: true, Shards: 4,
 		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, LogBytes: 1 << 20,
-		NewTable: func() exchange.Table { return numbering.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
+		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
 		Now: func() time.Duration { return time.Since(t0) }, Rand: func(int) int { return 0 },
-		OnCommit: s.Committed}, exchange.Net{Loop: l}, book{l}, nil)
+		OnCommit: s.Committed}, replication.Net{Loop: l}, book{l}, nil)
 	qt.Assert(t, err, qt.IsNil)
 	s.Board = b
 	go l.Run(50*time.Millisecond, b.Tick)
--- a/internal/desk/forward_test.go
+++ b/internal/controlapi/forward_test.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"bufio"
--- a/internal/desk/orders_test.go
+++ b/internal/controlapi/orders_test.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"fmt"
@@ -14,14 +14,15 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/numbering"
-	"corkcove/internal/trunk"
+	"corkcove/internal/coordination"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const place = "/-/configuration"
 
-func version(n uint64) string { return dialplan.FormatVersion(n) }
+func version(n uint64) string { return routeconfig.FormatVersion(n) }
 
 func whole(n, on uint64, host string) sending {
 	on1 := version(on)
@@ -118,7 +119,7 @@
 			defer w.close()
 			os := day(12)
 			w.all(os, 200, "at first")
-			on, _ := dialplan.ParseVersion(w.inForce())
+			on, _ := routeconfig.ParseVersion(w.inForce())
 			for i, x := range []struct{ one, two sending }{
 				{whole(on+5, on, "one"), whole(on+5, on, "two")},
 				{part(on+9, on+5, "one"), part(on+9, on+5, "two")},
@@ -168,7 +169,7 @@
 
 func (w *room) inForce() string {
 	_, b := w.sure(0, sending{method: "GET", path: place})
-	d, err := dialplan.Read([]byte(b))
+	d, err := routeconfig.Read([]byte(b))
 	qt.Assert(w.t, err, qt.IsNil)
 	return version(d.Version)
 }
@@ -265,30 +266,30 @@
 // the configuration.
 func before(os []sending) *shelf {
 	s := &shelf{}
-	put := func(r *trunk.Record) {
+	put := func(r *meshpb.Record) {
 		b, _ := proto.Marshal(r)
 		s.recs = append(s.recs, b)
 	}
-	put(&trunk.Record{Identity: &trunk.Identity{Id: "founder-m0"}})
-	put(&trunk.Record{Membership: &trunk.Membership{Version: 1, Members: []*trunk.Member{{Id: "founder-m0", Addr: "m0", Control: "m0"}}}})
-	old := &trunk.TakenWithin{}
-	var doc dialplan.Doc
+	put(&meshpb.Record{Identity: &meshpb.Identity{Id: "founder-m0"}})
+	put(&meshpb.Record{Membership: &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "founder-m0", Addr: "m0", Control: "m0"}}}})
+	old := &meshpb.TakenWithin{}
+	var doc routeconfig.Doc
 	for i, o := range os {
 		if o.method == "PUT" {
-			doc, _ = dialplan.Read([]byte(o.body))
+			doc, _ = routeconfig.Read([]byte(o.body))
 		} else {
-			p, _ := dialplan.ReadPatch([]byte(o.body))
+			p, _ := routeconfig.ReadPatch([]byte(o.body))
 			doc, _ = doc.With(p)
 		}
-		old.Taken = append(old.Taken, &trunk.Taken{Version: doc.Version, Sum: bareSum(o)})
+		old.Taken = append(old.Taken, &meshpb.Taken{Version: doc.Version, Sum: bareSum(o)})
 		old.Taken = old.Taken[max(0, len(old.Taken)-256):]
-		a, _ := proto.Marshal(&trunk.Config{Version: doc.Version, Packed: trunk.Pack(doc.Write())})
+		a, _ := proto.Marshal(&meshpb.Config{Version: doc.Version, Packed: rpc.Pack(doc.Write())})
 		b, _ := proto.Marshal(old)
-		blob := &trunk.Blob{Name: "configuration", Data: append(a, b...), Version: doc.Version}
+		blob := &meshpb.Blob{Name: "configuration", Data: append(a, b...), Version: doc.Version}
 		if i == len(os)-5 {
-			put(&trunk.Record{State: &trunk.ShardState{Epoch: 1, Version: uint64(i), Blobs: []*trunk.Blob{blob}}})
+			put(&meshpb.Record{State: &meshpb.ShardState{Epoch: 1, Version: uint64(i), Blobs: []*meshpb.Blob{blob}}})
 		} else if i > len(os)-5 {
-			put(&trunk.Record{Entry: &trunk.Entry{Epoch: 1, Version: uint64(i), Change: &trunk.Change{Blob: blob}}})
+			put(&meshpb.Record{Entry: &meshpb.Entry{Epoch: 1, Version: uint64(i), Change: &meshpb.Change{Blob: blob}}})
 		}
 	}
 	return s
@@ -300,7 +301,7 @@
 			os := day(n)
 			disk := before(os)
 			w := furnish(t, 1, disk)
-			on, _ := dialplan.ParseVersion(w.inForce())
+			on, _ := routeconfig.ParseVersion(w.inForce())
 			known := os[max(0, n-4-256):]
 			w.all(known, 200, "after the upgrade")
 			for _, o := range os[:n-len(known)] {
@@ -323,7 +324,7 @@
 	for _, data := range [][]byte{{0xff}, {18, 1, 0xff}} {
 		synctest.Test(t, func(t *testing.T) {
 			disk := before(day(8))
-			b, _ := proto.Marshal(&trunk.Record{Entry: &trunk.Entry{Epoch: 1, Version: 8, Change: &trunk.Change{Blob: &trunk.Blob{Name: "configuration", Data: data, Version: 20}}}})
+			b, _ := proto.Marshal(&meshpb.Record{Entry: &meshpb.Entry{Epoch: 1, Version: 8, Change: &meshpb.Change{Blob: &meshpb.Blob{Name: "configuration", Data: data, Version: 20}}}})
 			disk.recs = append(disk.recs, b)
 			w := furnish(t, 1, disk)
 			defer w.close()
@@ -348,5 +349,5 @@
 
 func bareSum(o sending) []byte {
 	s := newOrder(o.method, 0, []byte(o.body)).bare
-	return append(s[:numbering.SumSize:numbering.SumSize], make([]byte, 16)...)
+	return append(s[:coordination.SumSize:coordination.SumSize], make([]byte, 16)...)
 }
--- a/internal/desk/outcome.go
+++ b/internal/controlapi/outcome.go
@@ -1,5 +1,5 @@
 // Package desk is the HTTP interface for the operator and for applications.
-package desk
+package controlapi
 
 import (
 	"bytes"
--- a/internal/desk/races_test.go
+++ b/internal/controlapi/races_test.go
@@ -1,4 +1,4 @@
-package desk
+package controlapi
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/dialplan"
+	"corkcove/internal/routeconfig"
 )
 
 var seeds = flag.Int64("seeds", 12, "how many worlds of operators and troubles to try")
@@ -109,7 +109,7 @@
 		var on uint64
 		floor := l.floor()
 		if c, b := w.once(w.ms[rng.Intn(len(w.ms))].addr, sending{method: "GET", path: place}); c == 200 {
-			d, err := dialplan.Read([]byte(b))
+			d, err := routeconfig.Read([]byte(b))
 			qt.Check(w.t, err, qt.IsNil)
 			on = d.Version
 		} else if c != 404 {
@@ -178,7 +178,7 @@
 			}
 			wg.Go(func() { w.trouble(rand.New(rand.NewSource(-seed)), end) })
 			wg.Wait()
-			in, _ := dialplan.ParseVersion(w.inForce())
+			in, _ := routeconfig.ParseVersion(w.inForce())
 			for o, v := range l.taken {
 				qt.Check(t, v <= in, qt.IsTrue, qt.Commentf("%s: %s was taken, %s is in force", l.name, version(v), version(in)))
 				c, _ := w.sure(int(seed), o)
--- a/internal/numbering/pins.go
+++ b/internal/coordination/pins.go
@@ -1,4 +1,4 @@
-package numbering
+package coordination
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 type pinKey struct{ key, service string }
@@ -30,14 +30,14 @@
 // BoundPins sets how long an unused pin is kept, and how many a shard keeps.
 func (t *Table) BoundPins(idle time.Duration, most int) { t.pins.idle, t.pins.most = idle, most }
 
-func (p *pins) apply(c *trunk.Pin, now time.Duration) {
+func (p *pins) apply(c *meshpb.Pin, now time.Duration) {
 	if len(p.by) >= p.most {
 		p.sweep(now)
 	}
 	p.put(c, now)
 }
 
-func (p *pins) put(c *trunk.Pin, at time.Duration) {
+func (p *pins) put(c *meshpb.Pin, at time.Duration) {
 	p.by[pinKey{c.Key, c.Service}] = pin{c.Endpoint, c.Why, c.Config, c.Moves, at}
 }
 
@@ -49,14 +49,14 @@
 	}
 }
 
-func (p *pins) dump(now time.Duration) []*trunk.Pin {
-	var out []*trunk.Pin
+func (p *pins) dump(now time.Duration) []*meshpb.Pin {
+	var out []*meshpb.Pin
 	for k, x := range p.by {
 		if now-x.at <= p.idle {
-			out = append(out, &trunk.Pin{Key: k.key, Service: k.service, Endpoint: x.endpoint, Why: x.why, Config: x.config, Moves: x.moves, AgeMs: ms(now - x.at)})
+			out = append(out, &meshpb.Pin{Key: k.key, Service: k.service, Endpoint: x.endpoint, Why: x.why, Config: x.config, Moves: x.moves, AgeMs: ms(now - x.at)})
 		}
 	}
-	slices.SortFunc(out, func(a, b *trunk.Pin) int {
+	slices.SortFunc(out, func(a, b *meshpb.Pin) int {
 		return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.Service, b.Service))
 	})
 	return out
@@ -72,14 +72,14 @@
 }
 
 // Resp is how a node is told of it.
-func (p Pinned) Resp() *trunk.PinResp {
-	return &trunk.PinResp{Ok: true, Service: p.Service, Endpoint: p.Endpoint, Moved: p.Moved, Full: p.Full, Why: p.Why}
+func (p Pinned) Resp() *meshpb.PinResp {
+	return &meshpb.PinResp{Ok: true, Service: p.Service, Endpoint: p.Endpoint, Moved: p.Moved, Full: p.Full, Why: p.Why}
 }
 
 // Pin gives the instance of a session: the one it has in a service that its
 // binding may use, or the one wanted, if it has none or is to leave the one
 // that the asker found it at.
-func (t *Table) Pin(q *trunk.PinReq, now time.Duration) (*trunk.Change, Pinned) {
+func (t *Table) Pin(q *meshpb.PinReq, now time.Duration) (*meshpb.Change, Pinned) {
 	p := &t.pins
 	last := time.Duration(-1 << 62)
 	var at pinKey
@@ -93,7 +93,7 @@
 	}
 	if found && (q.From == "" || cur.endpoint != q.From) {
 		if now-cur.at > p.idle/4 {
-			return &trunk.Change{Pin: &trunk.Pin{Key: at.key, Service: at.service, Endpoint: cur.endpoint, Why: cur.why, Config: cur.config, Moves: cur.moves}}, Pinned{Service: at.service, Endpoint: cur.endpoint, Why: cur.why}
+			return &meshpb.Change{Pin: &meshpb.Pin{Key: at.key, Service: at.service, Endpoint: cur.endpoint, Why: cur.why, Config: cur.config, Moves: cur.moves}}, Pinned{Service: at.service, Endpoint: cur.endpoint, Why: cur.why}
 		}
 		return nil, Pinned{Service: at.service, Endpoint: cur.endpoint, Why: cur.why}
 	}
@@ -106,11 +106,11 @@
 			return nil, Pinned{Full: true}
 		}
 	}
-	c := &trunk.Pin{Key: q.Key, Service: q.Service, Endpoint: q.Want, Why: q.Why, Config: q.Config}
+	c := &meshpb.Pin{Key: q.Key, Service: q.Service, Endpoint: q.Want, Why: q.Why, Config: q.Config}
 	if found {
 		c.From, c.Moves = cur.endpoint, cur.moves+1
 	}
-	return &trunk.Change{Pin: c}, Pinned{Service: q.Service, Endpoint: q.Want, Why: q.Why, Moved: found}
+	return &meshpb.Change{Pin: c}, Pinned{Service: q.Service, Endpoint: q.Want, Why: q.Why, Moved: found}
 }
 
 func (t *Table) Pins() int { return len(t.pins.by) }
@@ -118,6 +118,6 @@
 // PinShard is the shard that holds a session's pins.
 func (s *Service) PinShard(key string) int { return s.Shard("pin " + key) }
 
-func (s *Service) Pin(ctx context.Context, q *trunk.PinReq) (Pinned, error) {
-	return Run(ctx, s, s.PinShard(q.Key), func(t *Table, now time.Duration) (*trunk.Change, Pinned) { return t.Pin(q, now) })
+func (s *Service) Pin(ctx context.Context, q *meshpb.PinReq) (Pinned, error) {
+	return Run(ctx, s, s.PinShard(q.Key), func(t *Table, now time.Duration) (*meshpb.Change, Pinned) { return t.Pin(q, now) })
 }
--- a/internal/numbering/service.go
+++ b/internal/coordination/service.go
@@ -1,4 +1,4 @@
-package numbering
+package coordination
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/zeebo/errs"
 
-	"corkcove/internal/exchange"
-	"corkcove/internal/trunk"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("numbering")
@@ -24,14 +24,14 @@
 // Service serves locks, numbers, cells and watches from the shards that this
 // process owns. The watchers belong to the board's goroutine.
 type Service struct {
-	Loop   *exchange.Loop
-	Board  *exchange.Board
+	Loop   *replication.Loop
+	Board  *replication.Board
 	Shards int
 
 	watchers map[int][]*watcher
 }
 
-func NewService(l *exchange.Loop, shards int) *Service {
+func NewService(l *replication.Loop, shards int) *Service {
 	return &Service{Loop: l, Shards: shards, watchers: map[int][]*watcher{}}
 }
 
@@ -48,8 +48,8 @@
 
 // Run calls f on the shard's table; its answer comes back once it is safe. An
 // f that makes no change has done nothing: if it fails, it is ErrBusy.
-func Run[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*trunk.Change, R)) (R, error) {
-	return RunAgain(ctx, s, shard, func(t *Table, now time.Duration) (*trunk.Change, R, bool) {
+func Run[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R)) (R, error) {
+	return RunAgain(ctx, s, shard, func(t *Table, now time.Duration) (*meshpb.Change, R, bool) {
 		c, r := f(t, now)
 		return c, r, false
 	})
@@ -58,61 +58,61 @@
 // RunAgain is Run for what may come again: f also tells that it found the same
 // there from an earlier sending. That one may yet take effect while it isn't
 // safe, so failing to see it so is ErrUnsure.
-func RunAgain[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*trunk.Change, R, bool)) (R, error) {
-	o, ok := exchange.Later(ctx, s.Loop, func(reply func(out[R])) {
+func RunAgain[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R, bool)) (R, error) {
+	o, ok := replication.Later(ctx, s.Loop, func(reply func(out[R])) {
 		var r R
 		var found bool
-		s.Board.Do(shard, func(t exchange.Table, now time.Duration) (c *trunk.Change) {
+		s.Board.Do(shard, func(t replication.Table, now time.Duration) (c *meshpb.Change) {
 			c, r, found = f(t.(*Table), now)
 			return c
 		}, func(err error) {
-			if found && errors.Is(err, exchange.ErrBusy) {
-				err = exchange.ErrUnsure
+			if found && errors.Is(err, replication.ErrBusy) {
+				err = replication.ErrUnsure
 			}
 			reply(out[R]{r, err})
 		})
 	})
 	if !ok {
 		var r R
-		return r, exchange.ErrUnsure
+		return r, replication.ErrUnsure
 	}
 	return o.r, o.err
 }
 
 func (s *Service) Take(ctx context.Context, name, holder string, hold time.Duration) (Grant, error) {
-	return Run(ctx, s, s.Shard(name), func(t *Table, now time.Duration) (*trunk.Change, Grant) { return t.Take(name, holder, hold, now) })
+	return Run(ctx, s, s.Shard(name), func(t *Table, now time.Duration) (*meshpb.Change, Grant) { return t.Take(name, holder, hold, now) })
 }
 
 func (s *Service) Renew(ctx context.Context, name, holder string, fence uint64, hold time.Duration) (Grant, error) {
-	return Run(ctx, s, s.Shard(name), func(t *Table, now time.Duration) (*trunk.Change, Grant) {
+	return Run(ctx, s, s.Shard(name), func(t *Table, now time.Duration) (*meshpb.Change, Grant) {
 		return t.Renew(name, holder, fence, hold, now)
 	})
 }
 
 func (s *Service) Release(ctx context.Context, name, holder string, fence uint64) (Grant, error) {
-	return RunAgain(ctx, s, s.Shard(name), func(t *Table, _ time.Duration) (*trunk.Change, Grant, bool) {
+	return RunAgain(ctx, s, s.Shard(name), func(t *Table, _ time.Duration) (*meshpb.Change, Grant, bool) {
 		c, g := t.Release(name, holder, fence)
 		return c, g, c == nil
 	})
 }
 
 func (s *Service) Next(ctx context.Context, name string) (uint64, error) {
-	return Run(ctx, s, s.Shard(name), func(t *Table, _ time.Duration) (*trunk.Change, uint64) { return t.Next(name) })
+	return Run(ctx, s, s.Shard(name), func(t *Table, _ time.Duration) (*meshpb.Change, uint64) { return t.Next(name) })
 }
 
 func (s *Service) Put(ctx context.Context, name, payload string, on *uint64) (Cell, error) {
-	return RunAgain(ctx, s, s.Shard(GroupOf(name)), func(t *Table, now time.Duration) (*trunk.Change, Cell, bool) {
+	return RunAgain(ctx, s, s.Shard(GroupOf(name)), func(t *Table, now time.Duration) (*meshpb.Change, Cell, bool) {
 		c, r := t.Put(name, payload, on, now)
 		return c, r, c == nil && r.Outcome == Done
 	})
 }
 
 func (s *Service) Get(ctx context.Context, name string) (Cell, error) {
-	return Run(ctx, s, s.Shard(GroupOf(name)), func(t *Table, _ time.Duration) (*trunk.Change, Cell) { return nil, t.Get(name) })
+	return Run(ctx, s, s.Shard(GroupOf(name)), func(t *Table, _ time.Duration) (*meshpb.Change, Cell) { return nil, t.Get(name) })
 }
 
 func (s *Service) since(ctx context.Context, group string, after uint64) (Events, error) {
-	return Run(ctx, s, s.Shard(group), func(t *Table, _ time.Duration) (*trunk.Change, Events) { return nil, t.Since(group, after) })
+	return Run(ctx, s, s.Shard(group), func(t *Table, _ time.Duration) (*meshpb.Change, Events) { return nil, t.Since(group, after) })
 }
 
 // Watch answers as soon as the group has an event above after, or with none
@@ -126,7 +126,7 @@
 	w := &watcher{group: group, after: after}
 	wctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	o, ok := exchange.Later(wctx, s.Loop, func(reply func(out[Events])) {
+	o, ok := replication.Later(wctx, s.Loop, func(reply func(out[Events])) {
 		w.cb = func(e Events, err error) { reply(out[Events]{e, err}) }
 		s.watchers[sh] = append(s.watchers[sh], w)
 		s.ring(sh, w)
@@ -159,7 +159,7 @@
 	}
 	s.drop(sh, w)
 	var e Events
-	s.Board.Do(sh, func(t exchange.Table, _ time.Duration) *trunk.Change {
+	s.Board.Do(sh, func(t replication.Table, _ time.Duration) *meshpb.Change {
 		e = t.(*Table).Since(w.group, w.after)
 		return nil
 	}, func(err error) { w.cb(e, err) })
@@ -178,7 +178,7 @@
 	for _, w := range ws {
 		if !w.done {
 			w.done = true
-			w.cb(Events{}, exchange.ErrElsewhere)
+			w.cb(Events{}, replication.ErrElsewhere)
 		}
 	}
 }
--- a/internal/numbering/table.go
+++ b/internal/coordination/table.go
@@ -1,11 +1,11 @@
-package numbering
+package coordination
 
 import (
 	"sort"
 	"strings"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const block = 64
@@ -18,14 +18,14 @@
 }
 
 type event struct {
-	put *trunk.Put
+	put *meshpb.Put
 	at  time.Duration
 }
 
 type group struct {
 	rev   uint64
 	floor uint64
-	cells map[string]*trunk.Put
+	cells map[string]*meshpb.Put
 	past  []event
 }
 
@@ -38,7 +38,7 @@
 	nums   map[string]uint64
 	given  map[string]uint64
 	groups map[string]*group
-	blobs  map[string]*trunk.Blob
+	blobs  map[string]*meshpb.Blob
 	pins   pins
 	taken  taken
 }
@@ -55,7 +55,7 @@
 	t.nums = map[string]uint64{}
 	t.given = map[string]uint64{}
 	t.groups = map[string]*group{}
-	t.blobs = map[string]*trunk.Blob{}
+	t.blobs = map[string]*meshpb.Blob{}
 	t.pins.by = map[pinKey]pin{}
 	t.taken = taken{}
 }
@@ -70,13 +70,13 @@
 func (t *Table) group(n string) *group {
 	g := t.groups[n]
 	if g == nil {
-		g = &group{cells: map[string]*trunk.Put{}}
+		g = &group{cells: map[string]*meshpb.Put{}}
 		t.groups[n] = g
 	}
 	return g
 }
 
-func (t *Table) Apply(c *trunk.Change, now time.Duration) {
+func (t *Table) Apply(c *meshpb.Change, now time.Duration) {
 	if l := c.GetLock(); l != nil {
 		t.fences = max(t.fences, l.Fence)
 		if l.Free {
@@ -129,23 +129,23 @@
 
 func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-func (t *Table) Dump(now time.Duration) *trunk.ShardState {
-	s := &trunk.ShardState{Fences: t.fences}
+func (t *Table) Dump(now time.Duration) *meshpb.ShardState {
+	s := &meshpb.ShardState{Fences: t.fences}
 	for n, l := range t.locks {
 		left := max(l.until-now, 0)
 		h := max(l.hold, left)
-		s.Locks = append(s.Locks, &trunk.Lock{Name: n, Holder: l.holder, Fence: l.fence, HoldMs: ms(h + time.Millisecond - 1), AgeMs: ms(h - left)})
+		s.Locks = append(s.Locks, &meshpb.Lock{Name: n, Holder: l.holder, Fence: l.fence, HoldMs: ms(h + time.Millisecond - 1), AgeMs: ms(h - left)})
 	}
 	for n, h := range t.nums {
-		s.Numbers = append(s.Numbers, &trunk.Number{Name: n, High: h})
+		s.Numbers = append(s.Numbers, &meshpb.Number{Name: n, High: h})
 	}
 	for n, g := range t.groups {
-		o := &trunk.Group{Name: n, Revision: g.rev, Floor: g.floor}
+		o := &meshpb.Group{Name: n, Revision: g.rev, Floor: g.floor}
 		for _, p := range g.cells {
 			o.Cells = append(o.Cells, p)
 		}
 		for _, e := range g.past {
-			o.History = append(o.History, &trunk.Put{Name: e.put.Name, Payload: e.put.Payload, Revision: e.put.Revision, AgeMs: ms(now - e.at)})
+			o.History = append(o.History, &meshpb.Put{Name: e.put.Name, Payload: e.put.Payload, Revision: e.put.Revision, AgeMs: ms(now - e.at)})
 		}
 		s.Groups = append(s.Groups, o)
 	}
@@ -164,7 +164,7 @@
 // Load replaces the content. Ages are honoured when the state came straight
 // from another process; fresh restarts every hold and the history's age, as
 // after a read from disk.
-func (t *Table) Load(s *trunk.ShardState, now time.Duration, fresh bool) {
+func (t *Table) Load(s *meshpb.ShardState, now time.Duration, fresh bool) {
 	t.clear()
 	t.fences = s.Fences
 	age := func(v uint64) time.Duration {
@@ -187,7 +187,7 @@
 			g.cells[p.Name] = p
 		}
 		for _, p := range o.History {
-			g.past = append(g.past, event{&trunk.Put{Name: p.Name, Payload: p.Payload, Revision: p.Revision}, now - age(p.AgeMs)})
+			g.past = append(g.past, event{&meshpb.Put{Name: p.Name, Payload: p.Payload, Revision: p.Revision}, now - age(p.AgeMs)})
 		}
 	}
 	t.taken.load(s)
@@ -200,7 +200,7 @@
 	}
 }
 
-func (t *Table) Blob(n string) *trunk.Blob { return t.blobs[n] }
+func (t *Table) Blob(n string) *meshpb.Blob { return t.blobs[n] }
 
 type Outcome int
 
@@ -219,7 +219,7 @@
 	Fence   uint64
 }
 
-func (t *Table) Take(name, holder string, hold, now time.Duration) (*trunk.Change, Grant) {
+func (t *Table) Take(name, holder string, hold, now time.Duration) (*meshpb.Change, Grant) {
 	l, ok := t.locks[name]
 	if ok && now < l.until && l.holder != holder {
 		return nil, Grant{Outcome: Held}
@@ -228,26 +228,26 @@
 	if !ok || l.holder != holder || now >= l.until {
 		f = t.fences + 1
 	}
-	return &trunk.Change{Lock: &trunk.Lock{Name: name, Holder: holder, Fence: f, HoldMs: ms(hold)}}, Grant{Done, f}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: f, HoldMs: ms(hold)}}, Grant{Done, f}
 }
 
-func (t *Table) Renew(name, holder string, fence uint64, hold, now time.Duration) (*trunk.Change, Grant) {
+func (t *Table) Renew(name, holder string, fence uint64, hold, now time.Duration) (*meshpb.Change, Grant) {
 	l, ok := t.locks[name]
 	if !ok || l.holder != holder || l.fence != fence || now >= l.until {
 		return nil, Grant{Outcome: Lost}
 	}
-	return &trunk.Change{Lock: &trunk.Lock{Name: name, Holder: holder, Fence: fence, HoldMs: ms(hold)}}, Grant{Done, fence}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: fence, HoldMs: ms(hold)}}, Grant{Done, fence}
 }
 
-func (t *Table) Release(name, holder string, fence uint64) (*trunk.Change, Grant) {
+func (t *Table) Release(name, holder string, fence uint64) (*meshpb.Change, Grant) {
 	l, ok := t.locks[name]
 	if !ok || l.holder != holder || l.fence != fence {
 		return nil, Grant{Outcome: Done}
 	}
-	return &trunk.Change{Lock: &trunk.Lock{Name: name, Holder: holder, Fence: fence, Free: true}}, Grant{Outcome: Done}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: fence, Free: true}}, Grant{Outcome: Done}
 }
 
-func (t *Table) Next(name string) (*trunk.Change, uint64) {
+func (t *Table) Next(name string) (*meshpb.Change, uint64) {
 	h := t.nums[name]
 	n, ok := t.given[name]
 	if !ok {
@@ -258,7 +258,7 @@
 	if n <= h {
 		return nil, n
 	}
-	return &trunk.Change{Number: &trunk.Number{Name: name, High: n + block - 1}}, n
+	return &meshpb.Change{Number: &meshpb.Number{Name: name, High: n + block - 1}}, n
 }
 
 type Cell struct {
@@ -267,7 +267,7 @@
 	Revision uint64
 }
 
-func (t *Table) Put(name, payload string, on *uint64, now time.Duration) (*trunk.Change, Cell) {
+func (t *Table) Put(name, payload string, on *uint64, now time.Duration) (*meshpb.Change, Cell) {
 	g := t.group(GroupOf(name))
 	cur := g.cells[name]
 	if cur != nil && cur.Payload == payload {
@@ -282,7 +282,7 @@
 		return nil, Cell{Outcome: Moved, Revision: cur.GetRevision()}
 	}
 	r := g.rev + 1
-	return &trunk.Change{Put: &trunk.Put{Name: name, Payload: payload, Revision: r}}, Cell{Outcome: Done, Revision: r}
+	return &meshpb.Change{Put: &meshpb.Put{Name: name, Payload: payload, Revision: r}}, Cell{Outcome: Done, Revision: r}
 }
 
 func (t *Table) Get(name string) Cell {
@@ -297,7 +297,7 @@
 type Events struct {
 	Outcome  Outcome
 	Revision uint64
-	List     []*trunk.Put
+	List     []*meshpb.Put
 }
 
 func (t *Table) Since(name string, after uint64) Events {
--- a/internal/numbering/table_test.go
+++ b/internal/coordination/table_test.go
@@ -1,4 +1,4 @@
-package numbering
+package coordination
 
 import (
 	"testing"
--- a/internal/numbering/taken.go
+++ b/internal/coordination/taken.go
@@ -1,4 +1,4 @@
-package numbering
+package coordination
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
@@ -38,7 +38,7 @@
 	return false
 }
 
-func (k *taken) add(x *trunk.Taken) {
+func (k *taken) add(x *meshpb.Taken) {
 	n := len(k.versions)
 	if len(x.GetSum()) < SumSize || n > 0 && x.Version <= k.versions[n-1] {
 		return
@@ -50,12 +50,12 @@
 	}
 }
 
-func (k *taken) dump(s *trunk.ShardState) {
+func (k *taken) dump(s *meshpb.ShardState) {
 	s.TakenFloor = k.floor
 	s.TakenVersions, s.TakenSums = slices.Clip(k.versions), slices.Clip(k.sums)
 }
 
-func (k *taken) load(s *trunk.ShardState) {
+func (k *taken) load(s *meshpb.ShardState) {
 	k.floor = s.TakenFloor
 	if n := len(s.TakenVersions); n*SumSize == len(s.TakenSums) {
 		k.versions, k.sums = slices.Clip(s.TakenVersions), slices.Clip(s.TakenSums)
@@ -63,11 +63,11 @@
 }
 
 // read takes in what an earlier release kept inside the configuration.
-func (k *taken) read(b *trunk.Blob) {
+func (k *taken) read(b *meshpb.Blob) {
 	if b.Name != ConfigBlob {
 		return
 	}
-	var x trunk.TakenWithin
+	var x meshpb.TakenWithin
 	if (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(b.Data, &x) != nil {
 		return
 	}
--- a/internal/numbering/taken_test.go
+++ b/internal/coordination/taken_test.go
@@ -1,4 +1,4 @@
-package numbering
+package coordination
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 func sumOf(v uint64) []byte {
@@ -18,7 +18,7 @@
 
 func TestRecordOfOrdersIsBoundedAndItsDumpsStayAsTheyWere(t *testing.T) {
 	a, b := NewTable(20*time.Second), NewTable(20*time.Second)
-	take := func(t *Table, v uint64) { t.Apply(&trunk.Change{Taken: &trunk.Taken{Version: v, Sum: sumOf(v)}}, 0) }
+	take := func(t *Table, v uint64) { t.Apply(&meshpb.Change{Taken: &meshpb.Taken{Version: v, Sum: sumOf(v)}}, 0) }
 	const extra = 10
 	for v := uint64(1); v <= MostTaken; v++ {
 		take(a, 2*v)
@@ -53,7 +53,7 @@
 	for v := uint64(1); v <= MostTaken; v++ {
 		qt.Assert(t, c.Taken(sumOf(2*v)), qt.IsTrue)
 	}
-	for _, d := range []*trunk.ShardState{early, a.Dump(0), b.Dump(0)} {
+	for _, d := range []*meshpb.ShardState{early, a.Dump(0), b.Dump(0)} {
 		qt.Assert(t, len(d.TakenVersions), qt.Equals, MostTaken)
 		qt.Assert(t, len(d.TakenSums), qt.Equals, MostTaken*SumSize)
 	}
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,5 +1,5 @@
 // Package directory reads the platform's list of endpoints, page by page.
-package directory
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/go-faster/jx"
 	"github.com/zeebo/errs"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("directory")
@@ -71,8 +71,8 @@
 }
 
 // Read gives the whole list, or an error if any page is missing or broken.
-func (r *Reader) Read(ctx context.Context, may func() bool) ([]*trunk.Endpoint, error) {
-	var out []*trunk.Endpoint
+func (r *Reader) Read(ctx context.Context, may func() bool) ([]*meshpb.Endpoint, error) {
+	var out []*meshpb.Endpoint
 	seen, tokens := map[string]bool{}, map[string]bool{}
 	token := ""
 	for n := 0; n < mostPages; n++ {
@@ -130,7 +130,7 @@
 }
 
 type page struct {
-	rows []*trunk.Endpoint
+	rows []*meshpb.Endpoint
 	next string
 }
 
@@ -193,8 +193,8 @@
 	return out, nil
 }
 
-func row(cols []string, raw jx.Raw) (*trunk.Endpoint, error) {
-	e := &trunk.Endpoint{Sound: true}
+func row(cols []string, raw jx.Raw) (*meshpb.Endpoint, error) {
+	e := &meshpb.Endpoint{Sound: true}
 	i := 0
 	state := ""
 	if err := jx.DecodeBytes(raw).Arr(func(d *jx.Decoder) error {
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
--- a/internal/subscriber/illness.go
+++ b/internal/endpointagent/illness.go
@@ -1,4 +1,4 @@
-package subscriber
+package endpointagent
 
 import "time"
 
--- a/internal/subscriber/subscriber.go
+++ b/internal/endpointagent/subscriber.go
@@ -1,6 +1,6 @@
 // Package subscriber knows the endpoint beside this node: its life, its beats,
 // its drain, and how many requests it may be given at once.
-package subscriber
+package endpointagent
 
 import (
 	"container/heap"
--- a/internal/erlang/erlang.go
+++ b/internal/loadestimate/erlang.go
@@ -1,7 +1,7 @@
 // Package erlang estimates, before an endpoint is added or retired, which
 // requests would go to another one. It plays the measured flows through the
 // rules by which live nodes choose, with and without the change.
-package erlang
+package loadestimate
 
 import (
 	"container/heap"
@@ -12,9 +12,9 @@
 
 	"github.com/zeebo/errs"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("erlang")
@@ -24,12 +24,12 @@
 	Zone  string
 	Far   float64
 	Heavy float64
-	Flows []*trunk.Flow
+	Flows []*meshpb.Flow
 }
 
 type Change struct {
-	Retire string          `json:"retire,omitempty"`
-	Add    *trunk.Endpoint `json:"add,omitempty"`
+	Retire string           `json:"retire,omitempty"`
+	Add    *meshpb.Endpoint `json:"add,omitempty"`
 }
 
 // Row is one kind of request from one node towards one endpoint, a second.
@@ -80,7 +80,7 @@
 	Seed int64
 }
 
-func Run(os []Origin, es []*trunk.Endpoint, c Change, o Options) (Estimate, error) {
+func Run(os []Origin, es []*meshpb.Endpoint, c Change, o Options) (Estimate, error) {
 	after, err := apply(es, c)
 	if err != nil {
 		return Estimate{}, err
@@ -106,7 +106,7 @@
 	}
 	b, _ := play(os, ls, after, speed, o)
 	node := map[string]string{}
-	for _, e := range append(append([]*trunk.Endpoint{}, es...), after...) {
+	for _, e := range append(append([]*meshpb.Endpoint{}, es...), after...) {
 		node[e.Id] = e.Node
 	}
 	stays := map[string]bool{}
@@ -167,8 +167,8 @@
 
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
 
-func apply(es []*trunk.Endpoint, c Change) ([]*trunk.Endpoint, error) {
-	out := append([]*trunk.Endpoint{}, es...)
+func apply(es []*meshpb.Endpoint, c Change) ([]*meshpb.Endpoint, error) {
+	out := append([]*meshpb.Endpoint{}, es...)
 	if c.Retire != "" {
 		n := out[:0]
 		for _, e := range es {
@@ -216,7 +216,7 @@
 
 // usual is the speed of a service's endpoints, each counted once: a new one is
 // taken to be like that.
-func usual(es []*trunk.Endpoint, speed map[string]float64, service string) float64 {
+func usual(es []*meshpb.Endpoint, speed map[string]float64, service string) float64 {
 	sum, n := 0.0, 0.0
 	for _, e := range es {
 		if v, ok := speed[e.Id]; ok && e.Service == service {
@@ -264,7 +264,7 @@
 type turn struct {
 	at   float64
 	line int
-	seat switchboard.Seat
+	seat proxy.Seat
 	end  bool
 	t0   float64
 }
@@ -291,18 +291,18 @@
 }
 
 func heavy(kind string) bool {
-	k, ok := dialplan.KindOf(kind)
+	k, ok := routeconfig.KindOf(kind)
 	return ok && k.Heavy()
 }
 
-func play(os []Origin, ls []line, es []*trunk.Endpoint, speed map[string]float64, o Options) (map[cell]float64, map[string]float64) {
+func play(os []Origin, ls []line, es []*meshpb.Endpoint, speed map[string]float64, o Options) (map[cell]float64, map[string]float64) {
 	rng := rand.New(rand.NewSource(o.Seed + 1))
 	now := 0.0
-	var ps []*switchboard.Pools
+	var ps []*proxy.Pools
 	for _, x := range os {
-		p := switchboard.NewPools(x.Zone, x.Far, x.Heavy).Beside(x.Node)
+		p := proxy.NewPools(x.Zone, x.Far, x.Heavy).Beside(x.Node)
 		p.Draw(rng.Float64, func() int64 { return int64(now * 1e9) })
-		p.Set(&trunk.View{Version: 1, Endpoints: es})
+		p.Set(&meshpb.View{Version: 1, Endpoints: es})
 		ps = append(ps, p)
 	}
 	at := map[string]*place{}
--- a/internal/erlang/erlang_test.go
+++ b/internal/loadestimate/erlang_test.go
@@ -1,4 +1,4 @@
-package erlang
+package loadestimate
 
 import (
 	"fmt"
@@ -9,18 +9,18 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // live is a mesh in steps of a millisecond, with its own arrivals and its own
 // spread of work, so that an estimate is held against something else than
 // itself.
-func live(es []*trunk.Endpoint, speed map[string]float64, seed int64, span int) []Origin {
+func live(es []*meshpb.Endpoint, speed map[string]float64, seed int64, span int) []Origin {
 	rng := rand.New(rand.NewSource(seed))
 	type req struct {
 		o, b int
-		seat switchboard.Seat
+		seat proxy.Seat
 		left float64
 		t0   int
 	}
@@ -31,11 +31,11 @@
 	ks := []kind{{"browse", "pure", 30, 60}, {"pay", "effectful", 12, 110}}
 	zones := []string{"a", "b", "c", "a"}
 	now := int64(0)
-	var ps []*switchboard.Pools
+	var ps []*proxy.Pools
 	for _, s := range zones {
-		p := switchboard.NewPools(s, 1.3, 2.5)
+		p := proxy.NewPools(s, 1.3, 2.5)
 		p.Draw(rng.Float64, func() int64 { return now })
-		p.Set(&trunk.View{Version: 1, Endpoints: es})
+		p.Set(&meshpb.View{Version: 1, Endpoints: es})
 		ps = append(ps, p)
 	}
 	run, queue, work := map[string][]*req{}, map[string][]*req{}, map[string]float64{}
@@ -90,7 +90,7 @@
 			for id := range slots {
 				q := fmt.Sprint(o, " ", b, " ", id)
 				if n[q] > 0 {
-					x.Flows = append(x.Flows, &trunk.Flow{Binding: k.binding, Kind: k.kind, Service: "s", Endpoint: id, Node: node[id],
+					x.Flows = append(x.Flows, &meshpb.Flow{Binding: k.binding, Kind: k.kind, Service: "s", Endpoint: id, Node: node[id],
 						PerS: n[q] / (float64(span) * 0.75 / 1000), WorkMs: took[q] / n[q]})
 				}
 			}
@@ -100,10 +100,10 @@
 	return out
 }
 
-func four() ([]*trunk.Endpoint, map[string]float64) {
-	var es []*trunk.Endpoint
+func four() ([]*meshpb.Endpoint, map[string]float64) {
+	var es []*meshpb.Endpoint
 	for i, s := range []string{"a", "b", "c", "b"} {
-		es = append(es, &trunk.Endpoint{Id: fmt.Sprint("e", i), Service: "s", Zone: s, Slots: 8, State: "up", Node: fmt.Sprint("n", i), Inbound: "x"})
+		es = append(es, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", Zone: s, Slots: 8, State: "up", Node: fmt.Sprint("n", i), Inbound: "x"})
 	}
 	return es, map[string]float64{"e0": 0.7, "e1": 1, "e2": 1.4, "e3": 1, "e4": 1}
 }
@@ -113,7 +113,7 @@
 	before := live(es, sp, 1, 60000)
 	e, err := Run(before, es, Change{Retire: "n1"}, Options{Span: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
-	after := live(append(append([]*trunk.Endpoint{}, es[:1]...), es[2:]...), sp, 2, 60000)
+	after := live(append(append([]*meshpb.Endpoint{}, es[:1]...), es[2:]...), sp, 2, 60000)
 	for _, v := range Check(e, after) {
 		t.Logf("%+v", v)
 		qt.Check(t, math.Abs(v.Foretold-v.Measured) < 0.08, qt.IsTrue, qt.Commentf("%+v", v))
@@ -125,10 +125,10 @@
 func TestEstimateOfAnAdditionMatchesWhatMoved(t *testing.T) {
 	es, sp := four()
 	before := live(es, sp, 3, 60000)
-	add := &trunk.Endpoint{Id: "e4", Service: "s", Zone: "c", Slots: 8, State: "up", Node: "n4", Inbound: "x"}
+	add := &meshpb.Endpoint{Id: "e4", Service: "s", Zone: "c", Slots: 8, State: "up", Node: "n4", Inbound: "x"}
 	e, err := Run(before, es, Change{Add: add}, Options{Span: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
-	vs := Check(e, live(append(append([]*trunk.Endpoint{}, es...), add), sp, 4, 60000))
+	vs := Check(e, live(append(append([]*meshpb.Endpoint{}, es...), add), sp, 4, 60000))
 	qt.Assert(t, len(vs), qt.Equals, 2)
 	for _, v := range vs {
 		t.Logf("%+v", v)
@@ -140,7 +140,7 @@
 func TestNothingMovesWhereNothingChanges(t *testing.T) {
 	es, sp := four()
 	before := live(es, sp, 5, 30000)
-	idle := &trunk.Endpoint{Id: "z", Service: "other", Zone: "a", Slots: 1, State: "up", Node: "n9"}
+	idle := &meshpb.Endpoint{Id: "z", Service: "other", Zone: "a", Slots: 1, State: "up", Node: "n9"}
 	e, err := Run(before, append(es, idle), Change{Retire: "z"}, Options{Span: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
 	for _, s := range e.Sums {
--- a/internal/ringlog/buffer.go
+++ b/internal/logring/buffer.go
@@ -1,4 +1,4 @@
-package ringlog
+package logring
 
 // Buffer keeps the last things put in. Its user guards it.
 type Buffer[T any] struct {
--- a/internal/ringlog/ringlog.go
+++ b/internal/logring/ringlog.go
@@ -1,4 +1,4 @@
-package ringlog
+package logring
 
 import (
 	"fmt"
--- a/internal/hall/hall.go
+++ b/internal/meshtest/hall.go
@@ -1,6 +1,6 @@
 // Package hall is a mesh on made wires and a made clock, for tests: nodes with
 // the real filter chains, endpoints that keep a log of what they ran.
-package hall
+package meshtest
 
 import (
 	"bufio"
@@ -17,14 +17,14 @@
 	"sync/atomic"
 	"time"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/dialplan"
-	"corkcove/internal/numbering"
-	"corkcove/internal/subscriber"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/ticket"
-	"corkcove/internal/trunk"
+	"corkcove/internal/affinity"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/coordination"
+	"corkcove/internal/endpointagent"
+	"corkcove/internal/proxy"
+	"corkcove/internal/requestlog"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Wires is a network in memory: addresses lead to listeners over pipes.
@@ -144,13 +144,13 @@
 // Node is an outbound and, beside an endpoint, an inbound side.
 type Node struct {
 	Name    string
-	Pools   *switchboard.Pools
-	Cords   *cord.Cords
-	Tickets *ticket.Recorder
-	Plan    atomic.Pointer[dialplan.Table]
+	Pools   *proxy.Pools
+	Cords   *affinity.Cords
+	Tickets *requestlog.Recorder
+	Plan    atomic.Pointer[routeconfig.Table]
 	End     *Endpoint
-	Desk    *subscriber.Desk
-	Keys    *switchboard.KeyMeter
+	Desk    *endpointagent.Desk
+	Keys    *proxy.KeyMeter
 	zone    string
 }
 
@@ -161,25 +161,25 @@
 	// Silent makes the core answer no question about sessions.
 	Silent atomic.Bool
 	mu     sync.Mutex
-	pins   *numbering.Table
+	pins   *coordination.Table
 	t0     time.Time
-	view   *trunk.View
+	view   *meshpb.View
 	seq    uint64
 	ids    atomic.Int64
 	states map[string]string
-	hots   *supervisor.HotKeys
-	hot    []*trunk.HotKey
-	ho     supervisor.HotOptions
+	hots   *clustercontroller.HotKeys
+	hot    []*meshpb.HotKey
+	ho     clustercontroller.HotOptions
 }
 
 // Watch lets the mesh set widths for hot keys every quarter of a second, as a
 // master does, from what the nodes say each half second; it ends with the
 // context. Widths gives each view's to seen.
-func (m *Mesh) Watch(ctx context.Context, o supervisor.HotOptions, seen func([]*trunk.HotKey)) {
+func (m *Mesh) Watch(ctx context.Context, o clustercontroller.HotOptions, seen func([]*meshpb.HotKey)) {
 	m.mu.Lock()
-	m.ho, m.hots = o, supervisor.NewHotKeys(o)
+	m.ho, m.hots = o, clustercontroller.NewHotKeys(o)
 	m.mu.Unlock()
-	said := map[string][]*trunk.KeyRate{}
+	said := map[string][]*meshpb.KeyRate{}
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(250 * time.Millisecond)
 		m.mu.Lock()
@@ -204,12 +204,12 @@
 func (m *Mesh) TakeOver() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hots = supervisor.NewHotKeys(m.ho)
+	m.hots = clustercontroller.NewHotKeys(m.ho)
 	m.hots.Load(m.view.Hot, time.Since(m.t0))
 }
 
 // Hot gives the view's hot keys.
-func (m *Mesh) Hot() []*trunk.HotKey {
+func (m *Mesh) Hot() []*meshpb.HotKey {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Hot
@@ -223,7 +223,7 @@
 
 // New makes a node beside each endpoint.
 func New(es ...*Endpoint) *Mesh {
-	m := &Mesh{Wires: &Wires{ls: map[string]*listener{}}, pins: numbering.NewTable(time.Minute), t0: time.Now(), view: &trunk.View{Epoch: 1}}
+	m := &Mesh{Wires: &Wires{ls: map[string]*listener{}}, pins: coordination.NewTable(time.Minute), t0: time.Now(), view: &meshpb.View{Epoch: 1}}
 	for _, e := range es {
 		m.Add(e)
 	}
@@ -232,7 +232,7 @@
 }
 
 // Ask answers nodes' questions about sessions.
-func (m *Mesh) Ask(_ context.Context, q *trunk.PinReq) (*trunk.PinResp, error) {
+func (m *Mesh) Ask(_ context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
 	if m.Silent.Load() {
 		return nil, errors.New("no core answers")
 	}
@@ -249,22 +249,22 @@
 func (m *Mesh) Add(e *Endpoint) *Node {
 	n := &Node{Name: "node-" + e.ID, End: e, zone: e.Zone}
 	go e.serve(m.Wires.Listen("app-" + e.ID))
-	n.Desk = subscriber.New(subscriber.Options{Service: e.Service, Beat: time.Hour, Missed: 3, Queue: 1.5, Note: func(string, ...any) {}, Changed: func(subscriber.Life) {}})
-	n.Desk.Beat(subscriber.Beat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
-	in := switchboard.NewInbound(switchboard.InboundOptions{AppAddr: "app-" + e.ID, Desk: n.Desk, Line: switchboard.NewAppLine(m.Wires.Line(), m.Wires.Line()), Peek: 64 << 10})
+	n.Desk = endpointagent.New(endpointagent.Options{Service: e.Service, Beat: time.Hour, Missed: 3, Queue: 1.5, Note: func(string, ...any) {}, Changed: func(endpointagent.Life) {}})
+	n.Desk.Beat(endpointagent.Beat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
+	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Desk: n.Desk, Line: proxy.NewAppLine(m.Wires.Line(), m.Wires.Line()), Peek: 64 << 10})
 	go (&http.Server{Handler: in}).Serve(m.Wires.Listen("in-" + e.ID))
-	n.Pools = switchboard.NewPools(e.Zone, 2.2, 5).SlowStart(time.Second)
-	n.Keys = switchboard.NewKeyMeter(time.Now)
-	n.Tickets = ticket.New(1<<16, time.Hour, time.Now)
+	n.Pools = proxy.NewPools(e.Zone, 2.2, 5).SlowStart(time.Second)
+	n.Keys = proxy.NewKeyMeter(time.Now)
+	n.Tickets = requestlog.New(1<<16, time.Hour, time.Now)
 	conf := func() uint64 {
 		if p := n.Plan.Load(); p != nil {
 			return p.Version
 		}
 		return 0
 	}
-	n.Cords = cord.New(cord.Options{Ask: m.Ask, Now: time.Now, Config: conf, Settle: 300 * time.Millisecond, Touch: time.Minute, Idle: 10 * time.Minute, Most: 1 << 16})
-	bud := switchboard.NewBudget(Ratio, Slack, Window, n.Pools.Nodes, func() time.Duration { return time.Since(m.t0) + time.Hour })
-	out := switchboard.NewOutbound(switchboard.OutboundOptions{Service: e.Service, Pools: n.Pools, Plan: &n.Plan, Line: m.Wires.Line(), Budget: bud, Cords: n.Cords,
+	n.Cords = affinity.New(affinity.Options{Ask: m.Ask, Now: time.Now, Config: conf, Settle: 300 * time.Millisecond, Touch: time.Minute, Idle: 10 * time.Minute, Most: 1 << 16})
+	bud := proxy.NewBudget(Ratio, Slack, Window, n.Pools.Nodes, func() time.Duration { return time.Since(m.t0) + time.Hour })
+	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Pools: n.Pools, Plan: &n.Plan, Line: m.Wires.Line(), Budget: bud, Cords: n.Cords,
 		Tickets: n.Tickets, Keys: n.Keys, Ready: func() bool { return true }, Note: func(string, ...any) {}, Peek: 64 << 10})
 	go (&http.Server{Handler: out}).Serve(m.Wires.Listen("out-" + e.ID))
 	m.mu.Lock()
@@ -286,7 +286,7 @@
 	defer m.mu.Unlock()
 	m.seq++
 	m.states = states
-	v := &trunk.View{Epoch: 1, Version: m.seq, Nodes: uint32(len(m.Nodes)), Hot: m.hot}
+	v := &meshpb.View{Epoch: 1, Version: m.seq, Nodes: uint32(len(m.Nodes)), Hot: m.hot}
 	for _, n := range m.Nodes {
 		s := "up"
 		if x, ok := states[n.End.ID]; ok {
@@ -295,7 +295,7 @@
 		if s == "gone" {
 			continue
 		}
-		v.Endpoints = append(v.Endpoints, &trunk.Endpoint{Id: n.End.ID, Service: n.End.Service, Addr: "app-" + n.End.ID, Inbound: "in-" + n.End.ID, Node: n.Name,
+		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: n.End.ID, Service: n.End.Service, Addr: "app-" + n.End.ID, Inbound: "in-" + n.End.ID, Node: n.Name,
 			Zone: n.End.Zone, Slots: uint32(n.End.Slots), State: s, Sound: true})
 	}
 	m.view = v
@@ -309,9 +309,9 @@
 func (m *Mesh) Retire(id string) { m.Publish(map[string]string{id: "gone"}) }
 
 // Push brings a configuration to all nodes.
-func (m *Mesh) Push(d dialplan.Doc) {
+func (m *Mesh) Push(d routeconfig.Doc) {
 	for _, n := range m.Nodes {
-		n.Plan.Store(dialplan.Compile(d))
+		n.Plan.Store(routeconfig.Compile(d))
 		n.Tickets.Config(d.Version, d.Write)
 	}
 }
@@ -366,14 +366,14 @@
 }
 
 // Carried is what `replay save` would gather.
-func (m *Mesh) Carried() *trunk.Carried {
-	c := &trunk.Carried{Version: 1, SpanUs: time.Hour.Microseconds()}
+func (m *Mesh) Carried() *meshpb.Carried {
+	c := &meshpb.Carried{Version: 1, SpanUs: time.Hour.Microseconds()}
 	views, configs := map[uint64]bool{}, map[uint64]bool{}
 	for _, n := range m.Nodes {
 		r := n.Tickets.Report(time.Hour, 0, 1<<30)
 		r.Node, r.Zone, r.Service, r.Role = n.Name, n.zone, n.End.Service, "sidecar"
 		r.Ratio, r.Slack, r.WindowS, r.Far, r.Heavy = Ratio, Slack, Window.Seconds(), 2.2, 5
-		q := &trunk.PartsReq{}
+		q := &meshpb.PartsReq{}
 		for _, v := range r.Views {
 			if !views[v.Version] {
 				views[v.Version] = true
--- a/internal/hall/hot_test.go
+++ b/internal/meshtest/hot_test.go
@@ -1,4 +1,4 @@
-package hall
+package meshtest
 
 import (
 	"context"
@@ -14,16 +14,16 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/supervisor"
-	"corkcove/internal/trunk"
+	"corkcove/internal/clustercontroller"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // A crowd's rules: reads of a key, what is bought or paid under the same key,
 // and short checks, all at one service.
-func crowdRules(t *testing.T, key string) dialplan.Doc {
+func crowdRules(t *testing.T, key string) routeconfig.Doc {
 	t.Helper()
-	d, err := dialplan.Read([]byte(fmt.Sprintf(`{"stamp":"r1","resourceList":[
+	d, err := routeconfig.Read([]byte(fmt.Sprintf(`{"stamp":"r1","resourceList":[
 {"variant":"bindingList","metadata":{"name":"read"},"specification":{"hostname":"a","pathPrefix":"/read/","bindingKind":"pure","timeoutS":4,"targetS":0.6,"rank":2,"serviceName":"s","maxAttempts":2%s}},
 {"variant":"bindingList","metadata":{"name":"buy"},"specification":{"hostname":"a","pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":4,"targetS":0.8,"rank":1,"serviceName":"s","maxAttempts":3%s}},
 {"variant":"bindingList","metadata":{"name":"check"},"specification":{"hostname":"a","pathPrefix":"/check/","bindingKind":"pure","timeoutS":0.8,"targetS":0.25,"rank":1,"serviceName":"s","maxAttempts":2}},
@@ -42,7 +42,7 @@
 	busiest float64
 	homes   int
 	widths  []int
-	after   []*trunk.HotKey
+	after   []*meshpb.HotKey
 	twice   []string
 	lost    []string
 }
@@ -74,11 +74,11 @@
 		m := New(es...)
 		m.Push(crowdRules(t, keyed))
 		ctx, stop := context.WithCancel(context.Background())
-		o := supervisor.HotOptions{Share: 0.4, Most: 16, Width: 8, Fall: 3 * time.Second}
+		o := clustercontroller.HotOptions{Share: 0.4, Most: 16, Width: 8, Fall: 3 * time.Second}
 		if !spread {
 			o.Most = 0
 		}
-		go m.Watch(ctx, o, func(hs []*trunk.HotKey) {
+		go m.Watch(ctx, o, func(hs []*meshpb.HotKey) {
 			w := 1
 			for _, h := range hs {
 				w = max(w, int(h.Width))
--- a/internal/hall/session_test.go
+++ b/internal/meshtest/session_test.go
@@ -1,4 +1,4 @@
-package hall
+package meshtest
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/dialplan"
+	"corkcove/internal/affinity"
+	"corkcove/internal/routeconfig"
 )
 
 const rules = `{"stamp":"r%d","resourceList":[
@@ -28,8 +28,8 @@
 	alone = `{"serviceName":"desk","share":100}`
 )
 
-func doc(t *testing.T, version int, name string, timeout float64, split string) dialplan.Doc {
-	d, err := dialplan.Read(fmt.Appendf(nil, rules, version, name, timeout, split))
+func doc(t *testing.T, version int, name string, timeout float64, split string) routeconfig.Doc {
+	d, err := routeconfig.Read(fmt.Appendf(nil, rules, version, name, timeout, split))
 	qt.Assert(t, err, qt.IsNil)
 	return d
 }
@@ -134,7 +134,7 @@
 	return open, moves
 }
 
-func sessionKey(name string) string { return cord.Key("header X-Session", name) }
+func sessionKey(name string) string { return affinity.Key("header X-Session", name) }
 
 func TestChangeAmidThePeakMovesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -204,7 +204,7 @@
 				qt.Assert(t, r.Endpoint == "e1" && r.From.After(at.Add(10*time.Millisecond)), qt.IsFalse)
 			}
 			qt.Assert(t, hops, qt.Equals, 1)
-			qt.Assert(t, moves[k], qt.Equals, "e1 "+last+" "+cord.ByDrain)
+			qt.Assert(t, moves[k], qt.Equals, "e1 "+last+" "+affinity.ByDrain)
 			qt.Assert(t, open[k], qt.Equals, last)
 		}
 		qt.Assert(t, moved > 3, qt.IsTrue)
@@ -252,7 +252,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := house()
 		s := string(fmt.Appendf(nil, rules, 1, "buy", 4.0, alone))
-		d, err := dialplan.Read([]byte(strings.Replace(s, `,"sessionKey":"header X-Session"`, "", 1)))
+		d, err := routeconfig.Read([]byte(strings.Replace(s, `,"sessionKey":"header X-Session"`, "", 1)))
 		qt.Assert(t, err, qt.IsNil)
 		m.Push(d)
 		for i := range 20 {
