--- a/internal/switchboard/blame.go
+++ b/internal/proxy/blame.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // pace is how much longer than usual an endpoint took, 1 being usual; what was
@@ -81,17 +81,17 @@
 
 // Blames tells the master of the endpoints that answered this node badly, and
 // of what grey ones answered it.
-func (p *Pools) Blames() []*trunk.Blame {
+func (p *Pools) Blames() []*meshpb.Blame {
 	now := p.clock()
-	var out []*trunk.Blame
+	var out []*meshpb.Blame
 	for _, y := range p.cur.Load().by {
 		for _, r := range y.all {
 			g, b := r.blame.sum(now)
 			if b > 0 || r.grey && g > 0 {
-				out = append(out, &trunk.Blame{Endpoint: r.id, Good: g, Bad: b})
+				out = append(out, &meshpb.Blame{Endpoint: r.id, Good: g, Bad: b})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *trunk.Blame) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b *meshpb.Blame) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
--- a/internal/switchboard/budget.go
+++ b/internal/proxy/budget.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"sync"
--- a/internal/switchboard/common.go
+++ b/internal/proxy/common.go
@@ -1,6 +1,6 @@
 // Package switchboard carries requests: from a user agent to the outbound node,
 // to the inbound node beside an endpoint, to that endpoint.
-package switchboard
+package proxy
 
 import (
 	"errors"
--- a/internal/switchboard/course.go
+++ b/internal/proxy/course.go
@@ -1,10 +1,10 @@
-package switchboard
+package proxy
 
 import (
 	"slices"
 	"time"
 
-	"corkcove/internal/dialplan"
+	"corkcove/internal/routeconfig"
 )
 
 type result int
@@ -53,7 +53,7 @@
 type Course struct {
 	pools    *Pools
 	budget   *Budget
-	route    *dialplan.Route
+	route    *routeconfig.Route
 	to       string
 	heavy    bool
 	only     string
@@ -70,7 +70,7 @@
 	key      uint64
 }
 
-func NewCourse(p *Pools, b *Budget, route *dialplan.Route, to string, heavy bool) Course {
+func NewCourse(p *Pools, b *Budget, route *routeconfig.Route, to string, heavy bool) Course {
 	return Course{pools: p, budget: b, route: route, to: to, heavy: heavy}
 }
 
@@ -91,7 +91,7 @@
 			return r
 		}
 	}
-	r := c.pools.pick(want{service: c.to, heavy: c.heavy, up: c.heavy && c.route.Kind != dialplan.Download, pure: c.route.Kind.Repeatable(), aim: c.route.Target, tried: c.tried, wide: c.wide, key: c.key})
+	r := c.pools.pick(want{service: c.to, heavy: c.heavy, up: c.heavy && c.route.Kind != routeconfig.Download, pure: c.route.Kind.Repeatable(), aim: c.route.Target, tried: c.tried, wide: c.wide, key: c.key})
 	if r != nil {
 		c.tried = append(c.tried, r)
 	}
--- a/internal/switchboard/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"corkcove/internal/dialplan"
+	"corkcove/internal/routeconfig"
 )
 
 // reply is what became of one dispatch; a good one still holds its stream.
@@ -321,7 +321,7 @@
 	if !t.route.Kind.Repeatable() {
 		out[hdrOnce] = []string{"1"}
 	}
-	if t.route.Kind == dialplan.Download {
+	if t.route.Kind == routeconfig.Download {
 		out[hdrHeavy] = []string{heavyLong}
 		if short {
 			out[hdrHeavy] = []string{heavyShort}
--- a/internal/switchboard/flows.go
+++ b/internal/proxy/flows.go
@@ -1,11 +1,11 @@
-package switchboard
+package proxy
 
 import (
 	"sync"
 	"time"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/trunk"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
@@ -15,7 +15,7 @@
 
 type flow struct {
 	binding  string
-	kind     dialplan.Kind
+	kind     routeconfig.Kind
 	service  string
 	endpoint string
 	node     string
@@ -61,7 +61,7 @@
 }
 
 // Report gives the flows of the whole buckets that are past.
-func (f *Flows) Report() ([]*trunk.Flow, time.Duration) {
+func (f *Flows) Report() ([]*meshpb.Flow, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.turn()
@@ -79,9 +79,9 @@
 			sum[k] = count{s.n + c.n, s.took + c.took}
 		}
 	}
-	var out []*trunk.Flow
+	var out []*meshpb.Flow
 	for k, c := range sum {
-		out = append(out, &trunk.Flow{Binding: k.binding, Kind: k.kind.String(), Service: k.service, Endpoint: k.endpoint, Node: k.node, AimMs: uint64(k.aim / time.Millisecond),
+		out = append(out, &meshpb.Flow{Binding: k.binding, Kind: k.kind.String(), Service: k.service, Endpoint: k.endpoint, Node: k.node, AimMs: uint64(k.aim / time.Millisecond),
 			PerS: float64(c.n) / span.Seconds(), WorkMs: float64(c.took.Milliseconds()) / float64(c.n)})
 	}
 	return out, span
--- a/internal/switchboard/hot.go
+++ b/internal/proxy/hot.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	boom "github.com/tylertreat/BoomFilters"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // KeyHash is a key of a service as nodes and master name it; 0 is none.
@@ -62,7 +62,7 @@
 
 // heat takes the hot keys of a view. A key that has grown keeps its earlier
 // copies at their full share while the new ones come up.
-func (p *Pools) heat(v *trunk.View, n, old *pool) {
+func (p *Pools) heat(v *meshpb.View, n, old *pool) {
 	if len(v.Hot) == 0 {
 		return
 	}
@@ -161,7 +161,7 @@
 	panes [panes]*boom.TopK
 	at    int64
 	seen  map[uint64]meterKey
-	said  []*trunk.KeyRate
+	said  []*meshpb.KeyRate
 }
 
 type meterKey struct {
@@ -204,7 +204,7 @@
 
 // Rates gives the heaviest keys of the window, at rates so rounded that small
 // changes don't show. Same tells that nothing is new since the last call.
-func (m *KeyMeter) Rates() (out []*trunk.KeyRate, same bool) {
+func (m *KeyMeter) Rates() (out []*meshpb.KeyRate, same bool) {
 	if m == nil {
 		return nil, true
 	}
@@ -227,10 +227,10 @@
 	for k, n := range sum {
 		x := m.seen[k]
 		if r := float64(n) / span; r >= faintest && x.at > 0 {
-			out = append(out, &trunk.KeyRate{Key: k, PerS: rounded(r), WorkMs: uint32(rounded(float64(x.work.Milliseconds()))), Route: x.route, Service: x.service})
+			out = append(out, &meshpb.KeyRate{Key: k, PerS: rounded(r), WorkMs: uint32(rounded(float64(x.work.Milliseconds()))), Route: x.route, Service: x.service})
 		}
 	}
-	slices.SortFunc(out, func(a, b *trunk.KeyRate) int {
+	slices.SortFunc(out, func(a, b *meshpb.KeyRate) int {
 		return cmp.Or(cmp.Compare(b.PerS, a.PerS), cmp.Compare(a.Key, b.Key))
 	})
 	out = out[:min(len(out), heaviest)]
@@ -239,7 +239,7 @@
 			delete(m.seen, k)
 		}
 	}
-	same = slices.EqualFunc(out, m.said, func(a, b *trunk.KeyRate) bool { return a.Key == b.Key && a.PerS == b.PerS })
+	same = slices.EqualFunc(out, m.said, func(a, b *meshpb.KeyRate) bool { return a.Key == b.Key && a.PerS == b.PerS })
 	m.said = out
 	return out, same
 }
--- a/internal/switchboard/inbound.go
+++ b/internal/proxy/inbound.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"corkcove/internal/subscriber"
+	"corkcove/internal/endpointagent"
 )
 
 type InboundOptions struct {
@@ -19,7 +19,7 @@
 	// LinkMbps is what this machine's link takes, 0 if not known.
 	LinkMbps float64
 	Pacer    *Pacer
-	Desk     *subscriber.Desk
+	Desk     *endpointagent.Desk
 	Line     *AppLine
 	Note     func(f string, a ...any)
 	Peek     int
@@ -157,8 +157,8 @@
 	if h := v.r.Header.Get(hdrHeavy); h != "" && v.n.o.Pacer.behind(time.Now()) > fullLink[h] {
 		return v.say(sayBounced, "link")
 	}
-	free, why := v.n.o.Desk.Admit(v.ctx, v.life, subscriber.Place{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Due: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
-	if why != subscriber.None {
+	free, why := v.n.o.Desk.Admit(v.ctx, v.life, endpointagent.Place{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Due: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
+	if why != endpointagent.None {
 		return v.say(sayBounced, string(why))
 	}
 	v.free = sync.OnceFunc(free)
--- a/internal/switchboard/outbound.go
+++ b/internal/proxy/outbound.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/dialplan"
-	"corkcove/internal/ticket"
+	"corkcove/internal/affinity"
+	"corkcove/internal/requestlog"
+	"corkcove/internal/routeconfig"
 )
 
 type outcome int
@@ -54,13 +54,13 @@
 type OutboundOptions struct {
 	Service string
 	Pools   *Pools
-	Plan    *atomic.Pointer[dialplan.Table]
+	Plan    *atomic.Pointer[routeconfig.Table]
 	Line    http.RoundTripper
 	App     *AppLine
 	Budget  *Budget
 	Pacer   *Pacer
-	Cords   *cord.Cords
-	Tickets *ticket.Recorder
+	Cords   *affinity.Cords
+	Tickets *requestlog.Recorder
 	Keys    *KeyMeter
 	Ready   func() bool
 	Note    func(f string, a ...any)
@@ -135,8 +135,8 @@
 	w     http.ResponseWriter
 	r     *http.Request
 	t0    time.Time
-	plan  *dialplan.Table
-	route *dialplan.Route
+	plan  *routeconfig.Table
+	route *routeconfig.Route
 	to    string
 	due   time.Time
 	ctx   context.Context
@@ -245,7 +245,7 @@
 		return false
 	}
 	p, q, _ := strings.Cut(t.r.RequestURI, "?")
-	ok, err := t.route.Policy.Allows(dialplan.Asked{Method: t.r.Method, Path: p, Query: q, Caller: t.b.o.Service, BodyBytes: int(t.r.ContentLength), Header: t.rec.header(t.r.Header.Get)})
+	ok, err := t.route.Policy.Allows(routeconfig.Asked{Method: t.r.Method, Path: p, Query: q, Caller: t.b.o.Service, BodyBytes: int(t.r.ContentLength), Header: t.rec.header(t.r.Header.Get)})
 	if err != nil {
 		t.b.o.Note("policy of %s: %v", t.route.Name, err)
 	}
@@ -301,7 +301,7 @@
 }
 
 // Heavy tells that the bytes of a request or its answer are many.
-func Heavy(k dialplan.Kind, body int64) bool { return k.Heavy() || body > 16<<10 }
+func Heavy(k routeconfig.Kind, body int64) bool { return k.Heavy() || body > 16<<10 }
 
 func (t *trip) heavy() bool {
 	return Heavy(t.route.Kind, int64(len(t.body)))
--- a/internal/switchboard/plug.go
+++ b/internal/proxy/plug.go
@@ -1,12 +1,12 @@
-package switchboard
+package proxy
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"corkcove/internal/cord"
-	"corkcove/internal/dialplan"
+	"corkcove/internal/affinity"
+	"corkcove/internal/routeconfig"
 )
 
 // pasts remembers the services that each place was led to by the versions seen
@@ -16,7 +16,7 @@
 	m  map[string][]string
 }
 
-func (p *pasts) of(r *dialplan.Route, allowed []string) []string {
+func (p *pasts) of(r *routeconfig.Route, allowed []string) []string {
 	k := r.Host + r.Prefix
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 func (p *Pools) Sits(service, id string) (bool, string) {
 	y := p.cur.Load().by[service]
 	if y == nil {
-		return false, cord.ByEnd
+		return false, affinity.ByEnd
 	}
 	for _, r := range y.all {
 		if r.id != id {
@@ -46,9 +46,9 @@
 		if r.up && !r.drained.Load() {
 			return true, ""
 		}
-		return false, cord.ByDrain
+		return false, affinity.ByDrain
 	}
-	return false, cord.ByEnd
+	return false, affinity.ByEnd
 }
 
 func (p *Pools) Free(service string) []string {
@@ -88,7 +88,7 @@
 	if v == "" {
 		return ""
 	}
-	return cord.Key(k.String(), v)
+	return affinity.Key(k.String(), v)
 }
 
 // plug leads a session's request to the instance that knows the session.
@@ -105,13 +105,13 @@
 func (t *trip) seat() bool {
 	allowed := t.plan.Allowed(t.route)
 	service := t.to
-	if i, ok := t.route.Pick(cord.Draw(t.pinned)); ok {
+	if i, ok := t.route.Pick(affinity.Draw(t.pinned)); ok {
 		service = t.plan.Services[i].Name
 	}
-	q := cord.Ask{Key: t.pinned, Allowed: allowed, Service: service, Before: t.b.pasts.of(t.route, allowed)}
+	q := affinity.Ask{Key: t.pinned, Allowed: allowed, Service: service, Before: t.b.pasts.of(t.route, allowed)}
 	for {
 		p := t.b.o.Cords.Find(t.ctx, q, t.b.o.Pools)
-		if p.State != cord.Lease {
+		if p.State != affinity.Lease {
 			t.to, t.only, t.wait = p.Service, p.Endpoint, 0
 			return false
 		}
--- a/internal/switchboard/pool.go
+++ b/internal/proxy/pool.go
@@ -1,4 +1,4 @@
-package switchboard
+package proxy
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // remote is what this node knows of one endpoint. The fields set at its making
@@ -141,7 +141,7 @@
 	return out
 }
 
-func (p *Pools) Set(v *trunk.View) {
+func (p *Pools) Set(v *meshpb.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := &pool{version: v.Version, by: map[string]*party{}, nodes: int(v.Nodes)}
--- a/internal/switchboard/record.go
+++ b/internal/proxy/record.go
@@ -1,11 +1,11 @@
-package switchboard
+package proxy
 
 import (
 	"strings"
 	"sync"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // The words of a dispatch's fate, as records keep them.
@@ -26,7 +26,7 @@
 // record is the ticket of a request under way; a nil one notes nothing.
 type record struct {
 	mu sync.Mutex
-	t  *trunk.Ticket
+	t  *meshpb.Ticket
 	of func(string) float64
 }
 
@@ -36,7 +36,7 @@
 	}
 	b.o.Tickets.Begin()
 	r := t.r
-	return &record{of: b.o.Budget.Left, t: &trunk.Ticket{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
+	return &record{of: b.o.Budget.Left, t: &meshpb.Ticket{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
 		Caller: b.o.Service, Body: r.ContentLength}}
 }
 
@@ -87,7 +87,7 @@
 	if r == nil {
 		return
 	}
-	d := &trunk.Dispatch{Endpoint: to.id, Node: to.node, AtUs: at.Sub(t.t0).Microseconds(), TookUs: y.took.Microseconds(), Fate: fates[y.res], Service: t.to}
+	d := &meshpb.Dispatch{Endpoint: to.id, Node: to.node, AtUs: at.Sub(t.t0).Microseconds(), TookUs: y.took.Microseconds(), Fate: fates[y.res], Service: t.to}
 	if y.p != nil && y.res == answered {
 		d.Code = uint32(y.p.StatusCode)
 	}
--- a/internal/replay/file.go
+++ b/internal/replay/file.go
@@ -16,7 +16,8 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("replay")
@@ -62,25 +63,25 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	p := trunk.Pack(b)
+	p := rpc.Pack(b)
 	if err := w.put(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(p)))); err != nil {
 		return err
 	}
 	return w.put(p)
 }
 
-func (w *Writer) Node(n *trunk.TicketsResp) error {
+func (w *Writer) Node(n *meshpb.TicketsResp) error {
 	w.nodes++
 	w.tickets += uint64(len(n.Tickets))
 	return w.part(partNode, n)
 }
 
-func (w *Writer) View(v *trunk.View) error { return w.part(partView, v) }
+func (w *Writer) View(v *meshpb.View) error { return w.part(partView, v) }
 
-func (w *Writer) Config(d *trunk.ConfigDoc) error { return w.part(partConfig, d) }
+func (w *Writer) Config(d *meshpb.ConfigDoc) error { return w.part(partConfig, d) }
 
 // Close writes the tail; a file without one is cut short.
-func (w *Writer) Close(t *trunk.Tail) error {
+func (w *Writer) Close(t *meshpb.Tail) error {
 	t.Nodes, t.Tickets = w.nodes, w.tickets
 	if err := w.part(partTail, t); err != nil {
 		return err
@@ -90,7 +91,7 @@
 }
 
 // Write writes a whole record.
-func Write(w io.Writer, c *trunk.Carried) error {
+func Write(w io.Writer, c *meshpb.Carried) error {
 	x, err := NewWriter(w)
 	if err != nil {
 		return err
@@ -104,7 +105,7 @@
 	for _, d := range c.Configs {
 		err = errors.Join(err, x.Config(d))
 	}
-	return errors.Join(err, x.Close(&trunk.Tail{MadeUs: c.MadeUs, SpanUs: c.SpanUs, Silent: c.Silent}))
+	return errors.Join(err, x.Close(&meshpb.Tail{MadeUs: c.MadeUs, SpanUs: c.SpanUs, Silent: c.Silent}))
 }
 
 var errCut = Error.New("the file is cut short")
@@ -117,7 +118,7 @@
 }
 
 // ReadFrom reads a record part by part.
-func ReadFrom(r io.Reader) (*trunk.Carried, error) {
+func ReadFrom(r io.Reader) (*meshpb.Carried, error) {
 	sum := sha256.New()
 	in := io.TeeReader(r, sum)
 	head := make([]byte, len(magic))
@@ -130,8 +131,8 @@
 	case string(head) != magic:
 		return nil, Error.New("the file is of another version of corkcove's record")
 	}
-	c := &trunk.Carried{Version: version}
-	t := &trunk.Tail{}
+	c := &meshpb.Carried{Version: version}
+	t := &meshpb.Tail{}
 	for kind := byte(0); kind != partTail; {
 		if kind, err = readPart(in, c, t); err != nil {
 			return nil, err
@@ -159,7 +160,7 @@
 	return c, nil
 }
 
-func readPart(in io.Reader, c *trunk.Carried, t *trunk.Tail) (byte, error) {
+func readPart(in io.Reader, c *meshpb.Carried, t *meshpb.Tail) (byte, error) {
 	var h [5]byte
 	if _, err := io.ReadFull(in, h[:]); err != nil {
 		return 0, cut(err)
@@ -172,20 +173,20 @@
 	if _, err := io.CopyN(&p, in, int64(size)); err != nil {
 		return 0, cut(err)
 	}
-	b, err := trunk.Unpack(p.Bytes())
+	b, err := rpc.Unpack(p.Bytes())
 	if err != nil {
 		return 0, Error.New("the file was changed: a part can't be unpacked: %v", err)
 	}
 	var m proto.Message
 	switch h[0] {
 	case partNode:
-		x := &trunk.TicketsResp{}
+		x := &meshpb.TicketsResp{}
 		c.Nodes, m = append(c.Nodes, x), x
 	case partView:
-		x := &trunk.View{}
+		x := &meshpb.View{}
 		c.Views, m = append(c.Views, x), x
 	case partConfig:
-		x := &trunk.ConfigDoc{}
+		x := &meshpb.ConfigDoc{}
 		c.Configs, m = append(c.Configs, x), x
 	case partTail:
 		m = t
@@ -198,9 +199,9 @@
 	return h[0], nil
 }
 
-func Parse(b []byte) (*trunk.Carried, error) { return ReadFrom(bytes.NewReader(b)) }
+func Parse(b []byte) (*meshpb.Carried, error) { return ReadFrom(bytes.NewReader(b)) }
 
-func Read(path string) (*trunk.Carried, error) {
+func Read(path string) (*meshpb.Carried, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/replay/flag.go
+++ b/internal/replay/flag.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // What would happen to a request that must happen once, or must answer quickly.
@@ -42,7 +42,7 @@
 }
 
 // calledRoutes are those on which most requests are calls of endpoints.
-func calledRoutes(c *trunk.Carried, parents map[*trunk.Ticket]*trunk.Ticket) map[string]bool {
+func calledRoutes(c *meshpb.Carried, parents map[*meshpb.Ticket]*meshpb.Ticket) map[string]bool {
 	all, calls := map[string]int{}, map[string]int{}
 	for _, n := range c.Nodes {
 		for _, t := range n.Tickets {
@@ -59,12 +59,12 @@
 	return out
 }
 
-func (w watch) has(t *trunk.Ticket, f *Fare, once bool) bool {
+func (w watch) has(t *meshpb.Ticket, f *Fare, once bool) bool {
 	return once || w.called[t.Binding] || slices.Contains(w.named, t.Binding) || slices.Contains(w.named, f.Binding)
 }
 
 // harm gives what the new rules do to a watched request, and why.
-func harm(t *trunk.Ticket, verdicts []string, f *Fare, once bool, aim time.Duration) (what, why string) {
+func harm(t *meshpb.Ticket, verdicts []string, f *Fare, once bool, aim time.Duration) (what, why string) {
 	has := func(v string) bool { return slices.Contains(verdicts, v) }
 	switch {
 	case has(Doubled):
@@ -77,7 +77,7 @@
 		return SentTwice, fmt.Sprintf("kind %s lets it go on after it may have run: %s", f.Kind, strings.Join(at, ", "))
 	case has(Vanished):
 		return Dropped, fmt.Sprintf("ends with %d after %d ms, and whether it ran is not known%s", f.Code, f.TookMs, cutShort(t, f))
-	case has(Bounced) && !switchboard.Promises(f.Code):
+	case has(Bounced) && !proxy.Promises(f.Code):
 		return Dropped, fmt.Sprintf("answered %d by the system: %s", f.Code, ownAnswer(f))
 	case has(Bounced):
 		return Dropped, fmt.Sprintf("refused with %d; it has not run, and its sender is told so", f.Code)
@@ -91,7 +91,7 @@
 	return "", ""
 }
 
-func cutShort(t *trunk.Ticket, f *Fare) string {
+func cutShort(t *meshpb.Ticket, f *Fare) string {
 	if f.due > 0 && (t.DueUs == 0 || f.due < time.Duration(t.DueUs)*time.Microsecond) {
 		return fmt.Sprintf(" (the route's timeout is %d ms now)", f.due.Milliseconds())
 	}
@@ -100,9 +100,9 @@
 
 func ownAnswer(f *Fare) string {
 	switch {
-	case f.Code == switchboard.NoRoute.Code():
+	case f.Code == proxy.NoRoute.Code():
 		return "no route"
-	case f.Code == switchboard.Barred.Code():
+	case f.Code == proxy.Barred.Code():
 		return "the route's policy bars it"
 	case f.Code == 413:
 		return "its body is over the limit"
@@ -112,8 +112,8 @@
 
 // once tells that a request must not run twice under the rules it was carried
 // under.
-func once(t *trunk.Ticket, old, then *Fare) bool {
-	k, known := dialplan.KindOf(cmp.Or(t.Kind, old.Kind))
+func once(t *meshpb.Ticket, old, then *Fare) bool {
+	k, known := routeconfig.KindOf(cmp.Or(t.Kind, old.Kind))
 	return known && !k.Repeatable() || !known && then.Binding != "" && !then.kind.Repeatable()
 }
 
--- a/internal/replay/forecast.go
+++ b/internal/replay/forecast.go
@@ -11,8 +11,9 @@
 	"strings"
 	"time"
 
-	"corkcove/internal/dialplan"
-	"corkcove/internal/trunk"
+	"corkcove/internal/routeconfig"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const forecastVersion = 1
@@ -127,7 +128,7 @@
 
 // happened gathers how the flows of a record were carried under one
 // configuration.
-func happened(c *trunk.Carried, version uint64, byNode bool, settle time.Duration) (map[Flow]*Shares, int) {
+func happened(c *meshpb.Carried, version uint64, byNode bool, settle time.Duration) (map[Flow]*Shares, int) {
 	a := atlasOf(c)
 	out := map[Flow]*Shares{}
 	other := 0
@@ -161,7 +162,7 @@
 }
 
 // Matches tells whether the record was taken under the forecast's proposal.
-func (f Forecast) Matches(c *trunk.Carried) error {
+func (f Forecast) Matches(c *meshpb.Carried) error {
 	if f.Retries != nil {
 		for _, n := range c.Nodes {
 			if n.Ratio != f.Retries.Ratio || n.Slack != f.Retries.Slack || n.WindowS != f.Retries.Window.Seconds() {
@@ -175,11 +176,11 @@
 	}
 	var had []string
 	for _, d := range c.Configs {
-		b, err := trunk.Unpack(d.Packed)
+		b, err := rpc.Unpack(d.Packed)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		x, err := dialplan.Read(b)
+		x, err := routeconfig.Read(b)
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -187,15 +188,15 @@
 			if x.Sum() == f.Sum {
 				return nil
 			}
-			return Error.New("the forecast is of another proposal than the %s that is in force: their contents differ", dialplan.FormatVersion(f.Version))
+			return Error.New("the forecast is of another proposal than the %s that is in force: their contents differ", routeconfig.FormatVersion(f.Version))
 		}
-		had = append(had, dialplan.FormatVersion(d.Version))
+		had = append(had, routeconfig.FormatVersion(d.Version))
 	}
-	return Error.New("the forecast is of %s, which was not in force while the record was taken (%s)", dialplan.FormatVersion(f.Version), strings.Join(had, ", "))
+	return Error.New("the forecast is of %s, which was not in force while the record was taken (%s)", routeconfig.FormatVersion(f.Version), strings.Join(had, ", "))
 }
 
 // newest gives the newest configuration of a record.
-func newest(c *trunk.Carried) uint64 {
+func newest(c *meshpb.Carried) uint64 {
 	s := uint64(0)
 	for _, d := range c.Configs {
 		s = max(s, d.Version)
@@ -205,7 +206,7 @@
 
 // Compare holds a forecast against a record that was taken once the change was
 // live.
-func (f Forecast) Compare(c *trunk.Carried, b CompareBars) (*Compared, error) {
+func (f Forecast) Compare(c *meshpb.Carried, b CompareBars) (*Compared, error) {
 	if err := f.Matches(c); err != nil && !b.Any {
 		return nil, err
 	}
@@ -231,7 +232,7 @@
 		out.Requests += s.Requests
 	}
 	if out.Requests == 0 {
-		return nil, Error.New("the record has no request that was carried under %s", dialplan.FormatVersion(version))
+		return nil, Error.New("the record has no request that was carried under %s", routeconfig.FormatVersion(version))
 	}
 	known := map[Flow]bool{}
 	type pair struct {
--- a/internal/replay/shift.go
+++ b/internal/replay/shift.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Flow names requests that are told apart together: a route, its kind, and the
@@ -132,7 +132,7 @@
 	zone map[string]string
 }
 
-func atlasOf(c *trunk.Carried) atlas {
+func atlasOf(c *meshpb.Carried) atlas {
 	a := atlas{map[string]string{}, map[string]string{}}
 	for _, v := range c.Views {
 		for _, e := range v.Endpoints {
@@ -155,14 +155,14 @@
 }
 
 // reached tells that a dispatch came to an endpoint.
-func reached(f switchboard.Fate) bool { return f != switchboard.Bounced && f != switchboard.Unmet }
+func reached(f proxy.Fate) bool { return f != proxy.Bounced && f != proxy.Unmet }
 
 func (a atlas) played(f *Fare, zone string) way {
 	service, end, n := "", "", 0
 	for _, r := range f.Runs {
 		if reached(r.fate) {
 			n++
-			if end == "" || r.fate == switchboard.Ran {
+			if end == "" || r.fate == proxy.Ran {
 				service, end = r.Service, r.Endpoint
 			}
 		}
@@ -170,12 +170,12 @@
 	return a.way(service, end, zone, n)
 }
 
-func (a atlas) carried(t *trunk.Ticket, zone string) way {
+func (a atlas) carried(t *meshpb.Ticket, zone string) way {
 	service, end, n := "", "", 0
 	for _, d := range t.Dispatches {
-		if f, ok := switchboard.FateOf(d.Fate); ok && reached(f) {
+		if f, ok := proxy.FateOf(d.Fate); ok && reached(f) {
 			n++
-			if end == "" || f == switchboard.Ran {
+			if end == "" || f == proxy.Ran {
 				service, end = d.Service, d.Endpoint
 			}
 		}
@@ -194,14 +194,14 @@
 	m      map[Flow]*Shift
 }
 
-func (s *flows) origin(n *trunk.TicketsResp) string {
+func (s *flows) origin(n *meshpb.TicketsResp) string {
 	if s.byNode {
 		return n.Node
 	}
 	return n.Zone
 }
 
-func (s *flows) add(n *trunk.TicketsResp, t *trunk.Ticket, old, then *Fare) {
+func (s *flows) add(n *meshpb.TicketsResp, t *meshpb.Ticket, old, then *Fare) {
 	if then.quit || old.quit || t.AtUs < s.from {
 		return
 	}
--- a/internal/replay/verdict.go
+++ b/internal/replay/verdict.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"corkcove/internal/switchboard"
-	"corkcove/internal/trunk"
+	"corkcove/internal/proxy"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // What would become of a request.
@@ -104,7 +104,7 @@
 
 // faults judges one playing of a request. Whether it may run twice was decided
 // by the rules it was carried under, and is not changed by calling it pure.
-func faults(t *trunk.Ticket, f *Fare, once bool, aim time.Duration) map[string]bool {
+func faults(t *meshpb.Ticket, f *Fare, once bool, aim time.Duration) map[string]bool {
 	out := map[string]bool{}
 	if f.quit {
 		return out
@@ -115,7 +115,7 @@
 		if !r.may() {
 			continue
 		}
-		if r.fate == switchboard.Ran {
+		if r.fate == proxy.Ran {
 			ran++
 		} else {
 			unsure++
@@ -126,7 +126,7 @@
 		out[Doubled] = true
 	}
 	good := f.Code >= 200 && f.Code < 500 && f.answered
-	if !good && ran == 0 && !switchboard.Promises(f.Code) && !(f.Code >= 400 && f.Code < 500) {
+	if !good && ran == 0 && !proxy.Promises(f.Code) && !(f.Code >= 400 && f.Code < 500) {
 		out[Vanished] = true
 	}
 	switch {
@@ -155,7 +155,7 @@
 
 // coverage tells how much of the span the record has, node by node; one that
 // did not answer has nothing.
-func (r *Report) coverage(c *trunk.Carried) {
+func (r *Report) coverage(c *meshpb.Carried) {
 	kept := 0.0
 	for _, n := range c.Nodes {
 		span := float64(min(c.SpanUs, max(n.NowUs-n.BeganUs, 1)))
@@ -172,7 +172,7 @@
 }
 
 // start is when the record's first request began.
-func start(c *trunk.Carried) int64 {
+func start(c *meshpb.Carried) int64 {
 	first := int64(1 << 62)
 	for _, n := range c.Nodes {
 		for _, t := range n.Tickets {
@@ -184,7 +184,7 @@
 
 // Play plays the record under the old rules and under the new ones, and tells
 // what differs.
-func Play(c *trunk.Carried, r Rules, b Bars) (*Report, error) {
+func Play(c *meshpb.Carried, r Rules, b Bars) (*Report, error) {
 	was, err := newWorld(c, Rules{Seed: r.Seed})
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 	type sumKey struct{ b, k, n string }
 	sums := map[sumKey]*Sum{}
 	sessions := map[string]bool{}
-	runsAt := func(w *world, p *trunk.Ticket, node string) bool {
+	runsAt := func(w *world, p *meshpb.Ticket, node string) bool {
 		if p == nil {
 			return true
 		}
@@ -326,7 +326,7 @@
 // seed plugs sessions in where the record has them first.
 func (w *world) seed() {
 	type at struct{ key, service string }
-	first := map[at]*trunk.Ticket{}
+	first := map[at]*meshpb.Ticket{}
 	for _, n := range w.c.Nodes {
 		for _, t := range n.Tickets {
 			if t.Session == "" || len(t.Dispatches) == 0 {
@@ -339,8 +339,8 @@
 		}
 	}
 	for k, t := range first {
-		p := &trunk.Pin{Key: k.key, Service: k.service, Endpoint: t.Dispatches[0].Endpoint, Config: t.Config}
-		w.pins.Apply(&trunk.Change{Pin: p}, time.Hour)
+		p := &meshpb.Pin{Key: k.key, Service: k.service, Endpoint: t.Dispatches[0].Endpoint, Config: t.Config}
+		w.pins.Apply(&meshpb.Change{Pin: p}, time.Hour)
 		for _, n := range w.nodes {
 			n.cords.Known(p.Key, p.Service, p.Endpoint)
 		}
@@ -349,7 +349,7 @@
 
 // same tells whether the playing under the old rules gave back what was
 // recorded.
-func same(t *trunk.Ticket, f *Fare) bool {
+func same(t *meshpb.Ticket, f *Fare) bool {
 	if f.quit {
 		return true
 	}
@@ -377,7 +377,7 @@
 	return true
 }
 
-func nodesOf(c *trunk.Carried) map[string]string {
+func nodesOf(c *meshpb.Carried) map[string]string {
 	out := map[string]string{}
 	for _, v := range c.Views {
 		for _, e := range v.Endpoints {
@@ -389,7 +389,7 @@
 
 // firsthand tells which deadlines of a binding user agents ask with: those come
 // again and again, while a call has what is left of its parent's.
-func firsthand(c *trunk.Carried) func(*trunk.Ticket) bool {
+func firsthand(c *meshpb.Carried) func(*meshpb.Ticket) bool {
 	type ask struct {
 		binding string
 		ms      int64
@@ -401,7 +401,7 @@
 			same[ask{t.Binding, t.DeadlineUs / 1000}]++
 		}
 	}
-	return func(t *trunk.Ticket) bool {
+	return func(t *meshpb.Ticket) bool {
 		n := same[ask{t.Binding, t.DeadlineUs / 1000}]
 		return n >= 3 && 10*n >= all[t.Binding]
 	}
@@ -409,9 +409,9 @@
 
 // join finds the parent of each call that an endpoint made: the one request
 // that its endpoint was at work on then, and that ends with the same deadline.
-func join(c *trunk.Carried, nodeOf map[string]string) map[*trunk.Ticket]*trunk.Ticket {
+func join(c *meshpb.Carried, nodeOf map[string]string) map[*meshpb.Ticket]*meshpb.Ticket {
 	type work struct {
-		t        *trunk.Ticket
+		t        *meshpb.Ticket
 		from, to int64
 		due      int64
 	}
@@ -427,14 +427,14 @@
 	}
 	const slack = int64(25 * time.Millisecond / time.Microsecond)
 	own := firsthand(c)
-	out := map[*trunk.Ticket]*trunk.Ticket{}
+	out := map[*meshpb.Ticket]*meshpb.Ticket{}
 	for _, n := range c.Nodes {
 		ws := at[n.Node]
 		for _, t := range n.Tickets {
 			if own(t) {
 				continue
 			}
-			var found *trunk.Ticket
+			var found *meshpb.Ticket
 			many := false
 			for _, w := range ws {
 				if w.t == t || t.AtUs < w.from || t.AtUs > w.to || t.DeadlineUs == 0 {
--- a/internal/exchange/board.go
+++ b/internal/replication/board.go
@@ -1,6 +1,6 @@
 // Package exchange keeps the shards of the control state: who owns each, under
 // which epoch, and where its copies are.
-package exchange
+package replication
 
 import (
 	"slices"
@@ -10,7 +10,7 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("exchange")
@@ -22,22 +22,22 @@
 )
 
 type Table interface {
-	Apply(*trunk.Change, time.Duration)
-	Dump(time.Duration) *trunk.ShardState
-	Load(*trunk.ShardState, time.Duration, bool)
+	Apply(*meshpb.Change, time.Duration)
+	Dump(time.Duration) *meshpb.ShardState
+	Load(*meshpb.ShardState, time.Duration, bool)
 	Lead()
-	Blob(string) *trunk.Blob
+	Blob(string) *meshpb.Blob
 }
 
 // Wire carries calls to other members. Each callback runs on the board's
 // goroutine; a nil answer means that no answer came.
 type Wire interface {
-	Lease(to *trunk.Member, q *trunk.LeaseReq, cb func(*trunk.LeaseResp))
-	Copy(to *trunk.Member, q *trunk.CopyReq, cb func(*trunk.CopyResp))
-	Ask(to *trunk.Member, q *trunk.AskReq, cb func(*trunk.AskResp))
-	Hand(to *trunk.Member, q *trunk.HandReq, cb func(*trunk.HandResp))
-	Enroll(to *trunk.Member, q *trunk.EnrollReq, cb func(*trunk.EnrollResp))
-	Join(to string, q *trunk.JoinReq, cb func(*trunk.JoinResp))
+	Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp))
+	Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp))
+	Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp))
+	Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp))
+	Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp))
+	Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp))
 }
 
 // Book keeps records. Each callback runs on the board's goroutine, in the
@@ -48,8 +48,8 @@
 }
 
 type Options struct {
-	Me           *trunk.Member
-	Seeds        []*trunk.Member
+	Me           *meshpb.Member
+	Seeds        []*meshpb.Member
 	First        bool
 	Shards       int
 	Lease        time.Duration
@@ -64,8 +64,8 @@
 	Note         func(f string, a ...any)
 	OnOwner      func(shard int, own bool, epoch uint64)
 	OnCommit     func(shard int)
-	OnMembership func(*trunk.Membership)
-	OnStep       func(step string, shard int, epoch, version uint64, c *trunk.Change)
+	OnMembership func(*meshpb.Membership)
+	OnStep       func(step string, shard int, epoch, version uint64, c *meshpb.Change)
 }
 
 type role int
@@ -97,7 +97,7 @@
 	leasedUntil time.Duration
 	// log holds the last entries that led to version, past where earlier epochs
 	// ended in it.
-	log  []*trunk.Entry
+	log  []*meshpb.Entry
 	size int
 	past []span
 	// mark is what the owner last said to be committed, fresh when the one before
@@ -121,7 +121,7 @@
 	begun      time.Duration
 	asked      uint64
 	oks        map[string]bool
-	best       *trunk.ShardState
+	best       *meshpb.ShardState
 	bestAt     uint64
 	bestSt     uint64
 	commit     uint64
@@ -141,7 +141,7 @@
 
 // peer is what is known of another member, or of a learner.
 type peer struct {
-	m       *trunk.Member
+	m       *meshpb.Member
 	heard   time.Duration
 	ever    bool
 	sound   bool
@@ -173,8 +173,8 @@
 	o          Options
 	wire       Wire
 	book       Book
-	me         *trunk.Member
-	membership *trunk.Membership
+	me         *meshpb.Member
+	membership *meshpb.Membership
 	shards     []*shard
 	peers      map[string]*peer
 	// line are the peers in the order of the membership, learners those that
@@ -200,9 +200,9 @@
 	alone time.Duration
 
 	enrolled map[string]bool
-	prior    *trunk.Membership
+	prior    *meshpb.Membership
 	joinAt   time.Duration
-	more     []*trunk.Member
+	more     []*meshpb.Member
 	gone     bool
 	urgent   bool
 	settles  []uint64
@@ -214,14 +214,14 @@
 }
 
 func New(o Options, w Wire, bk Book, recs [][]byte) (*Board, error) {
-	b := &Board{o: o, wire: w, book: bk, me: proto.Clone(o.Me).(*trunk.Member), peers: map[string]*peer{},
+	b := &Board{o: o, wire: w, book: bk, me: proto.Clone(o.Me).(*meshpb.Member), peers: map[string]*peer{},
 		settles: make([]uint64, o.Shards), first: o.First, started: o.Now(), starved: -1 << 40}
 	for i := 0; i < o.Shards; i++ {
 		b.shards = append(b.shards, &shard{ix: i, table: o.NewTable()})
 	}
 	now := o.Now()
 	for _, r := range recs {
-		var rec trunk.Record
+		var rec meshpb.Record
 		if err := proto.Unmarshal(r, &rec); err != nil {
 			return nil, Error.Wrap(err)
 		}
@@ -238,9 +238,9 @@
 		}
 		if founder {
 			b.me.Id = "founder-" + o.Me.Addr
-			r := &trunk.Membership{Version: 1, Size: uint32(len(o.Seeds))}
+			r := &meshpb.Membership{Version: 1, Size: uint32(len(o.Seeds))}
 			for _, s := range o.Seeds {
-				m := proto.Clone(s).(*trunk.Member)
+				m := proto.Clone(s).(*meshpb.Member)
 				m.Id = "founder-" + s.Addr
 				r.Members = append(r.Members, m)
 			}
@@ -253,7 +253,7 @@
 		b.blank = true
 	}
 	if b.membership == nil {
-		b.membership = &trunk.Membership{}
+		b.membership = &meshpb.Membership{}
 	}
 	b.first = b.first && !b.member()
 	for _, s := range b.shards {
@@ -267,7 +267,7 @@
 	return b, nil
 }
 
-func (b *Board) replay(r *trunk.Record, now time.Duration) {
+func (b *Board) replay(r *meshpb.Record, now time.Duration) {
 	if id := r.GetIdentity(); id != nil {
 		b.me.Id, b.first = id.Id, b.first || id.First
 	}
@@ -300,7 +300,7 @@
 	}
 }
 
-func inMembership(r *trunk.Membership, id string) bool {
+func inMembership(r *meshpb.Membership, id string) bool {
 	for _, m := range r.GetMembers() {
 		if m.Id == id {
 			return true
@@ -317,7 +317,7 @@
 	}
 }
 
-func (b *Board) step(step string, s *shard, epoch, version uint64, c *trunk.Change) {
+func (b *Board) step(step string, s *shard, epoch, version uint64, c *meshpb.Change) {
 	if b.o.OnStep != nil {
 		b.o.OnStep(step, s.ix, epoch, version, c)
 	}
@@ -400,13 +400,13 @@
 	return b.alive(id) && b.peers[id].sound
 }
 
-func (b *Board) head(p *peer) *trunk.Head {
-	return &trunk.Head{From: b.me, To: p.m.Id, Deaf: !b.inTouch(p), Membership: b.membership.Version, Sound: b.ready(b.me.Id), Leaving: b.leaving}
+func (b *Board) head(p *peer) *meshpb.Head {
+	return &meshpb.Head{From: b.me, To: p.m.Id, Deaf: !b.inTouch(p), Membership: b.membership.Version, Sound: b.ready(b.me.Id), Leaving: b.leaving}
 }
 
 // disk
 
-func enc(r *trunk.Record) []byte {
+func enc(r *meshpb.Record) []byte {
 	x, err := proto.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -414,7 +414,7 @@
 	return x
 }
 
-func (b *Board) save(r *trunk.Record, done func(error)) {
+func (b *Board) save(r *meshpb.Record, done func(error)) {
 	x := enc(r)
 	b.written += len(x)
 	b.outs = append(b.outs, b.now())
@@ -456,15 +456,15 @@
 }
 
 func (b *Board) page() [][]byte {
-	out := [][]byte{enc(&trunk.Record{Identity: &trunk.Identity{Id: b.me.Id, First: b.first}})}
+	out := [][]byte{enc(&meshpb.Record{Identity: &meshpb.Identity{Id: b.me.Id, First: b.first}})}
 	if b.membership.Version > 0 {
-		out = append(out, enc(&trunk.Record{Membership: b.membership}))
+		out = append(out, enc(&meshpb.Record{Membership: b.membership}))
 	}
 	for _, s := range b.shards {
 		st := b.dump(s)
-		out = append(out, enc(&trunk.Record{State: st}))
+		out = append(out, enc(&meshpb.Record{State: st}))
 		if s.promised > 0 {
-			out = append(out, enc(&trunk.Record{Promise: &trunk.Promise{Shard: uint32(s.ix), Epoch: s.promised, By: s.promisedBy}}))
+			out = append(out, enc(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: s.promised, By: s.promisedBy}}))
 		}
 	}
 	return out
@@ -498,22 +498,22 @@
 	})
 }
 
-func (b *Board) dump(s *shard) *trunk.ShardState {
+func (b *Board) dump(s *shard) *meshpb.ShardState {
 	st := s.table.Dump(b.now())
 	st.Shard, st.Epoch, st.Version = uint32(s.ix), s.epoch, s.version
 	return st
 }
 
 // install makes st the shard's accepted state and calls done once it is synced.
-func (b *Board) install(s *shard, st *trunk.ShardState, epoch uint64, done func(error)) {
+func (b *Board) install(s *shard, st *meshpb.ShardState, epoch uint64, done func(error)) {
 	s.table.Load(st, b.now(), false)
 	s.forget()
 	s.past = []span{{st.Epoch, st.Version}}
 	s.epoch, s.version, s.synced = epoch, st.Version, 0
-	rec := proto.Clone(st).(*trunk.ShardState)
+	rec := proto.Clone(st).(*meshpb.ShardState)
 	rec.Shard, rec.Epoch = uint32(s.ix), epoch
 	at := st.Version
-	b.save(&trunk.Record{State: rec}, func(err error) {
+	b.save(&meshpb.Record{State: rec}, func(err error) {
 		if err == nil && s.epoch == epoch {
 			s.synced = max(s.synced, at)
 		}
@@ -523,9 +523,9 @@
 
 func (b *Board) Sound() bool { return !b.diskBad }
 
-func (b *Board) Membership() *trunk.Membership { return b.membership }
+func (b *Board) Membership() *meshpb.Membership { return b.membership }
 
-func (b *Board) Me() *trunk.Member { return b.me }
+func (b *Board) Me() *meshpb.Member { return b.me }
 
 func (b *Board) Table(i int) Table { return b.shards[i].table }
 
@@ -539,10 +539,10 @@
 // Lines tells of each shard what this member knows; of those it owns, also how
 // far the copies are and how many members may be lost with the rest still a
 // majority that holds all.
-func (b *Board) Lines() []*trunk.ShardLine {
-	var out []*trunk.ShardLine
+func (b *Board) Lines() []*meshpb.ShardLine {
+	var out []*meshpb.ShardLine
 	for _, s := range b.shards {
-		l := &trunk.ShardLine{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version}
+		l := &meshpb.ShardLine{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version}
 		if m, ok := b.Owner(s.ix); ok {
 			l.Owner = m.Addr
 		}
@@ -554,11 +554,11 @@
 	return out
 }
 
-func (b *Board) owned(s *shard, l *trunk.ShardLine) {
+func (b *Board) owned(s *shard, l *meshpb.ShardLine) {
 	l.Owned, l.Committed, l.LeaseMs = true, s.commit, int64(max(s.lease-b.now(), 0)/time.Millisecond)
 	whole := 1
 	for _, p := range b.others() {
-		c := &trunk.CopyLine{Addr: p.m.Addr, Learner: b.peers[p.m.Id] == nil, Reached: b.inTouch(p), Sound: p.sound, Leaving: p.leaving,
+		c := &meshpb.CopyLine{Addr: p.m.Addr, Learner: b.peers[p.m.Id] == nil, Reached: b.inTouch(p), Sound: p.sound, Leaving: p.leaving,
 			Known: p.known[s.ix] == s.epoch}
 		if c.Behind = s.version; c.Known {
 			c.Behind = s.version - min(p.acked[s.ix], s.version)
--- a/internal/exchange/log.go
+++ b/internal/replication/log.go
@@ -1,11 +1,11 @@
-package exchange
+package replication
 
 import (
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // How much of a shard's log is kept for members that lag, and how many ends of
@@ -16,7 +16,7 @@
 	pastMost = 16
 )
 
-func (s *shard) take(e *trunk.Entry, now time.Duration) {
+func (s *shard) take(e *meshpb.Entry, now time.Duration) {
 	s.version = e.Version
 	s.table.Apply(e.Change, now)
 	s.log = append(s.log, e)
@@ -29,7 +29,7 @@
 func (s *shard) trim() {
 	for n := 0; n < len(s.log); n++ {
 		if len(s.log)-n <= logMost/2 && s.size <= logBytes/2 {
-			s.log = append([]*trunk.Entry(nil), s.log[n:]...)
+			s.log = append([]*meshpb.Entry(nil), s.log[n:]...)
 			return
 		}
 		s.size -= proto.Size(s.log[n])
@@ -41,7 +41,7 @@
 
 // raise takes the copy on to the epoch of x, whose entries bring it to what
 // that epoch began with.
-func (s *shard) raise(x *trunk.Raise, now time.Duration) {
+func (s *shard) raise(x *meshpb.Raise, now time.Duration) {
 	s.past = append(s.past, span{s.epoch, s.version})
 	if n := len(s.past); n > pastMost {
 		s.past = append([]span(nil), s.past[n-pastMost:]...)
@@ -56,7 +56,7 @@
 // content is known to be a beginning of this one's and the log reaches back to
 // it. One epoch has one log, so a copy at an epoch that is part of this one's
 // past, no further than it went here, is a beginning.
-func (s *shard) after(h span) ([]*trunk.Entry, bool) {
+func (s *shard) after(h span) ([]*meshpb.Entry, bool) {
 	ok := h.epoch == s.epoch && h.version <= s.version
 	for _, p := range s.past {
 		ok = ok || p.epoch == h.epoch && h.version <= p.version
@@ -71,17 +71,17 @@
 // raiseFor makes what brings a copy at h on to this owner's epoch: all up to
 // its beginning in one, since a copy at a new epoch must hold all that came
 // before that epoch.
-func (s *shard) raiseFor(h span) *trunk.Raise {
+func (s *shard) raiseFor(h span) *meshpb.Raise {
 	es, ok := s.after(h)
 	if !ok {
 		return nil
 	}
-	x := &trunk.Raise{Shard: uint32(s.ix), Epoch: s.epoch, FromEpoch: h.epoch, FromVersion: h.version}
+	x := &meshpb.Raise{Shard: uint32(s.ix), Epoch: s.epoch, FromEpoch: h.epoch, FromVersion: h.version}
 	for _, e := range es {
 		if e.Version > s.begin {
 			break
 		}
-		x.Entries = append(x.Entries, &trunk.Entry{Shard: e.Shard, Epoch: s.epoch, Version: e.Version, Change: e.Change})
+		x.Entries = append(x.Entries, &meshpb.Entry{Shard: e.Shard, Epoch: s.epoch, Version: e.Version, Change: e.Change})
 	}
 	return x
 }
--- a/internal/exchange/loop.go
+++ b/internal/replication/loop.go
@@ -1,12 +1,13 @@
-package exchange
+package replication
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"corkcove/internal/tollbook"
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
+	"corkcove/internal/wal"
 )
 
 // Loop is the board's mailbox: one goroutine runs all that is put in.
@@ -70,7 +71,7 @@
 
 type Shelf struct {
 	Loop *Loop
-	Book *tollbook.Book
+	Book *wal.Book
 }
 
 func (s Shelf) Append(rec []byte, done func(error)) {
@@ -83,14 +84,14 @@
 
 type Net struct {
 	Loop  *Loop
-	Lines *trunk.Lines
+	Lines *rpc.Lines
 	Short time.Duration
 	Long  time.Duration
 }
 
 func send[Q, R any](n Net, d time.Duration, f func(context.Context, *Q) (*R, error), q *Q, cb func(*R)) {
 	go func() {
-		r, err := trunk.Call(d, f, q)
+		r, err := rpc.Call(d, f, q)
 		if err != nil {
 			r = nil
 		}
@@ -98,27 +99,27 @@
 	}()
 }
 
-func (n Net) Lease(to *trunk.Member, q *trunk.LeaseReq, cb func(*trunk.LeaseResp)) {
+func (n Net) Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp)) {
 	send(n, n.Short, n.Lines.Exchange(to.Addr).Hold, q, cb)
 }
 
-func (n Net) Copy(to *trunk.Member, q *trunk.CopyReq, cb func(*trunk.CopyResp)) {
+func (n Net) Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp)) {
 	send(n, n.Long, n.Lines.Exchange(to.Addr).Copy, q, cb)
 }
 
-func (n Net) Ask(to *trunk.Member, q *trunk.AskReq, cb func(*trunk.AskResp)) {
+func (n Net) Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp)) {
 	send(n, n.Short, n.Lines.Exchange(to.Addr).Ask, q, cb)
 }
 
-func (n Net) Hand(to *trunk.Member, q *trunk.HandReq, cb func(*trunk.HandResp)) {
+func (n Net) Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp)) {
 	send(n, n.Short, n.Lines.Exchange(to.Addr).Hand, q, cb)
 }
 
-func (n Net) Enroll(to *trunk.Member, q *trunk.EnrollReq, cb func(*trunk.EnrollResp)) {
+func (n Net) Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp)) {
 	send(n, n.Short, n.Lines.Exchange(to.Addr).Enroll, q, cb)
 }
 
-func (n Net) Join(to string, q *trunk.JoinReq, cb func(*trunk.JoinResp)) {
+func (n Net) Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp)) {
 	send(n, n.Short, n.Lines.Exchange(to).Join, q, cb)
 }
 
@@ -148,52 +149,52 @@
 	return out
 }
 
-func whole(h *trunk.Head) bool { return h.GetFrom().GetId() != "" && h.From.Addr != "" }
+func whole(h *meshpb.Head) bool { return h.GetFrom().GetId() != "" && h.From.Addr != "" }
 
 var errHead = Error.New("a call without a sender")
 
-func (d Door) Hold(_ context.Context, q *trunk.LeaseReq) (*trunk.LeaseResp, error) {
+func (d Door) Hold(_ context.Context, q *meshpb.LeaseReq) (*meshpb.LeaseResp, error) {
 	if !whole(q.Head) {
 		return nil, errHead
 	}
 	q.Marks = fit(d, q.Marks)
-	return answer(Ask(d.Loop, func() *trunk.LeaseResp { return d.Board.OnLease(q) }))
+	return answer(Ask(d.Loop, func() *meshpb.LeaseResp { return d.Board.OnLease(q) }))
 }
 
-func (d Door) Copy(ctx context.Context, q *trunk.CopyReq) (*trunk.CopyResp, error) {
+func (d Door) Copy(ctx context.Context, q *meshpb.CopyReq) (*meshpb.CopyResp, error) {
 	if !whole(q.Head) {
 		return nil, errHead
 	}
 	q.States, q.Entries, q.Raises = fit(d, q.States), fit(d, q.Entries), fit(d, q.Raises)
-	return answer(Later(ctx, d.Loop, func(f func(*trunk.CopyResp)) { d.Board.OnCopy(q, f) }))
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.CopyResp)) { d.Board.OnCopy(q, f) }))
 }
 
-func (d Door) Ask(ctx context.Context, q *trunk.AskReq) (*trunk.AskResp, error) {
+func (d Door) Ask(ctx context.Context, q *meshpb.AskReq) (*meshpb.AskResp, error) {
 	if !whole(q.Head) {
 		return nil, errHead
 	}
 	q.Asks = fit(d, q.Asks)
-	return answer(Later(ctx, d.Loop, func(f func(*trunk.AskResp)) { d.Board.OnAsk(q, f) }))
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.AskResp)) { d.Board.OnAsk(q, f) }))
 }
 
-func (d Door) Hand(_ context.Context, q *trunk.HandReq) (*trunk.HandResp, error) {
+func (d Door) Hand(_ context.Context, q *meshpb.HandReq) (*meshpb.HandResp, error) {
 	if !whole(q.Head) {
 		return nil, errHead
 	}
 	q.Marks = fit(d, q.Marks)
-	return answer(Ask(d.Loop, func() *trunk.HandResp { return d.Board.OnHand(q) }))
+	return answer(Ask(d.Loop, func() *meshpb.HandResp { return d.Board.OnHand(q) }))
 }
 
-func (d Door) Enroll(ctx context.Context, q *trunk.EnrollReq) (*trunk.EnrollResp, error) {
+func (d Door) Enroll(ctx context.Context, q *meshpb.EnrollReq) (*meshpb.EnrollResp, error) {
 	if len(q.GetMembership().GetMembers()) == 0 {
 		return nil, errHead
 	}
-	return answer(Later(ctx, d.Loop, func(f func(*trunk.EnrollResp)) { d.Board.OnEnroll(q, f) }))
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.EnrollResp)) { d.Board.OnEnroll(q, f) }))
 }
 
-func (d Door) Join(_ context.Context, q *trunk.JoinReq) (*trunk.JoinResp, error) {
+func (d Door) Join(_ context.Context, q *meshpb.JoinReq) (*meshpb.JoinResp, error) {
 	if q.GetFrom().GetId() == "" || q.From.Addr == "" {
 		return nil, errHead
 	}
-	return answer(Ask(d.Loop, func() *trunk.JoinResp { return d.Board.OnJoin(q) }))
+	return answer(Ask(d.Loop, func() *meshpb.JoinResp { return d.Board.OnJoin(q) }))
 }
--- a/internal/exchange/members.go
+++ b/internal/replication/members.go
@@ -1,4 +1,4 @@
-package exchange
+package replication
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const membershipBlob = "roll"
@@ -22,13 +22,13 @@
 // A membership is decided as a change of shard 0 and then enrolled: it is in force
 // once majorities of the old membership and of the new one have synced it.
 
-func (b *Board) sawMembership(m *trunk.Member, version uint64) {
+func (b *Board) sawMembership(m *meshpb.Member, version uint64) {
 	if version < b.membership.Version && m != nil && b.membership.Version > 1 {
-		b.wire.Enroll(m, &trunk.EnrollReq{Membership: b.membership, From: b.me}, func(r *trunk.EnrollResp) { b.enrolledBy(m.Id, r) })
+		b.wire.Enroll(m, &meshpb.EnrollReq{Membership: b.membership, From: b.me}, func(r *meshpb.EnrollResp) { b.enrolledBy(m.Id, r) })
 	}
 }
 
-func (b *Board) OnEnroll(q *trunk.EnrollReq, reply func(*trunk.EnrollResp)) {
+func (b *Board) OnEnroll(q *meshpb.EnrollReq, reply func(*meshpb.EnrollResp)) {
 	if b.diskBad {
 		reply(nil)
 		return
@@ -40,7 +40,7 @@
 				reply(nil)
 				return
 			}
-			reply(&trunk.EnrollResp{Version: st, Ok: true})
+			reply(&meshpb.EnrollResp{Version: st, Ok: true})
 		})
 		return
 	}
@@ -49,13 +49,13 @@
 			reply(nil)
 			return
 		}
-		reply(&trunk.EnrollResp{Version: q.Membership.Version, Ok: true})
+		reply(&meshpb.EnrollResp{Version: q.Membership.Version, Ok: true})
 	})
 }
 
-func (b *Board) adopt(r *trunk.Membership, done func(error)) {
+func (b *Board) adopt(r *meshpb.Membership, done func(error)) {
 	b.note("membership %d with %d members", r.Version, len(r.Members))
-	b.membership = proto.Clone(r).(*trunk.Membership)
+	b.membership = proto.Clone(r).(*meshpb.Membership)
 	if !inMembership(b.membership, b.me.Id) {
 		if !b.blank {
 			b.blank = true
@@ -85,7 +85,7 @@
 			b.advance(s)
 		}
 	}
-	b.save(&trunk.Record{Membership: b.membership}, done)
+	b.save(&meshpb.Record{Membership: b.membership}, done)
 	for _, p := range b.line {
 		b.push(p)
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (b *Board) enrolledBy(id string, r *trunk.EnrollResp) {
+func (b *Board) enrolledBy(id string, r *meshpb.EnrollResp) {
 	if r == nil || !r.Ok || b.enrolled == nil || r.Version != b.membership.Version {
 		return
 	}
@@ -105,7 +105,7 @@
 	if b.prior == nil {
 		return true
 	}
-	for _, r := range []*trunk.Membership{b.prior, b.membership} {
+	for _, r := range []*meshpb.Membership{b.prior, b.membership} {
 		n := 0
 		for _, m := range r.Members {
 			if b.enrolled[m.Id] {
@@ -127,7 +127,7 @@
 		return
 	}
 	if x := s.table.Blob(membershipBlob); x != nil && x.Version > b.membership.Version {
-		var r trunk.Membership
+		var r meshpb.Membership
 		if proto.Unmarshal(x.Data, &r) == nil {
 			b.prior, b.enrolled = b.membership, map[string]bool{}
 			b.adopt(&r, func(err error) {
@@ -141,7 +141,7 @@
 	}
 	if b.prior == nil && b.enrolled == nil && b.membership.Version > 1 {
 		b.prior, b.enrolled = b.membership, map[string]bool{}
-		b.save(&trunk.Record{Membership: b.membership}, func(err error) {
+		b.save(&meshpb.Record{Membership: b.membership}, func(err error) {
 			if err == nil && b.enrolled != nil {
 				b.enrolled[b.me.Id] = true
 			}
@@ -160,14 +160,14 @@
 
 func (b *Board) spread() {
 	seen := map[string]bool{b.me.Id: true}
-	for _, r := range []*trunk.Membership{b.prior, b.membership} {
+	for _, r := range []*meshpb.Membership{b.prior, b.membership} {
 		for _, m := range r.GetMembers() {
 			if seen[m.Id] || b.enrolled[m.Id] {
 				continue
 			}
 			seen[m.Id] = true
 			m := m
-			b.wire.Enroll(m, &trunk.EnrollReq{Membership: b.membership, From: b.me}, func(r *trunk.EnrollResp) { b.enrolledBy(m.Id, r) })
+			b.wire.Enroll(m, &meshpb.EnrollReq{Membership: b.membership, From: b.me}, func(r *meshpb.EnrollResp) { b.enrolledBy(m.Id, r) })
 		}
 	}
 }
@@ -226,7 +226,7 @@
 
 // unreached is the member that has been silent longest, and for long enough; one
 // that had said before that it leaves comes first.
-func (b *Board) unreached() *trunk.Member {
+func (b *Board) unreached() *meshpb.Member {
 	var best *peer
 	for _, p := range b.line {
 		if b.now()-max(p.heard, b.alone) <= b.o.Unreached {
@@ -242,7 +242,7 @@
 	return best.m
 }
 
-func (b *Board) leaver() *trunk.Member {
+func (b *Board) leaver() *meshpb.Member {
 	for _, p := range b.line {
 		if p.leaving {
 			return p.m
@@ -253,8 +253,8 @@
 
 // drop takes a member out. Its place in the order is kept for the next to come,
 // or taken by the one that has come already, so that shards need not move.
-func (b *Board) drop(gone *trunk.Member, why string) {
-	r := &trunk.Membership{Version: b.membership.Version + 1, Size: uint32(b.places()), Gaps: slices.Clone(b.membership.Gaps)}
+func (b *Board) drop(gone *meshpb.Member, why string) {
+	r := &meshpb.Membership{Version: b.membership.Version + 1, Size: uint32(b.places()), Gaps: slices.Clone(b.membership.Gaps)}
 	i, last := b.index(gone.Id), len(b.membership.Members)-1
 	if last == 0 {
 		return
@@ -272,7 +272,7 @@
 }
 
 func (b *Board) admit(j *peer, size int) {
-	r := &trunk.Membership{Version: b.membership.Version + 1, Size: uint32(size), Gaps: slices.Clone(b.membership.Gaps)}
+	r := &meshpb.Membership{Version: b.membership.Version + 1, Size: uint32(size), Gaps: slices.Clone(b.membership.Gaps)}
 	at := len(b.membership.Members)
 	if n := len(r.Gaps); n > 0 {
 		at = min(at, int(r.Gaps[n-1]))
@@ -283,12 +283,12 @@
 	b.agree(r)
 }
 
-func (b *Board) agree(r *trunk.Membership) {
+func (b *Board) agree(r *meshpb.Membership) {
 	x, err := proto.Marshal(r)
 	if err != nil {
 		panic(err)
 	}
-	b.propose(b.shards[0], &trunk.Change{Blob: &trunk.Blob{Name: membershipBlob, Data: x, Version: r.Version}})
+	b.propose(b.shards[0], &meshpb.Change{Blob: &meshpb.Blob{Name: membershipBlob, Data: x, Version: r.Version}})
 }
 
 // settled tells that every shard's content is with a majority of this membership.
@@ -303,8 +303,8 @@
 
 // OnJoin takes a learner's word: who owns a shard sends it copies from now on,
 // and the master gives it a place when there is one.
-func (b *Board) OnJoin(q *trunk.JoinReq) *trunk.JoinResp {
-	r := &trunk.JoinResp{Ok: inMembership(b.membership, q.From.Id), Membership: b.membership}
+func (b *Board) OnJoin(q *meshpb.JoinReq) *meshpb.JoinResp {
+	r := &meshpb.JoinResp{Ok: inMembership(b.membership, q.From.Id), Membership: b.membership}
 	if _, own := b.Own(0); own {
 		r.Settled = b.enrolledAll() && b.settled()
 	}
@@ -333,7 +333,7 @@
 		return
 	}
 	b.joinAt = now + learnerSays
-	q := &trunk.JoinReq{From: b.me, First: b.first, Leaving: b.leaving}
+	q := &meshpb.JoinReq{From: b.me, First: b.first, Leaving: b.leaving}
 	if b.caughtUp() {
 		q.Caught = b.membership.Version
 	}
@@ -349,9 +349,9 @@
 
 // Reseed gives a process outside the membership further members to ask: those of
 // its start may all be gone.
-func (b *Board) Reseed(ms []*trunk.Member) { b.more = ms }
+func (b *Board) Reseed(ms []*meshpb.Member) { b.more = ms }
 
-func (b *Board) joined(r *trunk.JoinResp) {
+func (b *Board) joined(r *meshpb.JoinResp) {
 	if r == nil || !b.blank {
 		return
 	}
--- a/internal/exchange/serve.go
+++ b/internal/replication/serve.go
@@ -1,4 +1,4 @@
-package exchange
+package replication
 
 import (
 	"slices"
@@ -7,12 +7,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Do runs f on the shard if this member owns it, and calls cb when what f saw
 // and did is safe: committed by a majority, and read under the lease.
-func (b *Board) Do(i int, f func(t Table, now time.Duration) *trunk.Change, cb func(error)) {
+func (b *Board) Do(i int, f func(t Table, now time.Duration) *meshpb.Change, cb func(error)) {
 	s := b.shards[i]
 	now := b.now()
 	if s.role != owner {
@@ -34,12 +34,12 @@
 	b.release(s)
 }
 
-func (b *Board) propose(s *shard, c *trunk.Change) {
-	e := &trunk.Entry{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version + 1, Change: c}
+func (b *Board) propose(s *shard, c *meshpb.Change) {
+	e := &meshpb.Entry{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version + 1, Change: c}
 	s.take(e, b.now())
 	b.step("proposed", s, e.Epoch, e.Version, c)
 	ep, at := s.epoch, s.version
-	b.save(&trunk.Record{Entry: e}, func(err error) {
+	b.save(&meshpb.Record{Entry: e}, func(err error) {
 		if err == nil && s.epoch == ep && s.synced+1 >= at {
 			s.synced = max(s.synced, at)
 			b.step("synced", s, ep, at, c)
@@ -195,8 +195,8 @@
 // load collects what the peer lacks: of a shard whose epoch it does not have,
 // what leads there from what it has, or all; else the entries that follow. It
 // tells too whether all went in.
-func (b *Board) load(p *peer) (q *trunk.CopyReq, whole bool) {
-	q = &trunk.CopyReq{}
+func (b *Board) load(p *peer) (q *meshpb.CopyReq, whole bool) {
+	q = &meshpb.CopyReq{}
 	size := 0
 	for _, s := range b.shards {
 		if s.role != owner && s.role != handing {
@@ -253,7 +253,7 @@
 	q.Head = b.head(p)
 	p.copying = true
 	at := now
-	b.wire.Copy(p.m, q, func(r *trunk.CopyResp) {
+	b.wire.Copy(p.m, q, func(r *meshpb.CopyResp) {
 		p.copying = false
 		if r == nil {
 			p.nextAt = b.now() + 100*time.Millisecond
@@ -302,9 +302,9 @@
 
 // unanswered notes raises of which a copy said nothing, or that it would go on
 // from just there: a member of the release before knows none and gets states.
-func (b *Board) unanswered(p *peer, q *trunk.CopyReq, r *trunk.CopyResp) {
+func (b *Board) unanswered(p *peer, q *meshpb.CopyReq, r *meshpb.CopyResp) {
 	for _, x := range q.Raises {
-		i := slices.IndexFunc(r.Acks, func(a *trunk.CopyAck) bool { return a.Shard == x.Shard })
+		i := slices.IndexFunc(r.Acks, func(a *meshpb.CopyAck) bool { return a.Shard == x.Shard })
 		if i >= 0 {
 			a := r.Acks[i]
 			if !a.Gap || a.Promised > 0 || a.HaveEpoch != x.FromEpoch || a.HaveVersion != x.FromVersion {
@@ -353,14 +353,14 @@
 type copied struct {
 	b    *Board
 	from string
-	acks []*trunk.CopyAck
-	by   map[uint32]*trunk.CopyAck
+	acks []*meshpb.CopyAck
+	by   map[uint32]*meshpb.CopyAck
 	left *int
 	fin  func(error)
 }
 
-func (c *copied) ack(shard uint32, epoch, version uint64) *trunk.CopyAck {
-	a := &trunk.CopyAck{Shard: shard, Epoch: epoch, Version: version}
+func (c *copied) ack(shard uint32, epoch, version uint64) *meshpb.CopyAck {
+	a := &meshpb.CopyAck{Shard: shard, Epoch: epoch, Version: version}
 	c.acks = append(c.acks, a)
 	c.by[shard] = a
 	return a
@@ -373,7 +373,7 @@
 }
 
 // outdone tells that another epoch was promised than the one that a copy is for.
-func (c *copied) outdone(s *shard, a *trunk.CopyAck) bool {
+func (c *copied) outdone(s *shard, a *meshpb.CopyAck) bool {
 	if a.Epoch > s.promised || a.Epoch == s.promised && s.promisedBy == c.from && a.Epoch > s.ended {
 		return false
 	}
@@ -388,10 +388,10 @@
 	}
 	c.b.depose(s, epoch, "another took over")
 	s.promised, s.promisedBy = epoch, c.from
-	c.b.save(&trunk.Record{Promise: &trunk.Promise{Shard: uint32(s.ix), Epoch: epoch, By: c.from}}, func(error) {})
+	c.b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: epoch, By: c.from}}, func(error) {})
 }
 
-func (c *copied) state(st *trunk.ShardState) {
+func (c *copied) state(st *meshpb.ShardState) {
 	s := c.b.shards[st.Shard]
 	a := c.ack(st.Shard, st.Epoch, st.Version)
 	if c.outdone(s, a) {
@@ -407,7 +407,7 @@
 	c.b.install(s, st, st.Epoch, c.fin)
 }
 
-func (c *copied) raise(x *trunk.Raise) {
+func (c *copied) raise(x *meshpb.Raise) {
 	s := c.b.shards[x.Shard]
 	a := c.ack(x.Shard, x.Epoch, 0)
 	if c.outdone(s, a) {
@@ -429,11 +429,11 @@
 }
 
 // lift raises a copy and has it synced as one record.
-func (b *Board) lift(s *shard, x *trunk.Raise, done func(error)) {
+func (b *Board) lift(s *shard, x *meshpb.Raise, done func(error)) {
 	s.raise(x, b.now())
 	s.synced = 0
 	ep, at := s.epoch, s.version
-	b.save(&trunk.Record{Raise: x}, func(err error) {
+	b.save(&meshpb.Record{Raise: x}, func(err error) {
 		if err == nil && s.epoch == ep {
 			s.synced = max(s.synced, at)
 		}
@@ -441,7 +441,7 @@
 	})
 }
 
-func (c *copied) entry(e *trunk.Entry) {
+func (c *copied) entry(e *meshpb.Entry) {
 	b := c.b
 	s := b.shards[e.Shard]
 	a := c.by[e.Shard]
@@ -465,7 +465,7 @@
 	a.Version = e.Version
 	b.step("received", s, e.Epoch, e.Version, e.Change)
 	*c.left++
-	b.save(&trunk.Record{Entry: e}, func(err error) {
+	b.save(&meshpb.Record{Entry: e}, func(err error) {
 		if err == nil && s.epoch == e.Epoch {
 			s.synced = max(s.synced, e.Version)
 			b.step("synced", s, e.Epoch, e.Version, e.Change)
@@ -476,8 +476,8 @@
 
 // OnCopy answers reply once all it takes is synced. Learners take copies as
 // members do; they don't count.
-func (b *Board) OnCopy(q *trunk.CopyReq, reply func(*trunk.CopyResp)) {
-	r := &trunk.CopyResp{Membership: b.membership.Version, Member: (b.member() || !b.leaving) && q.Head.To == b.me.Id}
+func (b *Board) OnCopy(q *meshpb.CopyReq, reply func(*meshpb.CopyResp)) {
+	r := &meshpb.CopyResp{Membership: b.membership.Version, Member: (b.member() || !b.leaving) && q.Head.To == b.me.Id}
 	if !r.Member || q.Head.Membership != b.membership.Version || !inMembership(b.membership, q.Head.From.Id) {
 		b.sawMembership(q.Head.From, q.Head.Membership)
 		reply(r)
@@ -487,7 +487,7 @@
 		reply(nil)
 		return
 	}
-	c := &copied{b: b, from: q.Head.From.Id, by: map[uint32]*trunk.CopyAck{}}
+	c := &copied{b: b, from: q.Head.From.Id, by: map[uint32]*meshpb.CopyAck{}}
 	if p := b.peers[c.from]; p != nil && !q.Head.Deaf {
 		b.met(p, q.Head.Sound, q.Head.Leaving)
 	}
--- a/internal/exchange/turns.go
+++ b/internal/replication/turns.go
@@ -1,9 +1,9 @@
-package exchange
+package replication
 
 import (
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc/meshpb"
 )
 
 // Tick drives leases, takeovers and handovers. It is called a few times in
@@ -61,10 +61,10 @@
 }
 
 func (b *Board) beat() {
-	var ms []*trunk.Mark
+	var ms []*meshpb.Mark
 	for _, s := range b.shards {
 		if s.role == owner && s.serving {
-			ms = append(ms, &trunk.Mark{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.commit, Settled: s.settled})
+			ms = append(ms, &meshpb.Mark{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.commit, Settled: s.settled})
 		}
 	}
 	urgent := b.urgent
@@ -76,8 +76,8 @@
 		p.holding = true
 		at := b.now()
 		p.beaten = at
-		q := &trunk.LeaseReq{Head: b.head(p), Marks: ms, Sound: b.ready(b.me.Id)}
-		b.wire.Lease(p.m, q, func(r *trunk.LeaseResp) {
+		q := &meshpb.LeaseReq{Head: b.head(p), Marks: ms, Sound: b.ready(b.me.Id)}
+		b.wire.Lease(p.m, q, func(r *meshpb.LeaseResp) {
 			p.holding = false
 			if r == nil {
 				return
@@ -136,8 +136,8 @@
 	p.sound = sound
 }
 
-func (b *Board) OnLease(q *trunk.LeaseReq) *trunk.LeaseResp {
-	r := &trunk.LeaseResp{Membership: b.membership.Version, Sound: b.ready(b.me.Id), Member: b.member(), Id: b.me.Id, Leaving: b.leaving}
+func (b *Board) OnLease(q *meshpb.LeaseReq) *meshpb.LeaseResp {
+	r := &meshpb.LeaseResp{Membership: b.membership.Version, Sound: b.ready(b.me.Id), Member: b.member(), Id: b.me.Id, Leaving: b.leaving}
 	if q.Head.To != b.me.Id {
 		return r
 	}
@@ -175,14 +175,14 @@
 			s.rumour, s.rumourTo = from, b.now()+b.o.Lease
 			s.asked = max(s.asked, m.Epoch)
 		case m.Epoch < s.promised:
-			r.Deposed = append(r.Deposed, &trunk.Mark{Shard: m.Shard, Epoch: s.promised})
+			r.Deposed = append(r.Deposed, &meshpb.Mark{Shard: m.Shard, Epoch: s.promised})
 		}
 	}
 	return r
 }
 
 // Owner names the member that this one believes to own the shard.
-func (b *Board) Owner(i int) (*trunk.Member, bool) {
+func (b *Board) Owner(i int) (*meshpb.Member, bool) {
 	s := b.shards[i]
 	if s.role == owner || s.role == handing {
 		return b.me, true
@@ -291,7 +291,7 @@
 	if len(ss) == 0 {
 		return
 	}
-	var as []*trunk.Ask
+	var as []*meshpb.Ask
 	for _, s := range ss {
 		s.role, s.pre, s.since = asking, true, b.now()
 		s.asked = b.nextEpoch(s)
@@ -328,7 +328,7 @@
 		return
 	}
 	now := b.now()
-	var as []*trunk.Ask
+	var as []*meshpb.Ask
 	for _, s := range ss {
 		e := b.nextEpoch(s)
 		s.role, s.pre, s.since, s.asked = asking, false, now, e
@@ -337,7 +337,7 @@
 		s.oks = map[string]bool{}
 		s.best, s.bestAt, s.bestSt = nil, s.epoch, s.version
 		as = append(as, s.ask())
-		b.save(&trunk.Record{Promise: &trunk.Promise{Shard: uint32(s.ix), Epoch: e, By: b.me.Id}}, func(err error) {
+		b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: e, By: b.me.Id}}, func(err error) {
 			if err != nil {
 				if s.role == asking && s.asked == e {
 					b.depose(s, e, "own promise not synced")
@@ -353,8 +353,8 @@
 }
 
 // ask is the question for a promise that the shard is asked under now.
-func (s *shard) ask() *trunk.Ask {
-	return &trunk.Ask{Shard: uint32(s.ix), Epoch: s.asked, HaveEpoch: s.epoch, HaveVersion: s.version, Pre: s.pre}
+func (s *shard) ask() *meshpb.Ask {
+	return &meshpb.Ask{Shard: uint32(s.ix), Epoch: s.asked, HaveEpoch: s.epoch, HaveVersion: s.version, Pre: s.pre}
 }
 
 // askAgain repeats what is still asked to the members that have not promised: a
@@ -362,7 +362,7 @@
 func (b *Board) askAgain() {
 	now := b.now()
 	for _, p := range b.line {
-		var asks []*trunk.Ask
+		var asks []*meshpb.Ask
 		for _, s := range b.shards {
 			if s.role == asking && !s.oks[p.m.Id] && now-s.since > b.o.Beat/2 {
 				asks = append(asks, s.ask())
@@ -374,11 +374,11 @@
 	}
 }
 
-func (b *Board) askPeer(p *peer, asks []*trunk.Ask) {
+func (b *Board) askPeer(p *peer, asks []*meshpb.Ask) {
 	p.askedAt = b.now()
-	q := &trunk.AskReq{Head: b.head(p), Asks: asks}
+	q := &meshpb.AskReq{Head: b.head(p), Asks: asks}
 	membership := b.membership.Version
-	b.wire.Ask(p.m, q, func(r *trunk.AskResp) {
+	b.wire.Ask(p.m, q, func(r *meshpb.AskResp) {
 		if r == nil || !r.Member {
 			return
 		}
@@ -407,8 +407,8 @@
 	})
 }
 
-func (b *Board) OnAsk(q *trunk.AskReq, reply func(*trunk.AskResp)) {
-	r := &trunk.AskResp{Membership: b.membership.Version, Member: b.member() && q.Head.To == b.me.Id}
+func (b *Board) OnAsk(q *meshpb.AskReq, reply func(*meshpb.AskResp)) {
+	r := &meshpb.AskResp{Membership: b.membership.Version, Member: b.member() && q.Head.To == b.me.Id}
 	if !r.Member || q.Head.Membership != b.membership.Version || !inMembership(b.membership, q.Head.From.Id) {
 		b.sawMembership(q.Head.From, q.Head.Membership)
 		reply(r)
@@ -429,7 +429,7 @@
 	})
 	for _, a := range q.Asks {
 		s := b.shards[a.Shard]
-		x := &trunk.AskReply{Shard: a.Shard, Promised: s.promised, Epoch: a.Epoch, Pre: a.Pre}
+		x := &meshpb.AskReply{Shard: a.Shard, Promised: s.promised, Epoch: a.Epoch, Pre: a.Pre}
 		r.Replies = append(r.Replies, x)
 		if a.Epoch == s.promised && s.promisedBy == from && !a.Pre {
 			// Promised already; the answer was lost.
@@ -458,13 +458,13 @@
 		s.leasedUntil = max(s.leasedUntil, now+b.o.Lease/2)
 		b.vow(s, a, x)
 		*left++
-		b.save(&trunk.Record{Promise: &trunk.Promise{Shard: a.Shard, Epoch: a.Epoch, By: from}}, fin)
+		b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: a.Shard, Epoch: a.Epoch, By: from}}, fin)
 	}
 	fin(nil)
 }
 
 // vow fills in the promise, with the copy's content if it is newer than the asker's.
-func (b *Board) vow(s *shard, a *trunk.Ask, x *trunk.AskReply) {
+func (b *Board) vow(s *shard, a *meshpb.Ask, x *meshpb.AskReply) {
 	x.Ok, x.Promised = true, a.Epoch
 	x.HaveEpoch, x.HaveVersion = s.epoch, s.version
 	if s.epoch > a.HaveEpoch || s.epoch == a.HaveEpoch && s.version > a.HaveVersion {
@@ -507,7 +507,7 @@
 	}
 	if st == nil {
 		s.begin, s.base = s.version, s.version
-		b.lift(s, &trunk.Raise{Shard: uint32(s.ix), Epoch: e, FromEpoch: s.epoch, FromVersion: s.version}, done)
+		b.lift(s, &meshpb.Raise{Shard: uint32(s.ix), Epoch: e, FromEpoch: s.epoch, FromVersion: s.version}, done)
 	} else {
 		s.begin, s.base = st.Version, st.Version
 		b.install(s, st, e, done)
@@ -573,19 +573,19 @@
 		return
 	}
 	b.note("shard %d: handed to %s at epoch %d", s.ix, s.succ, s.epoch)
-	q := &trunk.HandReq{Marks: []*trunk.Mark{{Shard: uint32(s.ix), Epoch: s.epoch}}, Successor: s.succ}
+	q := &meshpb.HandReq{Marks: []*meshpb.Mark{{Shard: uint32(s.ix), Epoch: s.epoch}}, Successor: s.succ}
 	succ := s.succ
 	b.depose(s, s.epoch, "handed over")
 	s.leasedUntil, s.retryAt = 0, b.now()+2*b.o.Lease
 	for _, x := range b.line {
-		q := &trunk.HandReq{Marks: q.Marks, Successor: succ, Head: b.head(x)}
-		b.wire.Hand(x.m, q, func(*trunk.HandResp) {})
+		q := &meshpb.HandReq{Marks: q.Marks, Successor: succ, Head: b.head(x)}
+		b.wire.Hand(x.m, q, func(*meshpb.HandResp) {})
 	}
 }
 
-func (b *Board) OnHand(q *trunk.HandReq) *trunk.HandResp {
+func (b *Board) OnHand(q *meshpb.HandReq) *meshpb.HandResp {
 	if q.Head.To != b.me.Id || q.Head.Membership != b.membership.Version || !b.member() {
-		return &trunk.HandResp{}
+		return &meshpb.HandResp{}
 	}
 	var ss []*shard
 	for _, m := range q.Marks {
@@ -603,7 +603,7 @@
 		}
 	}
 	b.ask(ss)
-	return &trunk.HandResp{Ok: true}
+	return &meshpb.HandResp{Ok: true}
 }
 
 // Leave starts handing over all that this member owns. Where a learner waits for
--- a/internal/ticket/ticket.go
+++ b/internal/requestlog/ticket.go
@@ -1,13 +1,14 @@
 // Package ticket keeps a record of the requests that a node carried, in a
 // bounded ring: who asked what, where it was dispatched, what became of it.
 // Bodies are not kept, nor header values that no policy asked for.
-package ticket
+package requestlog
 
 import (
 	"sync"
 	"time"
 
-	"corkcove/internal/trunk"
+	"corkcove/internal/rpc"
+	"corkcove/internal/rpc/meshpb"
 )
 
 const (
@@ -19,7 +20,7 @@
 
 type viewAt struct {
 	at   int64
-	view *trunk.View
+	view *meshpb.View
 }
 
 type configAt struct {
@@ -33,19 +34,19 @@
 	mu      sync.Mutex
 	now     func() time.Time
 	span    time.Duration
-	ring    []*trunk.Ticket
+	ring    []*meshpb.Ticket
 	n       uint64
 	open    int
 	began   int64
 	views   []viewAt
 	configs []configAt
-	bal     []*trunk.Balance
+	bal     []*meshpb.Balance
 	balAt   map[string]int64
 }
 
 // New keeps the last most requests of the last span.
 func New(most int, span time.Duration, now func() time.Time) *Recorder {
-	return &Recorder{now: now, span: span, ring: make([]*trunk.Ticket, most), began: now().UnixMicro(), balAt: map[string]int64{}}
+	return &Recorder{now: now, span: span, ring: make([]*meshpb.Ticket, most), began: now().UnixMicro(), balAt: map[string]int64{}}
 }
 
 func (r *Recorder) Begin() {
@@ -54,7 +55,7 @@
 	r.mu.Unlock()
 }
 
-func (r *Recorder) End(t *trunk.Ticket, left func(service string) float64) {
+func (r *Recorder) End(t *meshpb.Ticket, left func(service string) float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
@@ -66,15 +67,15 @@
 	at := t.AtUs + t.TookUs
 	if t.Service != "" && at-r.balAt[t.Service] > eachS.Microseconds() {
 		r.balAt[t.Service] = at
-		r.bal = append(r.bal, &trunk.Balance{AtUs: at, Service: t.Service, Left: left(t.Service)})
+		r.bal = append(r.bal, &meshpb.Balance{AtUs: at, Service: t.Service, Left: left(t.Service)})
 		if len(r.bal) > balances {
-			r.bal = append([]*trunk.Balance(nil), r.bal[balances/4:]...)
+			r.bal = append([]*meshpb.Balance(nil), r.bal[balances/4:]...)
 		}
 	}
 }
 
 // View notes a view that came into force here.
-func (r *Recorder) View(v *trunk.View) {
+func (r *Recorder) View(v *meshpb.View) {
 	if r == nil {
 		return
 	}
@@ -111,15 +112,15 @@
 
 // Report gives the tickets of the last span that ended, from the one numbered
 // from; next is 0 once there are no more.
-func (r *Recorder) Report(span time.Duration, from, most uint32) *trunk.TicketsResp {
+func (r *Recorder) Report(span time.Duration, from, most uint32) *meshpb.TicketsResp {
 	if r == nil {
-		return &trunk.TicketsResp{}
+		return &meshpb.TicketsResp{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now().UnixMicro()
 	since := now - min(span, r.span).Microseconds()
-	o := &trunk.TicketsResp{NowUs: now, BeganUs: max(r.began, since), Unfinished: uint64(max(r.open, 0))}
+	o := &meshpb.TicketsResp{NowUs: now, BeganUs: max(r.began, since), Unfinished: uint64(max(r.open, 0))}
 	size := uint64(len(r.ring))
 	first := uint64(0)
 	if r.n > size {
@@ -149,12 +150,12 @@
 	if from == 0 {
 		for i, v := range r.views {
 			if i == len(r.views)-1 || r.views[i+1].at > since {
-				o.Views = append(o.Views, &trunk.Point{AtUs: v.at, Epoch: v.view.Epoch, Version: v.view.Version})
+				o.Views = append(o.Views, &meshpb.Point{AtUs: v.at, Epoch: v.view.Epoch, Version: v.view.Version})
 			}
 		}
 		for i, c := range r.configs {
 			if i == len(r.configs)-1 || r.configs[i+1].at > since {
-				o.Configs = append(o.Configs, &trunk.Point{AtUs: c.at, Version: c.version})
+				o.Configs = append(o.Configs, &meshpb.Point{AtUs: c.at, Version: c.version})
 			}
 		}
 		for _, b := range r.bal {
@@ -167,14 +168,14 @@
 }
 
 // Parts gives the views and configurations that are asked for and kept here.
-func (r *Recorder) Parts(q *trunk.PartsReq) *trunk.PartsResp {
+func (r *Recorder) Parts(q *meshpb.PartsReq) *meshpb.PartsResp {
 	if r == nil {
-		return &trunk.PartsResp{}
+		return &meshpb.PartsResp{}
 	}
 	r.mu.Lock()
 	vs, cs := r.views, r.configs
 	r.mu.Unlock()
-	o := &trunk.PartsResp{}
+	o := &meshpb.PartsResp{}
 	for _, x := range q.Views {
 		for _, v := range vs {
 			if v.view.Epoch == x.Epoch && v.view.Version == x.Version {
@@ -186,7 +187,7 @@
 	for _, s := range q.Configs {
 		for _, c := range cs {
 			if c.version == s {
-				o.Configs = append(o.Configs, &trunk.ConfigDoc{Version: s, Packed: trunk.Pack(c.doc())})
+				o.Configs = append(o.Configs, &meshpb.ConfigDoc{Version: s, Packed: rpc.Pack(c.doc())})
 				break
 			}
 		}
--- a/internal/dialplan/key_test.go
+++ b/internal/routeconfig/key_test.go
@@ -1,4 +1,4 @@
-package dialplan
+package routeconfig
 
 import (
 	"strings"
--- a/internal/dialplan/read.go
+++ b/internal/routeconfig/read.go
@@ -1,6 +1,6 @@
 // Package dialplan reads the operator's configuration field by field, checks
 // it, and compiles it to a table that processes share by copy-on-write.
-package dialplan
+package routeconfig
 
 import (
 	"fmt"
--- a/internal/trunk/net.go
+++ b/internal/rpc/net.go
@@ -1,4 +1,4 @@
-package trunk
+package rpc
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 
 	"github.com/zeebo/errs"
 	"golang.org/x/sys/unix"
+
+	"corkcove/internal/rpc/meshpb"
 )
 
 var Error = errs.Class("trunk")
@@ -52,17 +54,17 @@
 type Lines struct {
 	hc  *http.Client
 	mu  sync.Mutex
-	exs map[string]Exchange
-	cts map[string]Control
-	nds map[string]Node
-	trs map[string]Tracer
+	exs map[string]meshpb.Exchange
+	cts map[string]meshpb.Control
+	nds map[string]meshpb.Node
+	trs map[string]meshpb.Tracer
 }
 
 func NewLines(hc *http.Client) *Lines {
-	return &Lines{hc: hc, exs: map[string]Exchange{}, cts: map[string]Control{}, nds: map[string]Node{}, trs: map[string]Tracer{}}
+	return &Lines{hc: hc, exs: map[string]meshpb.Exchange{}, cts: map[string]meshpb.Control{}, nds: map[string]meshpb.Node{}, trs: map[string]meshpb.Tracer{}}
 }
 
-func line[T any](l *Lines, m map[string]T, addr string, mk func(string, HTTPClient) T) T {
+func line[T any](l *Lines, m map[string]T, addr string, mk func(string, meshpb.HTTPClient) T) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, ok := m[addr]
@@ -73,20 +75,20 @@
 	return c
 }
 
-func (l *Lines) Exchange(a string) Exchange {
-	return line(l, l.exs, a, func(u string, h HTTPClient) Exchange { return NewExchangeProtobufClient(u, h) })
+func (l *Lines) Exchange(a string) meshpb.Exchange {
+	return line(l, l.exs, a, func(u string, h meshpb.HTTPClient) meshpb.Exchange { return meshpb.NewExchangeProtobufClient(u, h) })
 }
 
-func (l *Lines) Control(a string) Control {
-	return line(l, l.cts, a, func(u string, h HTTPClient) Control { return NewControlProtobufClient(u, h) })
+func (l *Lines) Control(a string) meshpb.Control {
+	return line(l, l.cts, a, func(u string, h meshpb.HTTPClient) meshpb.Control { return meshpb.NewControlProtobufClient(u, h) })
 }
 
-func (l *Lines) Node(a string) Node {
-	return line(l, l.nds, a, func(u string, h HTTPClient) Node { return NewNodeProtobufClient(u, h) })
+func (l *Lines) Node(a string) meshpb.Node {
+	return line(l, l.nds, a, func(u string, h meshpb.HTTPClient) meshpb.Node { return meshpb.NewNodeProtobufClient(u, h) })
 }
 
-func (l *Lines) Tracer(a string) Tracer {
-	return line(l, l.trs, a, func(u string, h HTTPClient) Tracer { return NewTracerProtobufClient(u, h) })
+func (l *Lines) Tracer(a string) meshpb.Tracer {
+	return line(l, l.trs, a, func(u string, h meshpb.HTTPClient) meshpb.Tracer { return meshpb.NewTracerProtobufClient(u, h) })
 }
 
 // Call runs one call within d.
@@ -97,14 +99,14 @@
 }
 
 // PutNode stands a node in for the one at an address.
-func (l *Lines) PutNode(addr string, n Node) {
+func (l *Lines) PutNode(addr string, n meshpb.Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nds[addr] = n
 }
 
 // PutControl stands a core member in for the one at an address.
-func (l *Lines) PutControl(addr string, c Control) {
+func (l *Lines) PutControl(addr string, c meshpb.Control) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cts[addr] = c
--- a/internal/options/options.go
+++ b/internal/settings/options.go
@@ -1,4 +1,4 @@
-package options
+package settings
 
 import (
 	"errors"
--- a/internal/tollbook/book_test.go
+++ b/internal/wal/book_test.go
@@ -1,4 +1,4 @@
-package tollbook
+package wal
 
 import (
 	"errors"
