--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -87,7 +87,7 @@
 	seeds   []string
 	nodes   []*hollow
 	load    load
-	lines   *rpc.Lines
+	lines   *rpc.Clients
 	t0      time.Time
 	service int
 }
@@ -173,10 +173,10 @@
 		return nil
 	}
 	zone := fmt.Sprint("zone-", i%8)
-	h.ag.Start(&meshpb.NodeState{Name: name, Life: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: "up",
-		Endpoint: &meshpb.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: "ready", Sound: true, Release: "v1"}})
+	h.ag.Start(&meshpb.NodeState{Name: name, Incarnation: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: "up",
+		Endpoint: &meshpb.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: "ready", Healthy: true, SoftwareVersion: "v1"}})
 	mux := http.NewServeMux()
-	mux.Handle(meshpb.NodePathPrefix, meshpb.NewNodeServer(h.ag))
+	rpc.Handle(mux, meshpb.NewNodeServer(h.ag))
 	h.srv = &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
 	go h.srv.Serve(counted{l, &b.load})
 	ctx, stop := context.WithCancel(context.Background())
@@ -471,7 +471,7 @@
 		return err
 	}
 	defer os.RemoveAll(d)
-	b := &bench{lines: rpc.NewLines(&http.Client{Transport: rpc.Transport(time.Second, 5*time.Second, 90*time.Second, 4)}), t0: time.Now(), service: s.Services}
+	b := &bench{lines: rpc.NewClients(&http.Client{Transport: rpc.Transport(time.Second, 5*time.Second, 90*time.Second, 4)}), t0: time.Now(), service: s.Services}
 	var once sync.Once
 	end := func() { once.Do(b.close) }
 	defer end()
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -60,7 +60,7 @@
 	svc    *coordination.Service
 	master *clustercontroller.Master
 	conf   uint64
-	lines  *rpc.Lines
+	lines  *rpc.Clients
 }
 
 func (c *coreNode) SaveView(ctx context.Context, v *meshpb.View) error {
@@ -88,26 +88,26 @@
 	return v
 }
 
-func kept(t replication.Table, viewEpoch uint64) *meshpb.Kept {
+func kept(t replication.Table, viewEpoch uint64) *meshpb.StoredVersions {
 	c, v := t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)
-	return &meshpb.Kept{Config: c.GetVersion(), ConfigSum: xxhash.Sum64(c.GetData()), View: v.GetVersion(), ViewEpoch: viewEpoch, ViewSum: xxhash.Sum64(v.GetData())}
+	return &meshpb.StoredVersions{ConfigVersion: c.GetVersion(), ConfigDigest: xxhash.Sum64(c.GetData()), ViewVersion: v.GetVersion(), ViewEpoch: viewEpoch, ViewDigest: xxhash.Sum64(v.GetData())}
 }
 
 // bundle gives what this member's copy of shard 0 holds of what the master names.
-func (c *coreNode) bundle(k *meshpb.Kept) clustercontroller.Bundle {
+func (c *coreNode) bundle(k *meshpb.StoredVersions) clustercontroller.Bundle {
 	type pair struct{ conf, view *meshpb.Blob }
 	p, _ := replication.Ask(c.loop, func() pair {
 		t := c.board.Table(0)
 		return pair{t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)}
 	})
 	var b clustercontroller.Bundle
-	if p.conf.GetVersion() == k.Config && k.Config > 0 && xxhash.Sum64(p.conf.Data) == k.ConfigSum {
+	if p.conf.GetVersion() == k.ConfigVersion && k.ConfigVersion > 0 && xxhash.Sum64(p.conf.Data) == k.ConfigDigest {
 		x := &meshpb.Config{}
 		if proto.Unmarshal(p.conf.Data, x) == nil {
 			b.Config = x.Packed
 		}
 	}
-	if p.view.GetVersion() == k.View && k.View > 0 && xxhash.Sum64(p.view.Data) == k.ViewSum {
+	if p.view.GetVersion() == k.ViewVersion && k.ViewVersion > 0 && xxhash.Sum64(p.view.Data) == k.ViewDigest {
 		if v := keptView(p.view); v.Epoch > 0 && v.Epoch == k.ViewEpoch {
 			b.View, _ = proto.Marshal(v.Lean())
 		}
@@ -164,17 +164,17 @@
 
 // SetState keeps a user state beside the others in shard 0; the master caps the
 // node's state with it from the next view on.
-func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateReq) (*meshpb.SetStateResp, error) {
+func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
 	if !clustercontroller.UserState(q.State) {
-		return &meshpb.SetStateResp{Why: "a state is one of up, maintenance, retired, down"}, nil
+		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	held := c.board.Leased()
 	known, _ := replication.Ask(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
 	if !held {
-		return &meshpb.SetStateResp{Why: "not the master", MasterAddr: c.masterAddr()}, nil
+		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.masterAddr()}, nil
 	}
 	if !known {
-		return &meshpb.SetStateResp{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
+		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
 	}
 	u, err := coordination.Run(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, map[string]string) {
 		u := users(t)
@@ -190,10 +190,10 @@
 		return &meshpb.Change{Blob: &meshpb.Blob{Name: usersBlob, Data: data}}, u
 	})
 	if err != nil || u == nil {
-		return &meshpb.SetStateResp{Why: "the state may or may not have been kept; ask again"}, nil
+		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
 	}
 	c.master.Loop.Put(func() { c.master.SetUsers(u, q.Node) })
-	return &meshpb.SetStateResp{Ok: true}, nil
+	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
 func (c *coreNode) masterAddr() string {
@@ -206,10 +206,10 @@
 	return a
 }
 
-func (c *coreNode) Hello(_ context.Context, q *meshpb.HelloReq) (*meshpb.HelloResp, error) {
-	r, _ := replication.Ask(c.master.Loop, func() *meshpb.HelloResp {
+func (c *coreNode) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
+	r, _ := replication.Ask(c.master.Loop, func() *meshpb.RegisterNodeResponse {
 		l, is := c.master.Hello(q.Node)
-		return &meshpb.HelloResp{Master: is, Last: l}
+		return &meshpb.RegisterNodeResponse{Master: is, LastEndpoint: l}
 	})
 	r.Membership, _ = replication.Ask(c.loop, func() *meshpb.Membership { return c.board.Membership() })
 	if !r.Master {
@@ -239,23 +239,23 @@
 	}
 }
 
-func holds(t replication.Table, k *meshpb.Kept) bool {
-	return t.Blob(controlapi.ConfigBlob).GetVersion() == k.GetConfig() && t.Blob(viewBlob).GetVersion() == k.GetView()
+func holds(t replication.Table, k *meshpb.StoredVersions) bool {
+	return t.Blob(controlapi.ConfigBlob).GetVersion() == k.GetConfigVersion() && t.Blob(viewBlob).GetVersion() == k.GetViewVersion()
 }
 
 var errNotMine = errors.New("not the master that this member follows")
 
 // Relay brings what the master sends to some of its nodes, while this member's
 // lease to it runs: one that was cut off or frozen is not spoken for.
-func (c *coreNode) Relay(ctx context.Context, q *meshpb.RelayReq) (*meshpb.RelayResp, error) {
+func (c *coreNode) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	epoch := max(q.GetPoll().GetEpoch(), q.GetView().GetEpoch(), q.GetConfig().GetEpoch())
 	if !c.await(ctx, func() (done, never bool) { return c.board.Follows(0, epoch), c.board.Promised(0) > epoch }) {
 		return nil, errNotMine
 	}
 	b := sync.OnceValue(func() clustercontroller.Bundle {
 		// The copy may be about to come.
-		c.await(ctx, func() (bool, bool) { return holds(c.board.Table(0), q.Kept), false })
-		return c.bundle(q.Kept)
+		c.await(ctx, func() (bool, bool) { return holds(c.board.Table(0), q.Stored), false })
+		return c.bundle(q.Stored)
 	})
 	return clustercontroller.Relay(ctx, c.lines, q, b), nil
 }
@@ -315,7 +315,7 @@
 	if err != nil {
 		return err
 	}
-	lines := rpc.NewLines(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
+	lines := rpc.NewClients(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
 	loop := replication.NewLoop()
 	c := &coreNode{process: p, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
 	c.master = clustercontroller.NewMaster(clustercontroller.Options{
@@ -347,9 +347,9 @@
 
 	door := replication.Door{Loop: loop, Board: c.board}
 	mux := http.NewServeMux()
-	mux.Handle(meshpb.ExchangePathPrefix, meshpb.NewExchangeServer(door))
-	mux.Handle(meshpb.ControlPathPrefix, meshpb.NewControlServer(c))
-	mux.Handle(meshpb.TracerPathPrefix, meshpb.NewTracerServer(teller{process: p}))
+	rpc.Handle(mux, meshpb.NewReplicationServer(door))
+	rpc.Handle(mux, meshpb.NewControlServer(c))
+	rpc.Handle(mux, meshpb.NewDiagnosticsServer(teller{process: p}))
 	is := &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute}
 	go is.Serve(inner)
 	api := controlapi.NewCore(c.svc, 650*time.Millisecond)
--- a/cmd/corkcove/keys.go
+++ b/cmd/corkcove/keys.go
@@ -25,7 +25,7 @@
 	Refused  uint64    `json:"refusedForWantOfPlaces"`
 }
 
-func sheetOf(m *meshpb.StatusResp) keySheet {
+func sheetOf(m *meshpb.StatusResponse) keySheet {
 	s := keySheet{Hot: []keyLine{}, Widened: m.GetHotCounts().GetWidened(), Narrowed: m.GetHotCounts().GetNarrowed(), Refused: m.GetHotCounts().GetRefused()}
 	for _, k := range m.Hot {
 		s.Hot = append(s.Hot, keyLine{fmt.Sprintf("%016x", k.Key), k.Service, k.Route, k.Width, k.PerS, k.Nodes, clock(k.SinceUs), k.Why})
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -16,9 +16,9 @@
 )
 
 // Pin answers nodes that ask for the instance of a session.
-func (c *coreNode) Pin(ctx context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
+func (c *coreNode) PinSession(ctx context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	if q.Key == "" || len(q.Allowed) == 0 {
-		return &meshpb.PinResp{}, nil
+		return &meshpb.PinResponse{}, nil
 	}
 	p, err := c.svc.Pin(ctx, q)
 	if errors.Is(err, replication.ErrElsewhere) {
@@ -28,17 +28,17 @@
 			}
 			return ""
 		})
-		return &meshpb.PinResp{OwnerAddr: a}, nil
+		return &meshpb.PinResponse{OwnerAddr: a}, nil
 	}
 	if err != nil {
-		return &meshpb.PinResp{}, nil
+		return &meshpb.PinResponse{}, nil
 	}
 	return p.Resp(), nil
 }
 
 // pinAsker asks the core about sessions; it remembers who answered.
 type pinAsker struct {
-	lines *rpc.Lines
+	lines *rpc.Clients
 	ag    *clustercontroller.Agent
 	mu    sync.Mutex
 	last  map[byte]string
@@ -51,7 +51,7 @@
 
 var errPin = errors.New("no core node answered")
 
-func (a *pinAsker) ask(ctx context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
+func (a *pinAsker) ask(ctx context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	a.mu.Lock()
 	first := a.last[q.Key[0]]
 	a.mu.Unlock()
@@ -65,7 +65,7 @@
 		to := todo[0]
 		todo = todo[1:]
 		cx, end := context.WithTimeout(ctx, pinCall)
-		r, err := a.lines.Control(to).Pin(cx, q)
+		r, err := a.lines.Control(to).PinSession(cx, q)
 		end()
 		switch {
 		case err != nil:
@@ -81,15 +81,15 @@
 	return nil, errPin
 }
 
-func (p *process) newCords(lines *rpc.Lines, ag *clustercontroller.Agent) *affinity.Cords {
+func (p *process) newCords(lines *rpc.Clients, ag *clustercontroller.Agent) *affinity.Cords {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Secs(p.o.Pins.IdleS)
 	return affinity.New(affinity.Options{Ask: a.ask, Now: time.Now, Config: ag.Config, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Pins.Most,
 		Trace: func(what, key string) { p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
 }
 
-func (t teller) Sessions(_ context.Context, q *meshpb.SessionsReq) (*meshpb.SessionsResp, error) {
-	r := &meshpb.SessionsResp{Node: t.o.Self.NodeName}
+func (t teller) Sessions(_ context.Context, q *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
+	r := &meshpb.SessionsResponse{Node: t.o.Self.NodeName}
 	if t.cords != nil {
 		r.Sessions, r.Moves, r.Dropped = t.cords.Report(q.Since)
 		r.Config = t.config()
--- a/cmd/corkcove/replaying.go
+++ b/cmd/corkcove/replaying.go
@@ -50,11 +50,11 @@
 		return err
 	}
 	s := saving{t: t, w: w, addr: addr, views: map[viewMark]bool{}, configs: map[uint64]bool{}}
-	silent := eachOf(ss, most, func(addr string) (*meshpb.TicketsResp, error) { return t.tickets(addr, span) }, s.node)
+	silent := eachOf(ss, most, func(addr string) (*meshpb.RequestRecordsResponse, error) { return t.tickets(addr, span) }, s.node)
 	if err := s.err; err != nil {
 		return err
 	}
-	if err := w.Close(&meshpb.Tail{MadeUs: time.Now().UnixMicro(), SpanUs: span.Microseconds(), Silent: silent}); err != nil {
+	if err := w.Close(&meshpb.ReplayTrailer{CreatedUs: time.Now().UnixMicro(), SpanUs: span.Microseconds(), Unreachable: silent}); err != nil {
 		return err
 	}
 	if err := out.Flush(); err != nil {
@@ -97,12 +97,12 @@
 	err             error
 }
 
-func (s *saving) node(r *meshpb.TicketsResp) {
+func (s *saving) node(r *meshpb.RequestRecordsResponse) {
 	if s.err != nil {
 		return
 	}
 	s.nodes++
-	s.requests += len(r.Tickets)
+	s.requests += len(r.Records)
 	if r.LostUs > 0 {
 		s.lossy++
 		s.lost = max(s.lost, time.Duration(r.LostUs)*time.Microsecond)
@@ -110,7 +110,7 @@
 	if s.err = s.w.Node(r); s.err != nil {
 		return
 	}
-	q := &meshpb.PartsReq{}
+	q := &meshpb.SnapshotsRequest{}
 	for _, v := range r.Views {
 		if !s.views[viewMark{v.Epoch, v.Version}] {
 			q.Views = append(q.Views, v)
@@ -124,7 +124,7 @@
 	if len(q.Views)+len(q.Configs) == 0 {
 		return
 	}
-	p, err := rpc.Call(toolWait, s.t.lines.Tracer(s.addr[r.Node]).Parts, q)
+	p, err := rpc.Call(toolWait, s.t.lines.Diagnostics(s.addr[r.Node]).Snapshots, q)
 	if err != nil {
 		return
 	}
@@ -147,18 +147,18 @@
 	return "."
 }
 
-func (t *tool) tickets(addr string, span time.Duration) (*meshpb.TicketsResp, error) {
-	var all *meshpb.TicketsResp
+func (t *tool) tickets(addr string, span time.Duration) (*meshpb.RequestRecordsResponse, error) {
+	var all *meshpb.RequestRecordsResponse
 	from := uint32(0)
 	for {
-		r, err := rpc.Call(toolWait, t.lines.Tracer(addr).Tickets, &meshpb.TicketsReq{SpanUs: span.Microseconds(), From: from, Most: ticketPage})
+		r, err := rpc.Call(toolWait, t.lines.Diagnostics(addr).RequestRecords, &meshpb.RequestRecordsRequest{SpanUs: span.Microseconds(), Offset: from, Limit: ticketPage})
 		if err != nil {
 			return nil, err
 		}
 		if all == nil {
 			all = r
 		} else {
-			all.Tickets = append(all.Tickets, r.Tickets...)
+			all.Records = append(all.Records, r.Records...)
 		}
 		if r.Next == 0 {
 			return all, nil
--- a/cmd/corkcove/sessions.go
+++ b/cmd/corkcove/sessions.go
@@ -48,7 +48,7 @@
 	Silent   []string      `json:"didNotAnswer"`
 }
 
-func joinSessions(rs []*meshpb.SessionsResp, silent []string) sessionSheet {
+func joinSessions(rs []*meshpb.SessionsResponse, silent []string) sessionSheet {
 	type at struct{ key, service string }
 	type seat struct {
 		at
@@ -166,14 +166,14 @@
 const askAtOnce = 16
 
 // each calls all nodes that the master knows, and names those that are silent.
-func each[R any](ss []*meshpb.StatusResp, call func(addr string) (R, error)) (out []R, silent []string) {
+func each[R any](ss []*meshpb.StatusResponse, call func(addr string) (R, error)) (out []R, silent []string) {
 	silent = eachOf(ss, askAtOnce, call, func(r R) { out = append(out, r) })
 	return out, silent
 }
 
 // eachOf calls all nodes, most at once, and hands on each answer as it comes,
 // one at a time.
-func eachOf[R any](ss []*meshpb.StatusResp, most int, call func(addr string) (R, error), got func(R)) (silent []string) {
+func eachOf[R any](ss []*meshpb.StatusResponse, most int, call func(addr string) (R, error), got func(R)) (silent []string) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	sem := make(chan bool, most)
@@ -217,8 +217,8 @@
 	if !ss[0].Master {
 		return clustercontroller.Error.New("there is no master now, so the nodes are not known")
 	}
-	rs, silent := each(ss, func(addr string) (*meshpb.SessionsResp, error) {
-		return rpc.Call(toolWait, t.lines.Tracer(addr).Sessions, &meshpb.SessionsReq{Since: from})
+	rs, silent := each(ss, func(addr string) (*meshpb.SessionsResponse, error) {
+		return rpc.Call(toolWait, t.lines.Diagnostics(addr).Sessions, &meshpb.SessionsRequest{Since: from})
 	})
 	s := joinSessions(rs, silent)
 	t.print(s, s.String())
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -97,7 +97,7 @@
 		Note: p.note("subscriber"), Changed: func(l endpointagent.Life) {
 			ag.Set(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
-					Slots: uint32(l.Slots), State: l.State, ColdMs: uint64(l.Cold / time.Millisecond), Release: l.Release, Sound: l.Sound, Ill: uint32(l.Ill)}
+					Slots: uint32(l.Slots), State: l.State, WarmupMs: uint64(l.Cold / time.Millisecond), SoftwareVersion: l.Release, Healthy: l.Sound, FailurePercent: uint32(l.Ill)}
 			})
 		}})
 
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -30,10 +30,10 @@
 // role says of itself.
 func (p *process) newStation(pools *proxy.Pools, n *meshpb.NodeState) station {
 	o, bd := p.o, p.o.Terms.Bounds
-	lines := rpc.NewLines(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
+	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	ag := &clustercontroller.Agent{Lines: lines, Seeds: o.SeedInner(), Life: newID(), Name: o.Self.NodeName, Quiet: 2400 * time.Millisecond,
 		Now: p.now, Note: p.note("supervisor"), Trace: p.trace}
-	n.Name, n.Life, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Life, o.InnerAddr(), o.Self.ZoneName, "up"
+	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Life, o.InnerAddr(), o.Self.ZoneName, "up"
 	ag.Start(n)
 	tickets := p.newTickets()
 	ag.OnView = func(v *meshpb.View) {
@@ -73,16 +73,16 @@
 			}
 		}
 		was = now
-		tell(func(n *meshpb.NodeState) { n.Reads = ks })
+		tell(func(n *meshpb.NodeState) { n.KeyRates = ks })
 	}
 }
 
 // serve answers the master and the tools.
 func (s station) serve(l net.Listener, flows *proxy.Flows, near uint32) {
 	mux := http.NewServeMux()
-	mux.Handle(meshpb.NodePathPrefix, meshpb.NewNodeServer(s.ag))
+	rpc.Handle(mux, meshpb.NewNodeServer(s.ag))
 	far, heavy := s.pools.Weights()
-	mux.Handle(meshpb.TracerPathPrefix, meshpb.NewTracerServer(teller{process: s.process, flows: flows, far: far, heavy: heavy, cords: s.cords,
+	rpc.Handle(mux, meshpb.NewDiagnosticsServer(teller{process: s.process, flows: flows, far: far, heavy: heavy, cords: s.cords,
 		config: s.ag.Config, tickets: s.tickets, near: near}))
 	is := &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute}
 	go is.Serve(l)
--- a/cmd/corkcove/tickets.go
+++ b/cmd/corkcove/tickets.go
@@ -16,14 +16,14 @@
 	return requestlog.New(p.o.Record.Requests, settings.Secs(p.o.Record.SpanS), time.Now)
 }
 
-func (t teller) Tickets(_ context.Context, q *meshpb.TicketsReq) (*meshpb.TicketsResp, error) {
-	r := t.tickets.Report(time.Duration(q.SpanUs)*time.Microsecond, q.From, q.Most)
+func (t teller) RequestRecords(_ context.Context, q *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
+	r := t.tickets.Report(time.Duration(q.SpanUs)*time.Microsecond, q.Offset, q.Limit)
 	s, b := t.o.Self, t.o.Terms.Bounds
 	r.Node, r.Zone, r.Service, r.Role = s.NodeName, s.ZoneName, s.ServiceName, t.role
-	r.Ratio, r.Slack, r.WindowS, r.Far, r.Heavy, r.Near = b.RetryRatio, b.RetrySlack, b.RetryWindowS, t.far, t.heavy, t.near
+	r.Ratio, r.Slack, r.WindowS, r.RemoteWeight, r.BulkWeight, r.PreferredEndpoints = b.RetryRatio, b.RetrySlack, b.RetryWindowS, t.far, t.heavy, t.near
 	return r, nil
 }
 
-func (t teller) Parts(_ context.Context, q *meshpb.PartsReq) (*meshpb.PartsResp, error) {
+func (t teller) Snapshots(_ context.Context, q *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
 	return t.tickets.Parts(q), nil
 }
--- a/cmd/corkcove/tools.go
+++ b/cmd/corkcove/tools.go
@@ -25,7 +25,7 @@
 
 // tool knows how to reach the core.
 type tool struct {
-	lines *rpc.Lines
+	lines *rpc.Clients
 	cores []string
 	json  bool
 }
@@ -41,14 +41,14 @@
 		}
 		cores = o.SeedInner()
 	}
-	return &tool{lines: rpc.NewLines(&http.Client{Transport: rpc.Transport(time.Second, 2*time.Second, time.Second, 2)}), cores: cores, json: asJSON}, nil
+	return &tool{lines: rpc.NewClients(&http.Client{Transport: rpc.Transport(time.Second, 2*time.Second, time.Second, 2)}), cores: cores, json: asJSON}, nil
 }
 
 // status asks each core node known; the master's answer comes first.
-func (t *tool) status() ([]*meshpb.StatusResp, error) {
+func (t *tool) status() ([]*meshpb.StatusResponse, error) {
 	seen := map[string]bool{}
 	todo := append([]string{}, t.cores...)
-	var out []*meshpb.StatusResp
+	var out []*meshpb.StatusResponse
 	var last error
 	for len(todo) > 0 {
 		a := todo[0]
@@ -57,7 +57,7 @@
 			continue
 		}
 		seen[a] = true
-		r, err := rpc.Call(toolWait, t.lines.Control(a).Status, &meshpb.StatusReq{})
+		r, err := rpc.Call(toolWait, t.lines.Control(a).Status, &meshpb.StatusRequest{})
 		if err != nil {
 			last = err
 			continue
@@ -128,7 +128,7 @@
 }
 
 // shardText tells who owns what, how far the copies are, and what may be lost.
-func shardText(ss []*meshpb.StatusResp) string {
+func shardText(ss []*meshpb.StatusResponse) string {
 	var b strings.Builder
 	lose, learners := map[uint32]int32{}, map[string]bool{}
 	for _, s := range ss {
@@ -181,7 +181,7 @@
 	todo := append([]string{}, t.cores...)
 	why := "no core node answers"
 	for i := 0; i < len(todo) && i < 8; i++ {
-		r, err := rpc.Call(toolWait, t.lines.Control(todo[i]).SetState, &meshpb.SetStateReq{Node: node, State: state})
+		r, err := rpc.Call(toolWait, t.lines.Control(todo[i]).SetState, &meshpb.SetStateRequest{Node: node, State: state})
 		if err != nil {
 			continue
 		}
@@ -202,7 +202,7 @@
 }
 
 // all names every process that the core knows, with its address.
-func all(ss []*meshpb.StatusResp) map[string]string {
+func all(ss []*meshpb.StatusResponse) map[string]string {
 	at := map[string]string{}
 	for _, s := range ss {
 		for _, m := range s.Membership.GetMembers() {
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (t *tool) origins() ([]loadestimate.Origin, *meshpb.StatusResp, error) {
+func (t *tool) origins() ([]loadestimate.Origin, *meshpb.StatusResponse, error) {
 	ss, err := t.status()
 	if err != nil {
 		return nil, nil, err
@@ -246,12 +246,12 @@
 		if n.Addr == "" {
 			continue
 		}
-		r, err := rpc.Call(toolWait, t.lines.Tracer(n.Addr).Flows, &meshpb.FlowsReq{})
+		r, err := rpc.Call(toolWait, t.lines.Diagnostics(n.Addr).Flows, &meshpb.FlowsRequest{})
 		if err != nil {
 			fmt.Fprintf(stderr, "%s did not answer; its requests are left out\n", n.Name)
 			continue
 		}
-		os = append(os, loadestimate.Origin{Node: r.Node, Zone: r.Zone, Far: r.Far, Heavy: r.Heavy, Flows: r.Flows})
+		os = append(os, loadestimate.Origin{Node: r.Node, Zone: r.Zone, Far: r.RemoteWeight, Heavy: r.BulkWeight, Flows: r.Flows})
 	}
 	return os, ss[0], nil
 }
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -25,9 +25,9 @@
 	near    uint32
 }
 
-func (t teller) Trace(_ context.Context, q *meshpb.TraceReq) (*meshpb.TraceResp, error) {
-	r := &meshpb.TraceResp{Node: t.o.Self.NodeName, Role: t.role}
-	c, err := changetrace.Parse(q.What)
+func (t teller) Trace(_ context.Context, q *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
+	r := &meshpb.TraceResponse{Node: t.o.Self.NodeName, Role: t.role}
+	c, err := changetrace.Parse(q.Subject)
 	if err != nil {
 		return nil, err
 	}
@@ -36,8 +36,8 @@
 	return r, nil
 }
 
-func (t teller) Flows(context.Context, *meshpb.FlowsReq) (*meshpb.FlowsResp, error) {
-	r := &meshpb.FlowsResp{Node: t.o.Self.NodeName, Zone: t.o.Self.ZoneName, Far: t.far, Heavy: t.heavy}
+func (t teller) Flows(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
+	r := &meshpb.FlowsResponse{Node: t.o.Self.NodeName, Zone: t.o.Self.ZoneName, RemoteWeight: t.far, BulkWeight: t.heavy}
 	if t.flows != nil {
 		f, span := t.flows.Report()
 		r.Flows, r.WindowS = f, span.Seconds()
@@ -68,8 +68,8 @@
 	c.steps.Add(s)
 }
 
-func (c *coreNode) Status(context.Context, *meshpb.StatusReq) (*meshpb.StatusResp, error) {
-	r := &meshpb.StatusResp{Node: c.o.Self.NodeName}
+func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
+	r := &meshpb.StatusResponse{Node: c.o.Self.NodeName}
 	replication.Ask(c.loop, func() bool {
 		r.Membership, r.Shards, r.DiskSound, r.Member = c.board.Membership(), c.board.Lines(), c.board.Sound(), !c.board.Blank()
 		if m, ok := c.board.Owner(0); ok {
@@ -89,7 +89,7 @@
 				if e.Node == "" {
 					r.Listed++
 				}
-				if e.Grey {
+				if e.Outlier {
 					r.Greys = append(r.Greys, e.Service+" "+e.Id)
 				}
 			}
--- a/internal/affinity/cord.go
+++ b/internal/affinity/cord.go
@@ -54,7 +54,7 @@
 }
 
 type Options struct {
-	Ask    func(context.Context, *meshpb.PinReq) (*meshpb.PinResp, error)
+	Ask    func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error)
 	Now    func() time.Time
 	Config func() uint64
 	// Settle is how long an instance must have been out of the view before its
@@ -259,7 +259,7 @@
 		if want == "" {
 			return Place{State: Lease, Wait: c.o.Settle}
 		}
-		r, err := c.o.Ask(ctx, &meshpb.PinReq{Key: q.Key, Allowed: q.Allowed, Service: service, Want: want, From: from, Why: why, Config: c.o.Config()})
+		r, err := c.o.Ask(ctx, &meshpb.PinRequest{Key: q.Key, Allowed: q.Allowed, Service: service, Want: want, From: from, Reason: why, Config: c.o.Config()})
 		if err != nil || !r.Ok || r.Endpoint == "" {
 			if known {
 				return Place{State: Lease, Wait: c.o.Settle}
@@ -268,8 +268,8 @@
 			return Place{Service: service, Endpoint: want, State: Loose}
 		}
 		to := spot{q.Key, r.Service}
-		if r.Why != "" {
-			why = r.Why
+		if r.Reason != "" {
+			why = r.Reason
 		}
 		switch {
 		case known && (r.Endpoint != p.endpoint || r.Service != at.service):
@@ -317,7 +317,7 @@
 		return
 	}
 	go func() {
-		r, err := c.o.Ask(context.WithoutCancel(ctx), &meshpb.PinReq{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.Config()})
+		r, err := c.o.Ask(context.WithoutCancel(ctx), &meshpb.PinRequest{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.Config()})
 		if err == nil && r.Ok && r.Endpoint != "" && r.Endpoint != p.endpoint {
 			c.moved(at, at, p.endpoint, r.Endpoint, "LEARNT")
 			c.set(at, r.Endpoint, true)
--- a/internal/affinity/cord_test.go
+++ b/internal/affinity/cord_test.go
@@ -97,7 +97,7 @@
 	c.t.Load(s, 0, false)
 }
 
-func (c *core) answer(q *meshpb.PinReq) *meshpb.PinResp {
+func (c *core) answer(q *meshpb.PinRequest) *meshpb.PinResponse {
 	ch, p := c.t.Pin(q, 0)
 	if ch != nil {
 		c.t.Apply(ch, 0)
@@ -115,7 +115,7 @@
 func newPlayer(k *core, now *time.Time, see *seats) *player {
 	p := &player{see: see, conf: 1}
 	p.c = New(Options{Now: func() time.Time { return *now }, Config: func() uint64 { return p.conf }, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(_ context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
+		Ask: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			p.yield()
 			return k.answer(q), nil
 		}})
@@ -251,7 +251,9 @@
 	p.yield = direct
 	was := p.find("k1", "s").Endpoint
 	silent := New(Options{Now: p.c.o.Now, Config: p.c.o.Config, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(context.Context, *meshpb.PinReq) (*meshpb.PinResp, error) { return nil, errors.New("silent") }})
+		Ask: func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+			return nil, errors.New("silent")
+		}})
 	silent.Known("k1", "s", was)
 	q := func(key string) Place {
 		return silent.Find(context.Background(), Ask{Key: key, Allowed: []string{"s"}, Service: "s"}, see)
@@ -293,7 +295,7 @@
 	tb := coordination.NewTable(time.Minute)
 	tb.BoundPins(10*time.Second, 3)
 	ask := func(key string, now time.Duration) coordination.Pinned {
-		c, p := tb.Pin(&meshpb.PinReq{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
+		c, p := tb.Pin(&meshpb.PinRequest{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
 		if c != nil {
 			tb.Apply(c, now)
 		}
--- a/internal/changetrace/tracer.go
+++ b/internal/changetrace/tracer.go
@@ -86,7 +86,7 @@
 }
 
 // Find gives the steps of a change, and the first commit that covers it.
-func (r *Ring) Find(c Change) []*meshpb.TraceLine {
+func (r *Ring) Find(c Change) []*meshpb.TraceEvent {
 	ss := r.all()
 	if c.Version == 0 {
 		for _, s := range ss {
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	var out []*meshpb.TraceLine
+	var out []*meshpb.TraceEvent
 	marks := map[[2]uint64]int{}
 	for _, s := range ss {
 		hit := s.Kind == c.Kind && s.Version == c.Version
@@ -117,7 +117,7 @@
 				marks[[2]uint64{s.Epoch, s.Mark}] = s.Shard
 			}
 		}
-		out = append(out, &meshpb.TraceLine{AtUs: s.At.UnixMicro(), Step: s.What, Epoch: s.Epoch, Detail: d})
+		out = append(out, &meshpb.TraceEvent{AtUs: s.At.UnixMicro(), Step: s.What, Epoch: s.Epoch, Detail: d})
 	}
 	return out
 }
@@ -143,7 +143,7 @@
 }
 
 // Gather asks every process by name and address.
-func Gather(l *rpc.Lines, what string, at map[string]string, wait time.Duration) Report {
+func Gather(l *rpc.Clients, what string, at map[string]string, wait time.Duration) Report {
 	rep := Report{Change: what, Silent: []string{}, Nodes: []Node{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -151,7 +151,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, err := rpc.Call(wait, l.Tracer(a).Trace, &meshpb.TraceReq{What: what})
+			r, err := rpc.Call(wait, l.Diagnostics(a).Trace, &meshpb.TraceRequest{Subject: what})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/clustercontroller/agent.go
+++ b/internal/clustercontroller/agent.go
@@ -15,7 +15,7 @@
 // Agent is a node's side: it answers polls, takes views and configurations
 // whose epoch and version rise, and says hello while no master polls it.
 type Agent struct {
-	Lines  *rpc.Lines
+	Lines  *rpc.Clients
 	Seeds  []string
 	Life   string
 	Name   string
@@ -83,17 +83,17 @@
 	return true
 }
 
-func (a *Agent) Poll(ctx context.Context, q *meshpb.PollReq) (*meshpb.PollResp, error) {
+func (a *Agent) Poll(ctx context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	a.mu.Lock()
 	if q.Name != a.Name || !a.fence(q.Epoch) {
-		r := &meshpb.PollResp{Stale: true, Epoch: a.epoch}
+		r := &meshpb.PollResponse{Stale: true, Epoch: a.epoch}
 		a.mu.Unlock()
 		return r, nil
 	}
 	// While a poll lingers, or another is promised, no other master is looked for.
-	promised := time.Duration(q.NextMs) * time.Millisecond
+	promised := time.Duration(q.NextPollMs) * time.Millisecond
 	a.polled = a.Now() + promised
-	if q.Life == a.node.Life && q.Seq == a.node.Seq {
+	if q.Incarnation == a.node.Incarnation && q.Seq == a.node.Seq {
 		a.polled += time.Duration(q.LingerMs) * time.Millisecond
 	}
 	if a.cut != nil {
@@ -103,10 +103,10 @@
 	a.cut = c
 	n, w := a.node, a.wake
 	if a.last == nil {
-		a.last = q.Last
+		a.last = q.LastEndpoint
 	}
 	a.mu.Unlock()
-	if q.Life == n.Life && q.Seq == n.Seq {
+	if q.Incarnation == n.Incarnation && q.Seq == n.Seq {
 		t := time.NewTimer(time.Duration(q.LingerMs) * time.Millisecond)
 		defer t.Stop()
 		select {
@@ -128,7 +128,7 @@
 	a.polled = max(a.Now()+promised, a.polledUnless(c))
 	out := proto.Clone(a.node).(*meshpb.NodeState)
 	out.ViewEpoch, out.ViewVersion, out.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.conf
-	return &meshpb.PollResp{Node: out, Epoch: a.epoch}, nil
+	return &meshpb.PollResponse{Node: out, Epoch: a.epoch}, nil
 }
 
 // polledUnless is what a poll that came since the one with that mark has
@@ -140,7 +140,7 @@
 	return 0
 }
 
-func (a *Agent) Publish(_ context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
+func (a *Agent) PublishView(_ context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	v := &meshpb.View{}
 	if err := proto.Unmarshal(q.Packed, v); err != nil {
 		return nil, Error.Wrap(err)
@@ -148,7 +148,7 @@
 	ok := a.take(v, max(q.Epoch, v.Epoch), q.To)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &meshpb.ViewResp{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
+	return &meshpb.PublishViewResponse{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
 }
 
 // take takes a view from a master under an epoch, which may be later than the
@@ -167,8 +167,8 @@
 		a.mu.Unlock()
 		return ok
 	}
-	if v.Base > 0 {
-		if o := a.view; o == nil || o.Epoch != v.Epoch || o.Version != v.Base {
+	if v.BaseVersion > 0 {
+		if o := a.view; o == nil || o.Epoch != v.Epoch || o.Version != v.BaseVersion {
 			a.mu.Unlock()
 			return false
 		}
@@ -184,14 +184,14 @@
 	return true
 }
 
-func (a *Agent) Deliver(_ context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
+func (a *Agent) DeliverConfig(_ context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if q.To != "" && q.To != a.Name {
-		return &meshpb.DeliverResp{}, nil
+		return &meshpb.DeliverConfigResponse{}, nil
 	}
-	ok := a.configure(q.Epoch, q.Version, q.Base, q.Data, q.Patches)
+	ok := a.configure(q.Epoch, q.Version, q.BaseVersion, q.Data, q.Patches)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &meshpb.DeliverResp{Ok: ok, Version: a.conf}, nil
+	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.conf}, nil
 }
 
 func (a *Agent) configure(epoch, version, base uint64, data []byte, patches [][]byte) bool {
@@ -343,14 +343,14 @@
 			continue
 		}
 		asked[c] = true
-		r, err := rpc.Call(helloWait, a.Lines.Control(c).Hello, &meshpb.HelloReq{Node: n})
+		r, err := rpc.Call(helloWait, a.Lines.Control(c).RegisterNode, &meshpb.RegisterNodeRequest{Node: n})
 		if err != nil {
 			continue
 		}
 		if r.Master {
 			a.mu.Lock()
 			if a.last == nil {
-				a.last = r.Last
+				a.last = r.LastEndpoint
 			}
 			a.mu.Unlock()
 			return true
--- a/internal/clustercontroller/delta_test.go
+++ b/internal/clustercontroller/delta_test.go
@@ -27,7 +27,7 @@
 	drop   bool
 }
 
-func (e *eavesdrop) Publish(c context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
+func (e *eavesdrop) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	e.mu.Lock()
 	v := &meshpb.View{}
 	proto.Unmarshal(q.Packed, v)
@@ -37,12 +37,12 @@
 	if d {
 		return nil, errCut
 	}
-	return e.Node.Publish(c, q)
+	return e.Node.PublishView(c, q)
 }
 
-func (e *eavesdrop) Deliver(c context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
+func (e *eavesdrop) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	e.mu.Lock()
-	if q.Base > 0 {
+	if q.BaseVersion > 0 {
 		e.steps += len(q.Patches)
 		for _, p := range q.Patches {
 			e.bytes += len(p)
@@ -55,7 +55,7 @@
 	if d {
 		return nil, errCut
 	}
-	return e.Node.Deliver(c, q)
+	return e.Node.DeliverConfig(c, q)
 }
 
 func config(version, routes int, timeout float64) []byte {
@@ -105,7 +105,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			now, err := routeconfig.Read(config(4+i, 400, 3+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
-			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Write()), Steps: append(last.Steps, &meshpb.Step{Base: old.Version, Version: now.Version, Patch: rpc.Pack(now.Since(old))})}
+			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Write()), Patches: append(last.Patches, &meshpb.ConfigPatch{BaseVersion: old.Version, Version: now.Version, Patch: rpc.Pack(now.Since(old))})}
 			if i == 4 {
 				// Another master, which has never led, knows the way from the control state.
 				s.do(s.m.Step)
@@ -128,7 +128,7 @@
 		s.ns[3].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		pass(time.Second)
 		qt.Assert(t, len(e.views), qt.Equals, n+1)
-		qt.Assert(t, e.views[n].Base > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
+		qt.Assert(t, e.views[n].BaseVersion > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
 		qt.Assert(t, s.count(0), qt.Equals, 12)
 
 		e.mu.Lock()
@@ -152,7 +152,7 @@
 		e.mu.Unlock()
 		pass(time.Second)
 		for _, v := range e.views[n:] {
-			qt.Assert(t, v.Base > 0, qt.IsTrue, qt.Commentf("a whole view was sent"))
+			qt.Assert(t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("a whole view was sent"))
 		}
 		qt.Assert(t, a.View().Version, qt.Equals, s.st.v.Version)
 		e.mu.Lock()
@@ -167,7 +167,7 @@
 		n = len(e.views)
 		e.mu.Unlock()
 		pass(3 * time.Second)
-		qt.Assert(t, e.views[len(e.views)-1].Base, qt.Equals, uint64(0), qt.Commentf("whole on a gap"))
+		qt.Assert(t, e.views[len(e.views)-1].BaseVersion, qt.Equals, uint64(0), qt.Commentf("whole on a gap"))
 		s.ns[0].mu.Lock()
 		defer s.ns[0].mu.Unlock()
 		qt.Assert(t, a.View().Version, qt.Equals, s.st.v.Version)
--- a/internal/clustercontroller/grey.go
+++ b/internal/clustercontroller/grey.go
@@ -52,8 +52,8 @@
 				out, copied = slices.Clone(es), true
 			}
 			e := es[i]
-			out[i] = &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: e.State, ColdMs: e.ColdMs,
-				Release: e.Release, Node: e.Node, Inbound: e.Inbound, Sound: e.Sound, Ill: e.Ill, Grey: true}
+			out[i] = &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: e.State, WarmupMs: e.WarmupMs,
+				SoftwareVersion: e.SoftwareVersion, Node: e.Node, Inbound: e.Inbound, Healthy: e.Healthy, FailurePercent: e.FailurePercent, Outlier: true}
 		}
 	}
 	return out
@@ -72,25 +72,25 @@
 type verdicts map[string]*verdict
 
 func (vs verdicts) judge(hs map[string]*history, now time.Duration) map[string]uint32 {
-	sum := map[string]*meshpb.Blame{}
+	sum := map[string]*meshpb.FailureReport{}
 	for _, h := range hs {
 		if !h.reached {
 			continue
 		}
-		for _, b := range h.state.GetBlames() {
+		for _, b := range h.state.GetFailureReports() {
 			s := sum[b.Endpoint]
 			if s == nil {
-				s = &meshpb.Blame{}
+				s = &meshpb.FailureReport{}
 				sum[b.Endpoint] = s
 			}
-			s.Good += b.Good
-			s.Bad += b.Bad
+			s.Successes += b.Successes
+			s.Failures += b.Failures
 		}
 	}
 	out := map[string]uint32{}
 	for id, b := range sum {
 		v := vs[id]
-		if n := b.Good + b.Bad; b.Bad >= blameFew && 100*b.Bad/n >= greyFrom {
+		if n := b.Successes + b.Failures; b.Failures >= blameFew && 100*b.Failures/n >= greyFrom {
 			if v == nil {
 				v = &verdict{rest: greyRest}
 				vs[id] = v
@@ -100,8 +100,8 @@
 			if v.ill == 0 {
 				v.since = now
 			}
-			v.ill = max(100*b.Bad/n, v.ill)
-		} else if v != nil && v.ill > 0 && b.Bad == 0 && b.Good >= greyGood {
+			v.ill = max(100*b.Failures/n, v.ill)
+		} else if v != nil && v.ill > 0 && b.Failures == 0 && b.Successes >= greyGood {
 			v.ill, v.since = 0, now
 		}
 	}
--- a/internal/clustercontroller/grey_test.go
+++ b/internal/clustercontroller/grey_test.go
@@ -21,7 +21,7 @@
 func greys(es []*meshpb.Endpoint) int {
 	n := 0
 	for _, e := range es {
-		if e.Grey {
+		if e.Outlier {
 			n++
 		}
 	}
@@ -49,7 +49,7 @@
 	hs := map[string]*history{}
 	say := func(good, bad uint32) {
 		for i := range 3 {
-			hs[fmt.Sprint("n", i)] = &history{reached: true, state: &meshpb.NodeState{Blames: []*meshpb.Blame{{Endpoint: "e0", Good: good, Bad: bad}}}}
+			hs[fmt.Sprint("n", i)] = &history{reached: true, state: &meshpb.NodeState{FailureReports: []*meshpb.FailureReport{{Endpoint: "e0", Successes: good, Failures: bad}}}}
 		}
 	}
 	say(0, 1)
--- a/internal/clustercontroller/hot_test.go
+++ b/internal/clustercontroller/hot_test.go
@@ -72,14 +72,14 @@
 	h := NewHotKeys(hotRules)
 	es := endpointsOf(10)
 	was, _ := h.Judge(slices.Values(told(100, 7, 4)), es, 0, 0)
-	view := &meshpb.View{Epoch: 1, Version: 3, Hot: was}
+	view := &meshpb.View{Epoch: 1, Version: 3, HotKeys: was}
 	b, err := proto.Marshal(view.Since(&meshpb.View{Epoch: 1, Version: 2}))
 	qt.Assert(t, err, qt.IsNil)
 	d := &meshpb.View{}
 	qt.Assert(t, proto.Unmarshal(b, d), qt.IsNil)
-	kept := d.Onto(&meshpb.View{Epoch: 1, Version: 2, Hot: told7(1)})
+	kept := d.Onto(&meshpb.View{Epoch: 1, Version: 2, HotKeys: told7(1)})
 	n := NewHotKeys(hotRules)
-	n.Load(kept.Hot, 10*time.Second)
+	n.Load(kept.HotKeys, 10*time.Second)
 	// Nobody has told it anything yet.
 	out, steps := n.Judge(slices.Values[[][]*meshpb.KeyRate](nil), es, 11*time.Second, 0)
 	qt.Assert(t, steps, qt.HasLen, 0)
@@ -87,7 +87,7 @@
 	out, steps = n.Judge(slices.Values(told(100, 7, 4)), es, 13*time.Second, 0)
 	qt.Assert(t, steps, qt.HasLen, 0)
 	qt.Assert(t, sameWidths(out, was), qt.IsTrue)
-	qt.Assert(t, view.Lean().Hot, qt.HasLen, 1)
+	qt.Assert(t, view.Lean().HotKeys, qt.HasLen, 1)
 }
 
 func told7(w uint32) []*meshpb.HotKey { return []*meshpb.HotKey{{Key: 7, Service: "s", Width: w}} }
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -43,7 +43,7 @@
 	// nothing to any node.
 	Reached func(addr string) bool
 	// Bundle gives what this member holds of what is kept.
-	Bundle func(*meshpb.Kept) Bundle
+	Bundle func(*meshpb.StoredVersions) Bundle
 	Note   func(f string, a ...any)
 	Trace  func(what string, epoch, version uint64)
 }
@@ -54,7 +54,7 @@
 type Master struct {
 	o     Options
 	Loop  *replication.Loop
-	lines *rpc.Lines
+	lines *rpc.Clients
 	store Store
 
 	leading    bool
@@ -74,7 +74,7 @@
 	hot    []*meshpb.HotKey
 	view   *meshpb.View
 	inner  []*meshpb.Endpoint
-	kept   *meshpb.Kept
+	kept   *meshpb.StoredVersions
 	dirty  bool
 	// rejoining: endpoints that nodes have not found again count as they were.
 	rejoining bool
@@ -84,7 +84,7 @@
 
 	conf    uint64
 	packed  []byte
-	steps   []*meshpb.Step
+	steps   []*meshpb.ConfigPatch
 	sends   map[string]*courier
 	views   []*meshpb.View
 	packs   map[uint64][]byte
@@ -113,7 +113,7 @@
 	again time.Duration
 }
 
-func NewMaster(o Options, l *replication.Loop, lines *rpc.Lines, st Store) *Master {
+func NewMaster(o Options, l *replication.Loop, lines *rpc.Clients, st Store) *Master {
 	return &Master{o: o, Loop: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeys(o.Hot),
 		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
@@ -145,14 +145,14 @@
 	m.making = false
 	m.sends, m.views, m.packs = map[string]*courier{}, nil, nil
 	m.listed = nil
-	m.hot = v.Hot
-	m.hots.Load(v.Hot, now)
+	m.hot = v.HotKeys
+	m.hots.Load(v.HotKeys, now)
 	for _, e := range v.Endpoints {
 		if e.Node == "" {
 			m.listed = append(m.listed, e)
 			continue
 		}
-		was := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: back(e.State), Sound: true, Release: e.Release}
+		was := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: back(e.State), Healthy: true, SoftwareVersion: e.SoftwareVersion}
 		h := m.hs[e.Node]
 		if h == nil {
 			h = &history{state: &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: was}, endpoint: e.Id, last: was}
@@ -161,7 +161,7 @@
 		h.seen, h.fails, h.reached, h.kept = now, 0, true, true
 	}
 	m.rejoining = true
-	for _, l := range v.NodeLines {
+	for _, l := range v.NodeAddresses {
 		name, addr := cut(l)
 		h := m.hs[name]
 		if h == nil {
@@ -194,7 +194,7 @@
 }
 
 // SetKept names what shard 0 keeps; it is called before Lead.
-func (m *Master) SetKept(k *meshpb.Kept) { m.kept = k }
+func (m *Master) SetKept(k *meshpb.StoredVersions) { m.kept = k }
 
 func (m *Master) Step() {
 	if !m.leading {
@@ -237,11 +237,11 @@
 func (m *Master) Knows(node string) bool { return m.hs[node] != nil }
 
 // Nodes tells what the master knows of each node, and why a state was lowered.
-func (m *Master) Nodes() []*meshpb.NodeLine {
-	var out []*meshpb.NodeLine
+func (m *Master) Nodes() []*meshpb.NodeStatus {
+	var out []*meshpb.NodeStatus
 	for n, h := range m.hs {
 		e := h.state.GetEndpoint()
-		l := &meshpb.NodeLine{Name: n, Addr: h.state.GetAddr(), Zone: h.state.GetZone(), Service: h.state.GetService(), Endpoint: e.GetId(),
+		l := &meshpb.NodeStatus{Name: n, Addr: h.state.GetAddr(), Zone: h.state.GetZone(), Service: h.state.GetService(), Endpoint: e.GetId(),
 			Reported: e.GetState(), Official: h.official(m.users[n]), User: m.users[n], Slots: e.GetSlots(), Reached: h.reached}
 		switch {
 		case !h.reached:
@@ -254,10 +254,10 @@
 			l.Why = "an edge: no endpoint beside it"
 		case e == nil:
 			l.Why = "no endpoint known"
-		case !e.Sound:
+		case !e.Healthy:
 			l.Why = "endpoint unsound"
-		case e.Ill > 0:
-			l.Why = "failed " + strconv.Itoa(int(e.Ill)) + "% of late"
+		case e.FailurePercent > 0:
+			l.Why = "failed " + strconv.Itoa(int(e.FailurePercent)) + "% of late"
 		}
 		out = append(out, l)
 	}
@@ -268,7 +268,7 @@
 // SetConfig hands a newly committed configuration to all nodes at once.
 func (m *Master) SetConfig(c *meshpb.Config) {
 	if c.GetVersion() > m.conf {
-		m.conf, m.packed, m.steps = c.Version, c.Packed, c.Steps
+		m.conf, m.packed, m.steps = c.Version, c.Packed, c.Patches
 	}
 	if !m.leading {
 		return
@@ -283,7 +283,7 @@
 	var out [][]byte
 	size := 0
 	for _, s := range m.steps {
-		if s.Base == from || out != nil {
+		if s.BaseVersion == from || out != nil {
 			out = append(out, s.Patch)
 			size += len(s.Patch)
 		}
@@ -309,7 +309,7 @@
 		h = &history{}
 		m.hs[n.Name] = h
 	}
-	if h.state == nil || h.state.Life != n.Life || h.state.Addr != n.Addr {
+	if h.state == nil || h.state.Incarnation != n.Incarnation || h.state.Addr != n.Addr {
 		h.report(n, m.o.Now(), m.o.rules())
 		delete(m.sends, n.Name)
 		if stop := m.polls[n.Name]; stop != nil {
@@ -335,8 +335,8 @@
 		}
 		i++
 		after := time.Duration(i) * m.o.PerNode
-		req := &meshpb.RelayReq{Poll: &meshpb.PollReq{Epoch: ep, NextMs: uint64(min(m.spread(), next) / time.Millisecond)}, Kept: m.kept}
-		m.send("poll", req, &meshpb.RelayTo{Name: name, Addr: h.state.Addr, Last: h.last}, func(a *meshpb.RelayAck) {
+		req := &meshpb.RelayRequest{Poll: &meshpb.PollRequest{Epoch: ep, NextPollMs: uint64(min(m.spread(), next) / time.Millisecond)}, Stored: m.kept}
+		m.send("poll", req, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr, LastEndpoint: h.last}, func(a *meshpb.RelayAck) {
 			if m.epoch != ep || !m.leading || m.hs[name] != h || m.polls[name] != nil {
 				return
 			}
@@ -390,9 +390,9 @@
 	ep := m.epoch
 	c := m.lines.Node(addr)
 	st := m.hs[name].state
-	life, seq := st.GetLife(), uint64(0)
+	life, seq := st.GetIncarnation(), uint64(0)
 	if n != nil {
-		life, seq = n.Life, n.Seq
+		life, seq = n.Incarnation, n.Seq
 	}
 	late := 2 * m.spread()
 	last := m.hs[name].last
@@ -411,7 +411,7 @@
 				linger = 0
 			}
 			cx, cancel := context.WithTimeout(ctx, linger+m.o.Grace+late)
-			r, err := c.Poll(cx, &meshpb.PollReq{Epoch: ep, Life: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, Last: last})
+			r, err := c.Poll(cx, &meshpb.PollRequest{Epoch: ep, Incarnation: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, LastEndpoint: last})
 			cancel()
 			if ctx.Err() != nil {
 				return
@@ -436,7 +436,7 @@
 					return
 				}
 				m.heard(name, h, r.Node)
-				life, seq, last = r.Node.Life, r.Node.Seq, nil
+				life, seq, last = r.Node.Incarnation, r.Node.Seq, nil
 				most = m.linger()
 				if r.Node.Endpoint == nil {
 					last = h.last
@@ -459,7 +459,7 @@
 
 func (m *Master) heard(name string, h *history, n *meshpb.NodeState) {
 	was := h.official(m.users[name])
-	same := h.reached && h.state.GetLife() == n.Life && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
+	same := h.reached && h.state.GetIncarnation() == n.Incarnation && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
 	h.report(n, m.o.Now(), m.o.rules())
 	m.met(name, n)
 	if now := h.official(m.users[name]); now != was {
@@ -508,8 +508,8 @@
 		ill = m.ills.judge(m.hs, m.o.Now())
 	}
 	for _, e := range es {
-		if e.Ill > 0 {
-			ill[e.Id] = e.Ill
+		if e.FailurePercent > 0 {
+			ill[e.Id] = e.FailurePercent
 		}
 	}
 	in := shade(es, ill)
@@ -547,12 +547,12 @@
 	if m.dirty {
 		return
 	}
-	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && sameWidths(m.hot, m.view.Hot) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeLines) == len(m.hs) {
+	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && sameWidths(m.hot, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.hs) {
 		return
 	}
-	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.Me, Hot: m.hot}
+	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.Me, HotKeys: m.hot}
 	for n, h := range m.hs {
-		v.NodeLines = append(v.NodeLines, n+" "+h.state.GetAddr())
+		v.NodeAddresses = append(v.NodeAddresses, n+" "+h.state.GetAddr())
 	}
 	v.Nodes = uint32(len(m.hs))
 	m.making = true
@@ -593,7 +593,7 @@
 
 func (m *Master) reads(yield func([]*meshpb.KeyRate) bool) {
 	for _, h := range m.hs {
-		if r := h.state.GetReads(); h.reached && len(r) > 0 && !yield(r) {
+		if r := h.state.GetKeyRates(); h.reached && len(r) > 0 && !yield(r) {
 			return
 		}
 	}
@@ -662,10 +662,10 @@
 func (m *Master) met(name string, n *meshpb.NodeState) {
 	c := m.sends[name]
 	if c != nil && c.life == "" {
-		c.life = n.Life
+		c.life = n.Incarnation
 	}
-	if c == nil || c.life != n.Life {
-		c = &courier{life: n.Life}
+	if c == nil || c.life != n.Incarnation {
+		c = &courier{life: n.Incarnation}
 		m.sends[name] = c
 	}
 	c.conf = max(c.conf, n.ConfigVersion)
@@ -691,7 +691,7 @@
 	c.busy = true
 	version, ep, has := m.view.Version, m.epoch, c.view
 	key := fmt.Sprint("view ", has, " ", m.view.Epoch, " ", version)
-	m.send(key, &meshpb.RelayReq{View: &meshpb.ViewReq{Epoch: ep, Packed: m.pack(has)}}, &meshpb.RelayTo{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+	m.send(key, &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: ep, Packed: m.pack(has)}}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
 		c.busy = false
 		r := a.GetView()
 		if r == nil || m.epoch != ep {
@@ -732,21 +732,21 @@
 		return
 	}
 	c.cbusy = true
-	q := &meshpb.DeliverReq{Epoch: m.epoch, Version: m.conf}
+	q := &meshpb.DeliverConfigRequest{Epoch: m.epoch, Version: m.conf}
 	if c.conf > 0 && !c.whole {
 		if q.Patches = m.way(c.conf); q.Patches != nil {
-			q.Base = c.conf
+			q.BaseVersion = c.conf
 		}
 	}
 	if n := len(m.steps); unheard && c.conf == 0 && !c.whole && n > 0 {
 		// Most likely the node has the one before.
-		q.Base, q.Patches = m.steps[n-1].Base, [][]byte{m.steps[n-1].Patch}
+		q.BaseVersion, q.Patches = m.steps[n-1].BaseVersion, [][]byte{m.steps[n-1].Patch}
 	}
-	if q.Base == 0 {
+	if q.BaseVersion == 0 {
 		q.Data = m.packed
 	}
-	key := fmt.Sprint("config ", q.Base, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0)
-	m.send(key, &meshpb.RelayReq{Config: q}, &meshpb.RelayTo{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+	key := fmt.Sprint("config ", q.BaseVersion, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0)
+	m.send(key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
 		c.cbusy = false
 		r := a.GetConfig()
 		if r == nil {
@@ -754,7 +754,7 @@
 			return
 		}
 		c.conf = max(c.conf, r.Version)
-		c.whole = !r.Ok && (r.Version == 0 || r.Version == q.Base || q.Base == 0)
+		c.whole = !r.Ok && (r.Version == 0 || r.Version == q.BaseVersion || q.BaseVersion == 0)
 		if !r.Ok {
 			c.again = m.o.Now() + 50*time.Millisecond
 		}
--- a/internal/clustercontroller/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -66,8 +66,8 @@
 	}
 	if id != "" {
 		h.endpoint = id
-		h.cold = n.Endpoint.ColdMs > 0
-		if !h.cold && n.Endpoint.Sound {
+		h.cold = n.Endpoint.WarmupMs > 0
+		if !h.cold && n.Endpoint.Healthy {
 			h.unproven = false
 		}
 	}
@@ -118,7 +118,7 @@
 		s = Draining
 	case e.State == Draining:
 		s = Draining
-	case e.State == "ready" && e.Sound:
+	case e.State == "ready" && e.Healthy:
 		s = Up
 	}
 	if h.setOut || h.unproven {
@@ -147,7 +147,7 @@
 		}
 		e := h.known()
 		out = append(out, &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: s,
-			ColdMs: e.ColdMs, Release: e.Release, Node: n, Inbound: h.state.Inbound, Sound: e.Sound, Ill: e.Ill})
+			WarmupMs: e.WarmupMs, SoftwareVersion: e.SoftwareVersion, Node: n, Inbound: h.state.Inbound, Healthy: e.Healthy, FailurePercent: e.FailurePercent})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Id < out[j].Id })
 	return out
@@ -160,8 +160,8 @@
 	}
 	for i := range a {
 		x, y := a[i], b[i]
-		if x.Id != y.Id || x.State != y.State || x.Slots != y.Slots || x.Inbound != y.Inbound || x.Addr != y.Addr || x.Grey != y.Grey || x.Service != y.Service ||
-			(x.ColdMs > 0) != (y.ColdMs > 0) {
+		if x.Id != y.Id || x.State != y.State || x.Slots != y.Slots || x.Inbound != y.Inbound || x.Addr != y.Addr || x.Outlier != y.Outlier || x.Service != y.Service ||
+			(x.WarmupMs > 0) != (y.WarmupMs > 0) {
 			return true
 		}
 	}
--- a/internal/clustercontroller/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -25,12 +25,12 @@
 
 // Relay brings a request of the master's to several nodes and gathers what they
 // say. It keeps nothing: order and epochs are the nodes' to check.
-func Relay(ctx context.Context, lines *rpc.Lines, q *meshpb.RelayReq, x func() Bundle) *meshpb.RelayResp {
-	acks := make(chan *meshpb.RelayAck, len(q.To))
+func Relay(ctx context.Context, lines *rpc.Clients, q *meshpb.RelayRequest, x func() Bundle) *meshpb.RelayResponse {
+	acks := make(chan *meshpb.RelayAck, len(q.Targets))
 	sem := make(chan bool, relayOnce)
 	go func() {
 		var wg sync.WaitGroup
-		for _, to := range q.To {
+		for _, to := range q.Targets {
 			sem <- true
 			wg.Add(1)
 			go func() {
@@ -44,7 +44,7 @@
 		wg.Wait()
 		close(acks)
 	}()
-	r := &meshpb.RelayResp{}
+	r := &meshpb.RelayResponse{}
 	end := time.After(relayMost)
 	still := time.NewTimer(relayStill)
 	defer still.Stop()
@@ -66,23 +66,23 @@
 	}
 }
 
-func relayed(n meshpb.Node, to *meshpb.RelayTo, q *meshpb.RelayReq, x func() Bundle) *meshpb.RelayAck {
+func relayed(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, x func() Bundle) *meshpb.RelayAck {
 	a := &meshpb.RelayAck{Name: to.Name}
 	var err error
 	switch {
 	case q.Poll != nil:
-		a.Poll, err = rpc.Call(relayMost, n.Poll, &meshpb.PollReq{Epoch: q.Poll.Epoch, NextMs: q.Poll.NextMs, Name: to.Name, Last: to.Last})
+		a.Poll, err = rpc.Call(relayMost, n.Poll, &meshpb.PollRequest{Epoch: q.Poll.Epoch, NextPollMs: q.Poll.NextPollMs, Name: to.Name, LastEndpoint: to.LastEndpoint})
 		if err == nil && !a.Poll.GetStale() {
 			fill(n, to, q, a.Poll.GetNode(), x)
 		}
 	case q.View != nil:
-		a.View, err = rpc.Call(relayMost, n.Publish, &meshpb.ViewReq{To: to.Name, Packed: q.View.Packed, Epoch: q.View.Epoch})
+		a.View, err = rpc.Call(relayMost, n.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: q.View.Packed, Epoch: q.View.Epoch})
 	case q.Config != nil:
 		c, wait := q.Config, relayMost
-		if c.Base == 0 {
+		if c.BaseVersion == 0 {
 			wait *= 2
 		}
-		a.Config, err = rpc.Call(wait, n.Deliver, &meshpb.DeliverReq{Epoch: c.Epoch, Version: c.Version, Data: c.Data, To: to.Name, Base: c.Base, Patches: c.Patches})
+		a.Config, err = rpc.Call(wait, n.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: c.Epoch, Version: c.Version, Data: c.Data, To: to.Name, BaseVersion: c.BaseVersion, Patches: c.Patches})
 	}
 	if err != nil {
 		return nil
@@ -92,20 +92,20 @@
 
 // fill gives a node that has just started what it lacks, and notes that it has
 // it now.
-func fill(n meshpb.Node, to *meshpb.RelayTo, q *meshpb.RelayReq, s *meshpb.NodeState, bundle func() Bundle) {
-	k := q.Kept
+func fill(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, s *meshpb.NodeState, bundle func() Bundle) {
+	k := q.Stored
 	if s == nil || k == nil || s.ConfigVersion > 0 && s.ViewVersion > 0 {
 		return
 	}
 	x := bundle()
 	if s.ConfigVersion == 0 && x.Config != nil {
-		r, err := rpc.Call(2*relayMost, n.Deliver, &meshpb.DeliverReq{Epoch: q.Poll.Epoch, Version: k.Config, Data: x.Config, To: to.Name})
+		r, err := rpc.Call(2*relayMost, n.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: q.Poll.Epoch, Version: k.ConfigVersion, Data: x.Config, To: to.Name})
 		if err == nil && r.Ok {
 			s.ConfigVersion = r.Version
 		}
 	}
 	if s.ViewVersion == 0 && x.View != nil {
-		r, err := rpc.Call(relayMost, n.Publish, &meshpb.ViewReq{To: to.Name, Packed: x.View, Epoch: q.Poll.Epoch})
+		r, err := rpc.Call(relayMost, n.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: x.View, Epoch: q.Poll.Epoch})
 		if err == nil && r.Ok {
 			s.ViewEpoch, s.ViewVersion = r.Epoch, r.Version
 		}
@@ -124,12 +124,12 @@
 // parcel is the same request for several nodes; done runs on the master's
 // goroutine once for each, with nil where nothing was heard.
 type parcel struct {
-	req  *meshpb.RelayReq
+	req  *meshpb.RelayRequest
 	done map[string]func(*meshpb.RelayAck)
 }
 
 // send puts a node's request beside those that go out together.
-func (m *Master) send(key string, req *meshpb.RelayReq, to *meshpb.RelayTo, done func(*meshpb.RelayAck)) {
+func (m *Master) send(key string, req *meshpb.RelayRequest, to *meshpb.RelayTarget, done func(*meshpb.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
 		time.AfterFunc(gatherFor, func() { m.Loop.Put(m.flush) })
@@ -140,7 +140,7 @@
 		m.parcels[key] = p
 	}
 	if p.done[to.Name] == nil {
-		p.req.To = append(p.req.To, to)
+		p.req.Targets = append(p.req.Targets, to)
 	}
 	p.done[to.Name] = done
 }
@@ -171,14 +171,14 @@
 	}
 	rs := m.relays()
 	for _, p := range ps {
-		if len(p.req.To) <= fewDirect || len(rs) == 0 {
-			for _, to := range p.req.To {
+		if len(p.req.Targets) <= fewDirect || len(rs) == 0 {
+			for _, to := range p.req.Targets {
 				m.direct(p, to)
 			}
 			continue
 		}
-		parts := make([][]*meshpb.RelayTo, len(rs))
-		for _, to := range p.req.To {
+		parts := make([][]*meshpb.RelayTarget, len(rs))
+		for _, to := range p.req.Targets {
 			i := xxhash.Sum64String(to.Name) % uint64(len(rs))
 			parts[i] = append(parts[i], to)
 		}
@@ -190,27 +190,27 @@
 	}
 }
 
-func (m *Master) bundle(k *meshpb.Kept) Bundle {
+func (m *Master) bundle(k *meshpb.StoredVersions) Bundle {
 	if k == nil || m.o.Bundle == nil {
 		return Bundle{}
 	}
 	return m.o.Bundle(k)
 }
 
-func (m *Master) direct(p *parcel, to *meshpb.RelayTo) {
+func (m *Master) direct(p *parcel, to *meshpb.RelayTarget) {
 	n := m.lines.Node(to.Addr)
 	done := p.done[to.Name]
 	go func() {
-		a := relayed(n, to, p.req, func() Bundle { return m.bundle(p.req.Kept) })
+		a := relayed(n, to, p.req, func() Bundle { return m.bundle(p.req.Stored) })
 		m.Loop.Put(func() { done(a) })
 	}()
 }
 
 // relay sends a part of a parcel through a member. What it does not bring back
 // is called directly, once; a member that does not answer is left out a while.
-func (m *Master) relay(p *parcel, addr string, to []*meshpb.RelayTo) {
+func (m *Master) relay(p *parcel, addr string, to []*meshpb.RelayTarget) {
 	c := m.lines.Control(addr)
-	q := &meshpb.RelayReq{To: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Kept: p.req.Kept}
+	q := &meshpb.RelayRequest{Targets: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Stored: p.req.Stored}
 	go func() {
 		r, err := rpc.Call(relayWait, c.Relay, q)
 		m.Loop.Put(func() {
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -18,7 +18,7 @@
 // relayer is a core member that relays, and counts what it was asked.
 type relayer struct {
 	meshpb.Control
-	lines  *rpc.Lines
+	lines  *rpc.Clients
 	mu     sync.Mutex
 	asked  int
 	nodes  int
@@ -28,10 +28,10 @@
 	bundle Bundle
 }
 
-func (r *relayer) Relay(ctx context.Context, q *meshpb.RelayReq) (*meshpb.RelayResp, error) {
+func (r *relayer) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	r.mu.Lock()
 	r.asked++
-	r.nodes += len(q.To)
+	r.nodes += len(q.Targets)
 	down := r.down
 	r.mu.Unlock()
 	if down {
@@ -41,11 +41,11 @@
 	return Relay(ctx, r.lines, q, func() Bundle { return r.bundle }), nil
 }
 
-func (r *relayer) Hello(context.Context, *meshpb.HelloReq) (*meshpb.HelloResp, error) {
+func (r *relayer) RegisterNode(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hellos++
-	return &meshpb.HelloResp{MasterAddr: r.master, Master: r.master == "self"}, nil
+	return &meshpb.RegisterNodeResponse{MasterAddr: r.master, Master: r.master == "self"}, nil
 }
 
 // crowd is a stage with relays; far makes nodes out of the relays' reach.
@@ -53,7 +53,7 @@
 	s := newStage(t, nodes)
 	membership := &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "m", Addr: "m"}}}
 	var rs []*relayer
-	lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
+	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 	for i, n := range s.ns {
 		lines.PutNode(fmt.Sprint("a", i), n)
 	}
@@ -70,7 +70,7 @@
 func keptOf(n int) *meshpb.View {
 	v := &meshpb.View{Epoch: 1, Version: 9}
 	for i := range n {
-		v.NodeLines = append(v.NodeLines, fmt.Sprintf("n%d a%d", i, i))
+		v.NodeAddresses = append(v.NodeAddresses, fmt.Sprintf("n%d a%d", i, i))
 	}
 	return v
 }
@@ -109,7 +109,7 @@
 		// A changed configuration is one call for each relay.
 		was := rs[0].asked
 		s.do(func() {
-			s.m.SetConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Steps: []*meshpb.Step{{Base: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
+			s.m.SetConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
 		})
 		pass(100 * time.Millisecond)
 		s.all(t, 6)
@@ -141,7 +141,7 @@
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
 		rs[0].down = true
-		rs[1].lines = rpc.NewLines(&http.Client{Transport: deadEnd{}})
+		rs[1].lines = rpc.NewClients(&http.Client{Transport: deadEnd{}})
 		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
 		pass(4 * time.Second)
 		s.all(t, 5)
@@ -208,7 +208,7 @@
 func TestHelloAsksFewAndALingeringPollKeepsItQuiet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t0 := time.Now()
-		lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
+		lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 		var rs []*relayer
 		a := &Agent{Name: "n", Life: "l", Quiet: time.Second, Now: func() time.Duration { return time.Since(t0) }, Note: func(string, ...any) {}, Lines: lines}
 		for i := range 9 {
@@ -220,7 +220,7 @@
 			a.Seeds = append(a.Seeds, fmt.Sprint("c", i))
 			rs = append(rs, r)
 		}
-		a.Start(&meshpb.NodeState{Name: "n", Life: "l"})
+		a.Start(&meshpb.NodeState{Name: "n", Incarnation: "l"})
 		qt.Assert(t, a.hello(t.Context()), qt.IsTrue)
 		n := 0
 		for _, r := range rs {
@@ -233,13 +233,13 @@
 			return a.Now()-a.polled > a.Quiet
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go a.Poll(ctx, &meshpb.PollReq{Epoch: 1, Name: "n", Life: "l", Seq: 1, LingerMs: 10000})
+		go a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "l", Seq: 1, LingerMs: 10000})
 		pass(5 * time.Second)
 		qt.Assert(t, quiet(), qt.IsFalse)
 		stop()
 		pass(time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsTrue, qt.Commentf("the master's side broke off"))
-		a.Poll(t.Context(), &meshpb.PollReq{Epoch: 1, Name: "n", NextMs: 3000})
+		a.Poll(t.Context(), &meshpb.PollRequest{Epoch: 1, Name: "n", NextPollMs: 3000})
 		pass(3500 * time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsFalse)
 		pass(time.Second)
@@ -297,11 +297,11 @@
 		qt.Assert(t, s.count(0), qt.Equals, 30)
 		for i, f := range s.ns[:20] {
 			f.agent.Set(func(n *meshpb.NodeState) {
-				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}
+				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}
 			})
 		}
 		s.ns[20].agent.Set(func(n *meshpb.NodeState) {
-			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Sound: true, Slots: 4}
+			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Healthy: true, Slots: 4}
 		})
 		pass(500 * time.Millisecond)
 		qt.Assert(t, s.count(0), qt.Equals, 29)
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -22,7 +22,7 @@
 func state(id, st string, cold uint64) *meshpb.NodeState {
 	n := &meshpb.NodeState{Name: "n", Inbound: "in", State: "up"}
 	if id != "" {
-		n.Endpoint = &meshpb.Endpoint{Id: id, State: st, Sound: true, ColdMs: cold, Slots: 4}
+		n.Endpoint = &meshpb.Endpoint{Id: id, State: st, Healthy: true, WarmupMs: cold, Slots: 4}
 	}
 	return n
 }
@@ -90,7 +90,7 @@
 
 var errCut = fmt.Errorf("cut off")
 
-func (f *fakeNode) Poll(c context.Context, q *meshpb.PollReq) (*meshpb.PollResp, error) {
+func (f *fakeNode) Poll(c context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	if f.off() {
 		<-c.Done()
 		return nil, errCut
@@ -98,18 +98,18 @@
 	return f.agent.Poll(c, q)
 }
 
-func (f *fakeNode) Publish(c context.Context, q *meshpb.ViewReq) (*meshpb.ViewResp, error) {
+func (f *fakeNode) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.Publish(c, q)
+	return f.agent.PublishView(c, q)
 }
 
-func (f *fakeNode) Deliver(c context.Context, q *meshpb.DeliverReq) (*meshpb.DeliverResp, error) {
+func (f *fakeNode) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.Deliver(c, q)
+	return f.agent.DeliverConfig(c, q)
 }
 
 type deadEnd struct{}
@@ -133,7 +133,7 @@
 	t0 := time.Now()
 	now := func() time.Duration { return time.Since(t0) }
 	s := &stage{st: &saved{}, last: make([][]*meshpb.Endpoint, n)}
-	lines := rpc.NewLines(&http.Client{Transport: deadEnd{}})
+	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 	s.m = NewMaster(Options{Interval: 250 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond,
 		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, replication.NewLoop(), lines, s.st)
 	for i := 0; i < n; i++ {
@@ -155,8 +155,8 @@
 			return nil
 		}
 		a.OnPatch = func(st uint64, _ [][]byte) error { return a.OnConfig(st, nil) }
-		a.Start(&meshpb.NodeState{Name: a.Name, Life: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: "up",
-			Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Sound: true, Slots: 4}})
+		a.Start(&meshpb.NodeState{Name: a.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: "up",
+			Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}})
 		f.agent = a
 		lines.PutNode(fmt.Sprint("a", i), f)
 		s.ns = append(s.ns, f)
@@ -248,7 +248,7 @@
 		s := newStage(t, 3)
 		defer s.m.Loop.Close()
 		defer s.do(s.m.Step)
-		kept := &meshpb.View{Epoch: 1, Version: 9, NodeLines: []string{"n0 a0", "n1 a1", "n2 a2"}}
+		kept := &meshpb.View{Epoch: 1, Version: 9, NodeAddresses: []string{"n0 a0", "n1 a1", "n2 a2"}}
 		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
 		pass(600 * time.Millisecond)
 		qt.Assert(t, s.st.v.Version > 9, qt.IsTrue)
@@ -265,7 +265,7 @@
 	c := context.Background()
 	pub := func(e, s uint64) bool {
 		b, _ := proto.Marshal(&meshpb.View{Epoch: e, Version: s})
-		r, _ := a.Publish(c, &meshpb.ViewReq{Packed: b})
+		r, _ := a.PublishView(c, &meshpb.PublishViewRequest{Packed: b})
 		return r.Ok
 	}
 	qt.Assert(t, pub(2, 5), qt.IsTrue)
@@ -274,11 +274,11 @@
 	qt.Assert(t, pub(2, 5), qt.IsTrue)
 	qt.Assert(t, pub(3, 6), qt.IsTrue)
 	qt.Assert(t, got, qt.Equals, 2)
-	r, _ := a.Poll(c, &meshpb.PollReq{Epoch: 2, Name: "n"})
+	r, _ := a.Poll(c, &meshpb.PollRequest{Epoch: 2, Name: "n"})
 	qt.Assert(t, r.Stale, qt.IsTrue)
 	qt.Assert(t, r.Epoch, qt.Equals, uint64(3))
-	a.Deliver(c, &meshpb.DeliverReq{Epoch: 3, Version: 8, Data: rpc.Pack(nil)})
-	d, _ := a.Deliver(c, &meshpb.DeliverReq{Epoch: 3, Version: 7, Data: rpc.Pack(nil)})
+	a.DeliverConfig(c, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 8, Data: rpc.Pack(nil)})
+	d, _ := a.DeliverConfig(c, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 7, Data: rpc.Pack(nil)})
 	qt.Assert(t, d.Version, qt.Equals, uint64(8))
 }
 
--- a/internal/controlapi/core.go
+++ b/internal/controlapi/core.go
@@ -348,7 +348,7 @@
 		if s.taken || s.cur.GetVersion() != o.on {
 			return nil, s, s.taken
 		}
-		return &meshpb.Change{Blob: next, Taken: &meshpb.Taken{Version: next.Version, Sum: o.sum}}, standing{cur: next, taken: true}, false
+		return &meshpb.Change{Blob: next, Accepted: &meshpb.AcceptedChange{Version: next.Version, Digest: o.sum}}, standing{cur: next, taken: true}, false
 	})
 }
 
@@ -393,11 +393,11 @@
 
 // keepSteps bounds the patches kept beside a configuration, by which any master
 // brings nodes on from the ones before.
-func keepSteps(st []*meshpb.Step) []*meshpb.Step {
+func keepSteps(st []*meshpb.ConfigPatch) []*meshpb.ConfigPatch {
 	size := 0
 	for i := len(st) - 1; i >= 0; i-- {
 		if size += len(st[i].Patch); size > mostSteps || len(st)-i > 24 {
-			return append([]*meshpb.Step(nil), st[i+1:]...)
+			return append([]*meshpb.ConfigPatch(nil), st[i+1:]...)
 		}
 	}
 	return st
@@ -531,7 +531,7 @@
 	next := &meshpb.Config{Version: doc.Version, Packed: rpc.Pack(doc.Write())}
 	if cur.Version > 0 {
 		if old, err := d.doc(cur); err == nil {
-			next.Steps = keepSteps(append(cur.Steps, &meshpb.Step{Base: cur.Version, Version: doc.Version, Patch: rpc.Pack(doc.Since(old))}))
+			next.Patches = keepSteps(append(cur.Patches, &meshpb.ConfigPatch{BaseVersion: cur.Version, Version: doc.Version, Patch: rpc.Pack(doc.Since(old))}))
 		}
 	}
 	return proto.Marshal(next)
--- a/internal/controlapi/core_test.go
+++ b/internal/controlapi/core_test.go
@@ -238,22 +238,22 @@
 	})
 }
 
-func (x tube) Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp)) {
-	pass(x, to.Addr, q, cb, replication.Door.Hold)
+func (x tube) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	pass(x, to.Addr, q, cb, replication.Door.RenewLeases)
 }
-func (x tube) Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp)) {
-	pass(x, to.Addr, q, cb, replication.Door.Copy)
+func (x tube) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
+	pass(x, to.Addr, q, cb, replication.Door.Replicate)
 }
-func (x tube) Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp)) {
-	pass(x, to.Addr, q, cb, replication.Door.Ask)
+func (x tube) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
+	pass(x, to.Addr, q, cb, replication.Door.RequestVotes)
 }
-func (x tube) Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp)) {
-	pass(x, to.Addr, q, cb, replication.Door.Hand)
+func (x tube) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	pass(x, to.Addr, q, cb, replication.Door.TransferOwnership)
 }
-func (x tube) Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp)) {
-	pass(x, to.Addr, q, cb, replication.Door.Enroll)
+func (x tube) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
+	pass(x, to.Addr, q, cb, replication.Door.AcceptMembership)
 }
-func (x tube) Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp)) {
+func (x tube) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
 	pass(x, to, q, cb, replication.Door.Join)
 }
 
--- a/internal/controlapi/orders_test.go
+++ b/internal/controlapi/orders_test.go
@@ -272,7 +272,7 @@
 	}
 	put(&meshpb.Record{Identity: &meshpb.Identity{Id: "founder-m0"}})
 	put(&meshpb.Record{Membership: &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "founder-m0", Addr: "m0", Control: "m0"}}}})
-	old := &meshpb.TakenWithin{}
+	old := &meshpb.LegacyAcceptedChanges{}
 	var doc routeconfig.Doc
 	for i, o := range os {
 		if o.method == "PUT" {
@@ -281,8 +281,8 @@
 			p, _ := routeconfig.ReadPatch([]byte(o.body))
 			doc, _ = doc.With(p)
 		}
-		old.Taken = append(old.Taken, &meshpb.Taken{Version: doc.Version, Sum: bareSum(o)})
-		old.Taken = old.Taken[max(0, len(old.Taken)-256):]
+		old.Accepted = append(old.Accepted, &meshpb.AcceptedChange{Version: doc.Version, Digest: bareSum(o)})
+		old.Accepted = old.Accepted[max(0, len(old.Accepted)-256):]
 		a, _ := proto.Marshal(&meshpb.Config{Version: doc.Version, Packed: rpc.Pack(doc.Write())})
 		b, _ := proto.Marshal(old)
 		blob := &meshpb.Blob{Name: "configuration", Data: append(a, b...), Version: doc.Version}
--- a/internal/coordination/pins.go
+++ b/internal/coordination/pins.go
@@ -72,14 +72,14 @@
 }
 
 // Resp is how a node is told of it.
-func (p Pinned) Resp() *meshpb.PinResp {
-	return &meshpb.PinResp{Ok: true, Service: p.Service, Endpoint: p.Endpoint, Moved: p.Moved, Full: p.Full, Why: p.Why}
+func (p Pinned) Resp() *meshpb.PinResponse {
+	return &meshpb.PinResponse{Ok: true, Service: p.Service, Endpoint: p.Endpoint, Moved: p.Moved, Full: p.Full, Reason: p.Why}
 }
 
 // Pin gives the instance of a session: the one it has in a service that its
 // binding may use, or the one wanted, if it has none or is to leave the one
 // that the asker found it at.
-func (t *Table) Pin(q *meshpb.PinReq, now time.Duration) (*meshpb.Change, Pinned) {
+func (t *Table) Pin(q *meshpb.PinRequest, now time.Duration) (*meshpb.Change, Pinned) {
 	p := &t.pins
 	last := time.Duration(-1 << 62)
 	var at pinKey
@@ -106,11 +106,11 @@
 			return nil, Pinned{Full: true}
 		}
 	}
-	c := &meshpb.Pin{Key: q.Key, Service: q.Service, Endpoint: q.Want, Why: q.Why, Config: q.Config}
+	c := &meshpb.Pin{Key: q.Key, Service: q.Service, Endpoint: q.Want, Why: q.Reason, Config: q.Config}
 	if found {
 		c.From, c.Moves = cur.endpoint, cur.moves+1
 	}
-	return &meshpb.Change{Pin: c}, Pinned{Service: q.Service, Endpoint: q.Want, Why: q.Why, Moved: found}
+	return &meshpb.Change{Pin: c}, Pinned{Service: q.Service, Endpoint: q.Want, Why: q.Reason, Moved: found}
 }
 
 func (t *Table) Pins() int { return len(t.pins.by) }
@@ -118,6 +118,6 @@
 // PinShard is the shard that holds a session's pins.
 func (s *Service) PinShard(key string) int { return s.Shard("pin " + key) }
 
-func (s *Service) Pin(ctx context.Context, q *meshpb.PinReq) (Pinned, error) {
+func (s *Service) Pin(ctx context.Context, q *meshpb.PinRequest) (Pinned, error) {
 	return Run(ctx, s, s.PinShard(q.Key), func(t *Table, now time.Duration) (*meshpb.Change, Pinned) { return t.Pin(q, now) })
 }
--- a/internal/coordination/table.go
+++ b/internal/coordination/table.go
@@ -78,19 +78,19 @@
 
 func (t *Table) Apply(c *meshpb.Change, now time.Duration) {
 	if l := c.GetLock(); l != nil {
-		t.fences = max(t.fences, l.Fence)
+		t.fences = max(t.fences, l.FencingToken)
 		if l.Free {
 			delete(t.locks, l.Name)
 		} else {
-			h := time.Duration(l.HoldMs) * time.Millisecond
+			h := time.Duration(l.TtlMs) * time.Millisecond
 			u := now + h
-			if o, ok := t.locks[l.Name]; ok && o.fence == l.Fence {
+			if o, ok := t.locks[l.Name]; ok && o.fence == l.FencingToken {
 				u = max(u, o.until)
 			}
-			t.locks[l.Name] = lock{l.Holder, l.Fence, h, u}
+			t.locks[l.Name] = lock{l.Owner, l.FencingToken, h, u}
 		}
 	}
-	if n := c.GetNumber(); n != nil {
+	if n := c.GetCounter(); n != nil {
 		t.nums[n.Name] = max(t.nums[n.Name], n.High)
 	}
 	if p := c.GetPut(); p != nil {
@@ -104,7 +104,7 @@
 		t.blobs[b.Name] = b
 		t.taken.read(b)
 	}
-	if x := c.GetTaken(); x != nil {
+	if x := c.GetAccepted(); x != nil {
 		t.taken.add(x)
 	}
 	if p := c.GetPin(); p != nil {
@@ -130,19 +130,19 @@
 func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
 func (t *Table) Dump(now time.Duration) *meshpb.ShardState {
-	s := &meshpb.ShardState{Fences: t.fences}
+	s := &meshpb.ShardState{LastFencingToken: t.fences}
 	for n, l := range t.locks {
 		left := max(l.until-now, 0)
 		h := max(l.hold, left)
-		s.Locks = append(s.Locks, &meshpb.Lock{Name: n, Holder: l.holder, Fence: l.fence, HoldMs: ms(h + time.Millisecond - 1), AgeMs: ms(h - left)})
+		s.Locks = append(s.Locks, &meshpb.Lock{Name: n, Owner: l.holder, FencingToken: l.fence, TtlMs: ms(h + time.Millisecond - 1), AgeMs: ms(h - left)})
 	}
 	for n, h := range t.nums {
-		s.Numbers = append(s.Numbers, &meshpb.Number{Name: n, High: h})
+		s.Counters = append(s.Counters, &meshpb.Counter{Name: n, High: h})
 	}
 	for n, g := range t.groups {
-		o := &meshpb.Group{Name: n, Revision: g.rev, Floor: g.floor}
+		o := &meshpb.KeyGroup{Name: n, Revision: g.rev, Floor: g.floor}
 		for _, p := range g.cells {
-			o.Cells = append(o.Cells, p)
+			o.Puts = append(o.Puts, p)
 		}
 		for _, e := range g.past {
 			o.History = append(o.History, &meshpb.Put{Name: e.put.Name, Payload: e.put.Payload, Revision: e.put.Revision, AgeMs: ms(now - e.at)})
@@ -155,7 +155,7 @@
 	s.Pins = t.pins.dump(now)
 	t.taken.dump(s)
 	sort.Slice(s.Locks, func(i, j int) bool { return s.Locks[i].Name < s.Locks[j].Name })
-	sort.Slice(s.Numbers, func(i, j int) bool { return s.Numbers[i].Name < s.Numbers[j].Name })
+	sort.Slice(s.Counters, func(i, j int) bool { return s.Counters[i].Name < s.Counters[j].Name })
 	sort.Slice(s.Groups, func(i, j int) bool { return s.Groups[i].Name < s.Groups[j].Name })
 	sort.Slice(s.Blobs, func(i, j int) bool { return s.Blobs[i].Name < s.Blobs[j].Name })
 	return s
@@ -166,7 +166,7 @@
 // after a read from disk.
 func (t *Table) Load(s *meshpb.ShardState, now time.Duration, fresh bool) {
 	t.clear()
-	t.fences = s.Fences
+	t.fences = s.LastFencingToken
 	age := func(v uint64) time.Duration {
 		if fresh {
 			return 0
@@ -174,16 +174,16 @@
 		return time.Duration(v) * time.Millisecond
 	}
 	for _, l := range s.Locks {
-		h := time.Duration(l.HoldMs) * time.Millisecond
-		t.locks[l.Name] = lock{l.Holder, l.Fence, h, now + h - age(l.AgeMs)}
+		h := time.Duration(l.TtlMs) * time.Millisecond
+		t.locks[l.Name] = lock{l.Owner, l.FencingToken, h, now + h - age(l.AgeMs)}
 	}
-	for _, n := range s.Numbers {
+	for _, n := range s.Counters {
 		t.nums[n.Name] = n.High
 	}
 	for _, o := range s.Groups {
 		g := t.group(o.Name)
 		g.rev, g.floor = o.Revision, o.Floor
-		for _, p := range o.Cells {
+		for _, p := range o.Puts {
 			g.cells[p.Name] = p
 		}
 		for _, p := range o.History {
@@ -228,7 +228,7 @@
 	if !ok || l.holder != holder || now >= l.until {
 		f = t.fences + 1
 	}
-	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: f, HoldMs: ms(hold)}}, Grant{Done, f}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Owner: holder, FencingToken: f, TtlMs: ms(hold)}}, Grant{Done, f}
 }
 
 func (t *Table) Renew(name, holder string, fence uint64, hold, now time.Duration) (*meshpb.Change, Grant) {
@@ -236,7 +236,7 @@
 	if !ok || l.holder != holder || l.fence != fence || now >= l.until {
 		return nil, Grant{Outcome: Lost}
 	}
-	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: fence, HoldMs: ms(hold)}}, Grant{Done, fence}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Owner: holder, FencingToken: fence, TtlMs: ms(hold)}}, Grant{Done, fence}
 }
 
 func (t *Table) Release(name, holder string, fence uint64) (*meshpb.Change, Grant) {
@@ -244,7 +244,7 @@
 	if !ok || l.holder != holder || l.fence != fence {
 		return nil, Grant{Outcome: Done}
 	}
-	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Holder: holder, Fence: fence, Free: true}}, Grant{Outcome: Done}
+	return &meshpb.Change{Lock: &meshpb.Lock{Name: name, Owner: holder, FencingToken: fence, Free: true}}, Grant{Outcome: Done}
 }
 
 func (t *Table) Next(name string) (*meshpb.Change, uint64) {
@@ -258,7 +258,7 @@
 	if n <= h {
 		return nil, n
 	}
-	return &meshpb.Change{Number: &meshpb.Number{Name: name, High: n + block - 1}}, n
+	return &meshpb.Change{Counter: &meshpb.Counter{Name: name, High: n + block - 1}}, n
 }
 
 type Cell struct {
--- a/internal/coordination/taken.go
+++ b/internal/coordination/taken.go
@@ -38,12 +38,12 @@
 	return false
 }
 
-func (k *taken) add(x *meshpb.Taken) {
+func (k *taken) add(x *meshpb.AcceptedChange) {
 	n := len(k.versions)
-	if len(x.GetSum()) < SumSize || n > 0 && x.Version <= k.versions[n-1] {
+	if len(x.GetDigest()) < SumSize || n > 0 && x.Version <= k.versions[n-1] {
 		return
 	}
-	k.versions, k.sums = append(k.versions, x.Version), append(k.sums, x.Sum[:SumSize]...)
+	k.versions, k.sums = append(k.versions, x.Version), append(k.sums, x.Digest[:SumSize]...)
 	if n++; n > MostTaken {
 		k.floor = k.versions[n-MostTaken-1]
 		k.versions, k.sums = k.versions[n-MostTaken:], k.sums[(n-MostTaken)*SumSize:]
@@ -51,14 +51,14 @@
 }
 
 func (k *taken) dump(s *meshpb.ShardState) {
-	s.TakenFloor = k.floor
-	s.TakenVersions, s.TakenSums = slices.Clip(k.versions), slices.Clip(k.sums)
+	s.AcceptedFloor = k.floor
+	s.AcceptedVersions, s.AcceptedDigests = slices.Clip(k.versions), slices.Clip(k.sums)
 }
 
 func (k *taken) load(s *meshpb.ShardState) {
-	k.floor = s.TakenFloor
-	if n := len(s.TakenVersions); n*SumSize == len(s.TakenSums) {
-		k.versions, k.sums = slices.Clip(s.TakenVersions), slices.Clip(s.TakenSums)
+	k.floor = s.AcceptedFloor
+	if n := len(s.AcceptedVersions); n*SumSize == len(s.AcceptedDigests) {
+		k.versions, k.sums = slices.Clip(s.AcceptedVersions), slices.Clip(s.AcceptedDigests)
 	}
 }
 
@@ -67,14 +67,14 @@
 	if b.Name != ConfigBlob {
 		return
 	}
-	var x meshpb.TakenWithin
+	var x meshpb.LegacyAcceptedChanges
 	if (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(b.Data, &x) != nil {
 		return
 	}
-	if len(x.Taken) >= mostWithin && len(k.versions) == 0 {
-		k.floor = x.Taken[0].Version - 1
+	if len(x.Accepted) >= mostWithin && len(k.versions) == 0 {
+		k.floor = x.Accepted[0].Version - 1
 	}
-	for _, o := range x.Taken {
+	for _, o := range x.Accepted {
 		k.add(o)
 	}
 }
--- a/internal/coordination/taken_test.go
+++ b/internal/coordination/taken_test.go
@@ -18,7 +18,9 @@
 
 func TestRecordOfOrdersIsBoundedAndItsDumpsStayAsTheyWere(t *testing.T) {
 	a, b := NewTable(20*time.Second), NewTable(20*time.Second)
-	take := func(t *Table, v uint64) { t.Apply(&meshpb.Change{Taken: &meshpb.Taken{Version: v, Sum: sumOf(v)}}, 0) }
+	take := func(t *Table, v uint64) {
+		t.Apply(&meshpb.Change{Accepted: &meshpb.AcceptedChange{Version: v, Digest: sumOf(v)}}, 0)
+	}
 	const extra = 10
 	for v := uint64(1); v <= MostTaken; v++ {
 		take(a, 2*v)
@@ -54,7 +56,7 @@
 		qt.Assert(t, c.Taken(sumOf(2*v)), qt.IsTrue)
 	}
 	for _, d := range []*meshpb.ShardState{early, a.Dump(0), b.Dump(0)} {
-		qt.Assert(t, len(d.TakenVersions), qt.Equals, MostTaken)
-		qt.Assert(t, len(d.TakenSums), qt.Equals, MostTaken*SumSize)
+		qt.Assert(t, len(d.AcceptedVersions), qt.Equals, MostTaken)
+		qt.Assert(t, len(d.AcceptedDigests), qt.Equals, MostTaken*SumSize)
 	}
 }
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -194,7 +194,7 @@
 }
 
 func row(cols []string, raw jx.Raw) (*meshpb.Endpoint, error) {
-	e := &meshpb.Endpoint{Sound: true}
+	e := &meshpb.Endpoint{Healthy: true}
 	i := 0
 	state := ""
 	if err := jx.DecodeBytes(raw).Arr(func(d *jx.Decoder) error {
@@ -221,7 +221,7 @@
 		case "siteName":
 			return text(&e.Zone)
 		case "stamp":
-			return text(&e.Release)
+			return text(&e.SoftwareVersion)
 		case "state":
 			return text(&state)
 		case "slotCount":
@@ -236,7 +236,7 @@
 			if err == nil && (f < 0 || f > 1e6) {
 				return fmt.Errorf("coldLeftS %v is out of range", f)
 			}
-			e.ColdMs = uint64(f * 1000)
+			e.WarmupMs = uint64(f * 1000)
 			return err
 		}
 		return d.Skip()
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -55,7 +55,7 @@
 		es, err := r.Read(context.Background(), yes)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, len(es), qt.Equals, 3)
-		qt.Assert(t, es[0].ColdMs, qt.Equals, uint64(1500))
+		qt.Assert(t, es[0].WarmupMs, qt.Equals, uint64(1500))
 		qt.Assert(t, es[1].State, qt.Equals, "draining")
 	}
 	qt.Assert(t, *waited >= 5*40*time.Millisecond, qt.IsTrue, qt.Commentf("6 calls at half of 50/s in %v", *waited))
--- a/internal/loadestimate/erlang.go
+++ b/internal/loadestimate/erlang.go
@@ -196,12 +196,12 @@
 	for i, o := range os {
 		at := map[string]int{}
 		for _, f := range o.Flows {
-			k := f.Binding + "\x00" + f.Service
+			k := f.Route + "\x00" + f.Service
 			n, ok := at[k]
 			if !ok {
 				n = len(ls)
 				at[k] = n
-				ls = append(ls, line{origin: i, binding: f.Binding, kind: f.Kind, service: f.Service, heavy: heavy(f.Kind), aim: time.Duration(f.AimMs) * time.Millisecond})
+				ls = append(ls, line{origin: i, binding: f.Route, kind: f.Kind, service: f.Service, heavy: heavy(f.Kind), aim: time.Duration(f.LatencyTargetMs) * time.Millisecond})
 			}
 			ls[n].work += f.PerS * f.WorkMs
 			ls[n].rate += f.PerS
@@ -239,7 +239,7 @@
 	took, want := map[string]float64{}, map[string]float64{}
 	for _, o := range os {
 		for _, f := range o.Flows {
-			m := mean[f.Binding]
+			m := mean[f.Route]
 			took[f.Endpoint] += f.PerS * f.WorkMs
 			want[f.Endpoint] += f.PerS * m[0] / m[1]
 		}
@@ -413,8 +413,8 @@
 			if !known[id] && add != "" {
 				id = add
 			}
-			got[key{f.Binding, id}] += f.PerS
-			gotT[f.Binding] += f.PerS
+			got[key{f.Route, id}] += f.PerS
+			gotT[f.Route] += f.PerS
 		}
 	}
 	var out []Verdict
--- a/internal/loadestimate/erlang_test.go
+++ b/internal/loadestimate/erlang_test.go
@@ -90,7 +90,7 @@
 			for id := range slots {
 				q := fmt.Sprint(o, " ", b, " ", id)
 				if n[q] > 0 {
-					x.Flows = append(x.Flows, &meshpb.Flow{Binding: k.binding, Kind: k.kind, Service: "s", Endpoint: id, Node: node[id],
+					x.Flows = append(x.Flows, &meshpb.Flow{Route: k.binding, Kind: k.kind, Service: "s", Endpoint: id, Node: node[id],
 						PerS: n[q] / (float64(span) * 0.75 / 1000), WorkMs: took[q] / n[q]})
 				}
 			}
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -205,14 +205,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hots = clustercontroller.NewHotKeys(m.ho)
-	m.hots.Load(m.view.Hot, time.Since(m.t0))
+	m.hots.Load(m.view.HotKeys, time.Since(m.t0))
 }
 
 // Hot gives the view's hot keys.
 func (m *Mesh) Hot() []*meshpb.HotKey {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Hot
+	return m.view.HotKeys
 }
 
 const (
@@ -232,7 +232,7 @@
 }
 
 // Ask answers nodes' questions about sessions.
-func (m *Mesh) Ask(_ context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
+func (m *Mesh) Ask(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	if m.Silent.Load() {
 		return nil, errors.New("no core answers")
 	}
@@ -286,7 +286,7 @@
 	defer m.mu.Unlock()
 	m.seq++
 	m.states = states
-	v := &meshpb.View{Epoch: 1, Version: m.seq, Nodes: uint32(len(m.Nodes)), Hot: m.hot}
+	v := &meshpb.View{Epoch: 1, Version: m.seq, Nodes: uint32(len(m.Nodes)), HotKeys: m.hot}
 	for _, n := range m.Nodes {
 		s := "up"
 		if x, ok := states[n.End.ID]; ok {
@@ -296,7 +296,7 @@
 			continue
 		}
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: n.End.ID, Service: n.End.Service, Addr: "app-" + n.End.ID, Inbound: "in-" + n.End.ID, Node: n.Name,
-			Zone: n.End.Zone, Slots: uint32(n.End.Slots), State: s, Sound: true})
+			Zone: n.End.Zone, Slots: uint32(n.End.Slots), State: s, Healthy: true})
 	}
 	m.view = v
 	for _, n := range m.Nodes {
@@ -366,14 +366,14 @@
 }
 
 // Carried is what `replay save` would gather.
-func (m *Mesh) Carried() *meshpb.Carried {
-	c := &meshpb.Carried{Version: 1, SpanUs: time.Hour.Microseconds()}
+func (m *Mesh) Carried() *meshpb.ReplayFile {
+	c := &meshpb.ReplayFile{Version: 1, SpanUs: time.Hour.Microseconds()}
 	views, configs := map[uint64]bool{}, map[uint64]bool{}
 	for _, n := range m.Nodes {
 		r := n.Tickets.Report(time.Hour, 0, 1<<30)
 		r.Node, r.Zone, r.Service, r.Role = n.Name, n.zone, n.End.Service, "sidecar"
-		r.Ratio, r.Slack, r.WindowS, r.Far, r.Heavy = Ratio, Slack, Window.Seconds(), 2.2, 5
-		q := &meshpb.PartsReq{}
+		r.Ratio, r.Slack, r.WindowS, r.RemoteWeight, r.BulkWeight = Ratio, Slack, Window.Seconds(), 2.2, 5
+		q := &meshpb.SnapshotsRequest{}
 		for _, v := range r.Views {
 			if !views[v.Version] {
 				views[v.Version] = true
--- a/internal/proxy/blame.go
+++ b/internal/proxy/blame.go
@@ -81,17 +81,17 @@
 
 // Blames tells the master of the endpoints that answered this node badly, and
 // of what grey ones answered it.
-func (p *Pools) Blames() []*meshpb.Blame {
+func (p *Pools) Blames() []*meshpb.FailureReport {
 	now := p.clock()
-	var out []*meshpb.Blame
+	var out []*meshpb.FailureReport
 	for _, y := range p.cur.Load().by {
 		for _, r := range y.all {
 			g, b := r.blame.sum(now)
 			if b > 0 || r.grey && g > 0 {
-				out = append(out, &meshpb.Blame{Endpoint: r.id, Good: g, Bad: b})
+				out = append(out, &meshpb.FailureReport{Endpoint: r.id, Successes: g, Failures: b})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *meshpb.Blame) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(out, func(a, b *meshpb.FailureReport) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
--- a/internal/proxy/flows.go
+++ b/internal/proxy/flows.go
@@ -81,7 +81,7 @@
 	}
 	var out []*meshpb.Flow
 	for k, c := range sum {
-		out = append(out, &meshpb.Flow{Binding: k.binding, Kind: k.kind.String(), Service: k.service, Endpoint: k.endpoint, Node: k.node, AimMs: uint64(k.aim / time.Millisecond),
+		out = append(out, &meshpb.Flow{Route: k.binding, Kind: k.kind.String(), Service: k.service, Endpoint: k.endpoint, Node: k.node, LatencyTargetMs: uint64(k.aim / time.Millisecond),
 			PerS: float64(c.n) / span.Seconds(), WorkMs: float64(c.took.Milliseconds()) / float64(c.n)})
 	}
 	return out, span
--- a/internal/proxy/hot.go
+++ b/internal/proxy/hot.go
@@ -63,12 +63,12 @@
 // heat takes the hot keys of a view. A key that has grown keeps its earlier
 // copies at their full share while the new ones come up.
 func (p *Pools) heat(v *meshpb.View, n, old *pool) {
-	if len(v.Hot) == 0 {
+	if len(v.HotKeys) == 0 {
 		return
 	}
-	n.hot = make(map[uint64]*hot, len(v.Hot))
+	n.hot = make(map[uint64]*hot, len(v.HotKeys))
 	now := p.clock()
-	for _, k := range v.Hot {
+	for _, k := range v.HotKeys {
 		y := n.by[k.Service]
 		if y == nil || k.Width < 1 {
 			continue
--- a/internal/proxy/hot_test.go
+++ b/internal/proxy/hot_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if width > 1 {
-		v.Hot = []*meshpb.HotKey{{Key: key, Service: "s", Width: width}}
+		v.HotKeys = []*meshpb.HotKey{{Key: key, Service: "s", Width: width}}
 	}
 	return v
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -162,7 +162,7 @@
 			p.busy[k] = &area{}
 		}
 		r := &remote{busy: p.busy[k], id: e.Id, node: e.Node, inbound: e.Inbound, addr: e.Addr, zone: e.Zone,
-			slots: max(int64(e.Slots), 1), up: e.State == "up", cold: e.ColdMs > 0, grey: e.Grey, hash: xxhash.Sum64String(e.Id), gauge: g}
+			slots: max(int64(e.Slots), 1), up: e.State == "up", cold: e.WarmupMs > 0, grey: e.Outlier, hash: xxhash.Sum64String(e.Id), gauge: g}
 		y.all = append(y.all, r)
 		if r.zone == p.zone {
 			y.home = append(y.home, r)
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -26,7 +26,7 @@
 // record is the ticket of a request under way; a nil one notes nothing.
 type record struct {
 	mu sync.Mutex
-	t  *meshpb.Ticket
+	t  *meshpb.RequestRecord
 	of func(string) float64
 }
 
@@ -36,8 +36,8 @@
 	}
 	b.o.Tickets.Begin()
 	r := t.r
-	return &record{of: b.o.Budget.Left, t: &meshpb.Ticket{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
-		Caller: b.o.Service, Body: r.ContentLength}}
+	return &record{of: b.o.Budget.Left, t: &meshpb.RequestRecord{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
+		Caller: b.o.Service, BodyBytes: r.ContentLength}}
 }
 
 func (b *Outbound) file(t *trip) {
@@ -50,8 +50,8 @@
 	t.rec.mu.Unlock()
 	x.TookUs = time.Since(t.t0).Microseconds()
 	if t.route != nil {
-		x.Binding, x.Kind, x.AimUs, x.Service, x.Session = t.route.Name, t.route.Kind.String(), t.route.Target.Microseconds(), t.to, t.pinned
-		x.DueUs, x.Fresh = t.due.Sub(t.t0).Microseconds(), t.fresh
+		x.Route, x.Kind, x.LatencyTargetUs, x.Service, x.Session = t.route.Name, t.route.Kind.String(), t.route.Target.Microseconds(), t.to, t.pinned
+		x.DueUs, x.FirstSeen = t.due.Sub(t.t0).Microseconds(), t.fresh
 	}
 	if t.plan != nil {
 		x.Config = t.plan.Version
@@ -87,13 +87,13 @@
 	if r == nil {
 		return
 	}
-	d := &meshpb.Dispatch{Endpoint: to.id, Node: to.node, AtUs: at.Sub(t.t0).Microseconds(), TookUs: y.took.Microseconds(), Fate: fates[y.res], Service: t.to}
+	d := &meshpb.Attempt{Endpoint: to.id, Node: to.node, AtUs: at.Sub(t.t0).Microseconds(), TookUs: y.took.Microseconds(), Outcome: fates[y.res], Service: t.to}
 	if y.p != nil && y.res == answered {
 		d.Code = uint32(y.p.StatusCode)
 	}
 	r.mu.Lock()
 	if r.t != nil {
-		r.t.Dispatches = append(r.t.Dispatches, d)
+		r.t.Attempts = append(r.t.Attempts, d)
 	}
 	r.mu.Unlock()
 }
--- a/internal/replay/file.go
+++ b/internal/replay/file.go
@@ -70,19 +70,19 @@
 	return w.put(p)
 }
 
-func (w *Writer) Node(n *meshpb.TicketsResp) error {
+func (w *Writer) Node(n *meshpb.RequestRecordsResponse) error {
 	w.nodes++
-	w.tickets += uint64(len(n.Tickets))
+	w.tickets += uint64(len(n.Records))
 	return w.part(partNode, n)
 }
 
 func (w *Writer) View(v *meshpb.View) error { return w.part(partView, v) }
 
-func (w *Writer) Config(d *meshpb.ConfigDoc) error { return w.part(partConfig, d) }
+func (w *Writer) Config(d *meshpb.ConfigSnapshot) error { return w.part(partConfig, d) }
 
 // Close writes the tail; a file without one is cut short.
-func (w *Writer) Close(t *meshpb.Tail) error {
-	t.Nodes, t.Tickets = w.nodes, w.tickets
+func (w *Writer) Close(t *meshpb.ReplayTrailer) error {
+	t.Nodes, t.Records = w.nodes, w.tickets
 	if err := w.part(partTail, t); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 }
 
 // Write writes a whole record.
-func Write(w io.Writer, c *meshpb.Carried) error {
+func Write(w io.Writer, c *meshpb.ReplayFile) error {
 	x, err := NewWriter(w)
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	for _, d := range c.Configs {
 		err = errors.Join(err, x.Config(d))
 	}
-	return errors.Join(err, x.Close(&meshpb.Tail{MadeUs: c.MadeUs, SpanUs: c.SpanUs, Silent: c.Silent}))
+	return errors.Join(err, x.Close(&meshpb.ReplayTrailer{CreatedUs: c.CreatedUs, SpanUs: c.SpanUs, Unreachable: c.Unreachable}))
 }
 
 var errCut = Error.New("the file is cut short")
@@ -118,7 +118,7 @@
 }
 
 // ReadFrom reads a record part by part.
-func ReadFrom(r io.Reader) (*meshpb.Carried, error) {
+func ReadFrom(r io.Reader) (*meshpb.ReplayFile, error) {
 	sum := sha256.New()
 	in := io.TeeReader(r, sum)
 	head := make([]byte, len(magic))
@@ -131,8 +131,8 @@
 	case string(head) != magic:
 		return nil, Error.New("the file is of another version of corkcove's record")
 	}
-	c := &meshpb.Carried{Version: version}
-	t := &meshpb.Tail{}
+	c := &meshpb.ReplayFile{Version: version}
+	t := &meshpb.ReplayTrailer{}
 	for kind := byte(0); kind != partTail; {
 		if kind, err = readPart(in, c, t); err != nil {
 			return nil, err
@@ -148,19 +148,19 @@
 	}
 	tickets := uint64(0)
 	for _, x := range c.Nodes {
-		tickets += uint64(len(x.Tickets))
+		tickets += uint64(len(x.Records))
 	}
-	if uint32(len(c.Nodes)) != t.Nodes || tickets != t.Tickets {
-		return nil, Error.New("the file was changed: it has %d nodes and %d requests where its tail names %d and %d", len(c.Nodes), tickets, t.Nodes, t.Tickets)
+	if uint32(len(c.Nodes)) != t.Nodes || tickets != t.Records {
+		return nil, Error.New("the file was changed: it has %d nodes and %d requests where its tail names %d and %d", len(c.Nodes), tickets, t.Nodes, t.Records)
 	}
-	c.MadeUs, c.SpanUs, c.Silent = t.MadeUs, t.SpanUs, t.Silent
+	c.CreatedUs, c.SpanUs, c.Unreachable = t.CreatedUs, t.SpanUs, t.Unreachable
 	if tickets == 0 {
 		return nil, Error.New("the record is empty: no node carried a request in its span, or none keeps a record")
 	}
 	return c, nil
 }
 
-func readPart(in io.Reader, c *meshpb.Carried, t *meshpb.Tail) (byte, error) {
+func readPart(in io.Reader, c *meshpb.ReplayFile, t *meshpb.ReplayTrailer) (byte, error) {
 	var h [5]byte
 	if _, err := io.ReadFull(in, h[:]); err != nil {
 		return 0, cut(err)
@@ -180,13 +180,13 @@
 	var m proto.Message
 	switch h[0] {
 	case partNode:
-		x := &meshpb.TicketsResp{}
+		x := &meshpb.RequestRecordsResponse{}
 		c.Nodes, m = append(c.Nodes, x), x
 	case partView:
 		x := &meshpb.View{}
 		c.Views, m = append(c.Views, x), x
 	case partConfig:
-		x := &meshpb.ConfigDoc{}
+		x := &meshpb.ConfigSnapshot{}
 		c.Configs, m = append(c.Configs, x), x
 	case partTail:
 		m = t
@@ -199,9 +199,9 @@
 	return h[0], nil
 }
 
-func Parse(b []byte) (*meshpb.Carried, error) { return ReadFrom(bytes.NewReader(b)) }
+func Parse(b []byte) (*meshpb.ReplayFile, error) { return ReadFrom(bytes.NewReader(b)) }
 
-func Read(path string) (*meshpb.Carried, error) {
+func Read(path string) (*meshpb.ReplayFile, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/replay/flag.go
+++ b/internal/replay/flag.go
@@ -42,13 +42,13 @@
 }
 
 // calledRoutes are those on which most requests are calls of endpoints.
-func calledRoutes(c *meshpb.Carried, parents map[*meshpb.Ticket]*meshpb.Ticket) map[string]bool {
+func calledRoutes(c *meshpb.ReplayFile, parents map[*meshpb.RequestRecord]*meshpb.RequestRecord) map[string]bool {
 	all, calls := map[string]int{}, map[string]int{}
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
-			all[t.Binding]++
+		for _, t := range n.Records {
+			all[t.Route]++
 			if parents[t] != nil {
-				calls[t.Binding]++
+				calls[t.Route]++
 			}
 		}
 	}
@@ -59,12 +59,12 @@
 	return out
 }
 
-func (w watch) has(t *meshpb.Ticket, f *Fare, once bool) bool {
-	return once || w.called[t.Binding] || slices.Contains(w.named, t.Binding) || slices.Contains(w.named, f.Binding)
+func (w watch) has(t *meshpb.RequestRecord, f *Fare, once bool) bool {
+	return once || w.called[t.Route] || slices.Contains(w.named, t.Route) || slices.Contains(w.named, f.Binding)
 }
 
 // harm gives what the new rules do to a watched request, and why.
-func harm(t *meshpb.Ticket, verdicts []string, f *Fare, once bool, aim time.Duration) (what, why string) {
+func harm(t *meshpb.RequestRecord, verdicts []string, f *Fare, once bool, aim time.Duration) (what, why string) {
 	has := func(v string) bool { return slices.Contains(verdicts, v) }
 	switch {
 	case has(Doubled):
@@ -91,7 +91,7 @@
 	return "", ""
 }
 
-func cutShort(t *meshpb.Ticket, f *Fare) string {
+func cutShort(t *meshpb.RequestRecord, f *Fare) string {
 	if f.due > 0 && (t.DueUs == 0 || f.due < time.Duration(t.DueUs)*time.Microsecond) {
 		return fmt.Sprintf(" (the route's timeout is %d ms now)", f.due.Milliseconds())
 	}
@@ -112,7 +112,7 @@
 
 // once tells that a request must not run twice under the rules it was carried
 // under.
-func once(t *meshpb.Ticket, old, then *Fare) bool {
+func once(t *meshpb.RequestRecord, old, then *Fare) bool {
 	k, known := routeconfig.KindOf(cmp.Or(t.Kind, old.Kind))
 	return known && !k.Repeatable() || !known && then.Binding != "" && !then.kind.Repeatable()
 }
--- a/internal/replay/forecast.go
+++ b/internal/replay/forecast.go
@@ -128,7 +128,7 @@
 
 // happened gathers how the flows of a record were carried under one
 // configuration.
-func happened(c *meshpb.Carried, version uint64, byNode bool, settle time.Duration) (map[Flow]*Shares, int) {
+func happened(c *meshpb.ReplayFile, version uint64, byNode bool, settle time.Duration) (map[Flow]*Shares, int) {
 	a := atlasOf(c)
 	out := map[Flow]*Shares{}
 	other := 0
@@ -140,7 +140,7 @@
 				from = p.AtUs + settle.Microseconds()
 			}
 		}
-		for _, t := range n.Tickets {
+		for _, t := range n.Records {
 			if t.Config != version || t.AtUs < from {
 				other++
 				continue
@@ -148,7 +148,7 @@
 			if t.Code == 0 {
 				continue
 			}
-			k := Flow{cmp.Or(t.Binding, "(none)"), t.Kind, fl.origin(n)}
+			k := Flow{cmp.Or(t.Route, "(none)"), t.Kind, fl.origin(n)}
 			if out[k] == nil {
 				out[k] = newShares()
 			}
@@ -162,7 +162,7 @@
 }
 
 // Matches tells whether the record was taken under the forecast's proposal.
-func (f Forecast) Matches(c *meshpb.Carried) error {
+func (f Forecast) Matches(c *meshpb.ReplayFile) error {
 	if f.Retries != nil {
 		for _, n := range c.Nodes {
 			if n.Ratio != f.Retries.Ratio || n.Slack != f.Retries.Slack || n.WindowS != f.Retries.Window.Seconds() {
@@ -196,7 +196,7 @@
 }
 
 // newest gives the newest configuration of a record.
-func newest(c *meshpb.Carried) uint64 {
+func newest(c *meshpb.ReplayFile) uint64 {
 	s := uint64(0)
 	for _, d := range c.Configs {
 		s = max(s, d.Version)
@@ -206,7 +206,7 @@
 
 // Compare holds a forecast against a record that was taken once the change was
 // live.
-func (f Forecast) Compare(c *meshpb.Carried, b CompareBars) (*Compared, error) {
+func (f Forecast) Compare(c *meshpb.ReplayFile, b CompareBars) (*Compared, error) {
 	if err := f.Matches(c); err != nil && !b.Any {
 		return nil, err
 	}
--- a/internal/replay/forecast_test.go
+++ b/internal/replay/forecast_test.go
@@ -15,7 +15,7 @@
 
 // live carries traffic under r1, makes the change, and carries more; the record
 // of each half is given.
-func live(t *testing.T, n int, then func(m interface{ Retire(string) }), change ...string) (before, after *meshpb.Carried) {
+func live(t *testing.T, n int, then func(m interface{ Retire(string) }), change ...string) (before, after *meshpb.ReplayFile) {
 	synctest.Test(t, func(t *testing.T) {
 		m := busy(nil)
 		m.Push(doc(t, 1))
@@ -36,7 +36,7 @@
 var moveHalf = []string{`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"serviceName":"seats"`,
 	`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":40},{"serviceName":"desk","share":60}]`}
 
-func foretell(t *testing.T, c *meshpb.Carried, change ...string) (Forecast, *Report) {
+func foretell(t *testing.T, c *meshpb.ReplayFile, change ...string) (Forecast, *Report) {
 	t.Helper()
 	d := doc(t, 2, change...)
 	ru := Rules{Plan: &d, Seed: 1}
@@ -105,8 +105,8 @@
 
 func TestEachHarmedPurchaseAndUploadIsFlagged(t *testing.T) {
 	c := record(t, everyTenth("/pay/"), 400)
-	all := func(b string, f func(*meshpb.Ticket) bool) []string {
-		return tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == b && f(x) })
+	all := func(b string, f func(*meshpb.RequestRecord) bool) []string {
+		return tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == b && f(x) })
 	}
 	flagged := func(r *Report, what, route string) (ids []string) {
 		for _, f := range r.Flags {
@@ -129,12 +129,12 @@
 	qt.Assert(t, sorted(flagged(r, SentTwice, "pay")), qt.DeepEquals, sorted(all("pay", unsure)))
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":2`, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":0.01`))
-	qt.Assert(t, sorted(flagged(r, Dropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.Ticket) bool { return true })))
+	qt.Assert(t, sorted(flagged(r, Dropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.RequestRecord) bool { return true })))
 	qt.Assert(t, len(flagged(r, Dropped, "buy")), qt.Equals, 0)
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/buy/"`, `"pathPrefix":"/purchase/"`))
 	gone := sorted(flagged(r, Dropped, "buy"))
-	qt.Assert(t, gone, qt.DeepEquals, sorted(all("buy", func(x *meshpb.Ticket) bool { return x.Code == 200 })))
+	qt.Assert(t, gone, qt.DeepEquals, sorted(all("buy", func(x *meshpb.RequestRecord) bool { return x.Code == 200 })))
 	qt.Assert(t, strings.Contains(r.Flags[0].Why, "404"), qt.IsTrue)
 
 	d := doc(t, 2, `"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2`, `"pathPrefix":"/map/","bindingKind":"pure","timeoutS":0.01`)
@@ -152,12 +152,12 @@
 func TestTooLittleCoverageIsUnfit(t *testing.T) {
 	c := record(t, nil, 60)
 	d := doc(t, 2)
-	c.Silent = append(c.Silent, "node-gone")
+	c.Unreachable = append(c.Unreachable, "node-gone")
 	r, err := Play(c, Rules{Plan: &d, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.Coverage, qt.Equals, 6.0/7)
 	qt.Assert(t, r.Fit, qt.IsFalse)
-	c.Silent = nil
+	c.Unreachable = nil
 	n := c.Nodes[0]
 	n.LostUs = c.SpanUs
 	r, err = Play(c, Rules{Plan: &d, Seed: 1}, bars)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -94,7 +94,7 @@
 }
 
 // record carries traffic under the rules and gives the record.
-func record(t *testing.T, broken func(*http.Request) bool, n int) (c *meshpb.Carried) {
+func record(t *testing.T, broken func(*http.Request) bool, n int) (c *meshpb.ReplayFile) {
 	synctest.Test(t, func(t *testing.T) {
 		m := busy(broken)
 		m.Push(doc(t, 1))
@@ -110,7 +110,7 @@
 	return x
 }
 
-func play(t *testing.T, c *meshpb.Carried, d routeconfig.Doc) *Report {
+func play(t *testing.T, c *meshpb.ReplayFile, d routeconfig.Doc) *Report {
 	t.Helper()
 	r, err := Play(c, Rules{Plan: &d, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
@@ -130,9 +130,9 @@
 	return out
 }
 
-func tickets(c *meshpb.Carried, f func(*meshpb.Ticket) bool) (out []string) {
+func tickets(c *meshpb.ReplayFile, f func(*meshpb.RequestRecord) bool) (out []string) {
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
+		for _, t := range n.Records {
 			if f(t) {
 				out = append(out, t.Id)
 			}
@@ -142,11 +142,13 @@
 	return out
 }
 
-func unsure(t *meshpb.Ticket) bool { return len(t.Dispatches) > 0 && t.Dispatches[0].Fate == "unsure" }
+func unsure(t *meshpb.RequestRecord) bool {
+	return len(t.Attempts) > 0 && t.Attempts[0].Outcome == "unsure"
+}
 
 func TestWrongRulesAreFoundWithExactlyTheirRequests(t *testing.T) {
 	c := record(t, everyTenth("/pay/"), 400)
-	hit := tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == "pay" && unsure(x) })
+	hit := tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "pay" && unsure(x) })
 	qt.Assert(t, len(hit) > 3, qt.IsTrue)
 
 	pure := []string{`"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/pay/","bindingKind":"pure"`}
@@ -165,11 +167,11 @@
 	}
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":2`, `"pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":0.01`))
-	qt.Assert(t, with(r, Vanished), qt.DeepEquals, tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == "buy" }))
+	qt.Assert(t, with(r, Vanished), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "buy" }))
 	qt.Assert(t, with(r, Stalled), qt.DeepEquals, with(r, Vanished))
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/map/pay/","bindingKind":"effectful"`))
-	swallowed := tickets(c, func(x *meshpb.Ticket) bool { return strings.HasPrefix(x.Target, "/map/pay/") })
+	swallowed := tickets(c, func(x *meshpb.RequestRecord) bool { return strings.HasPrefix(x.Target, "/map/pay/") })
 	qt.Assert(t, with(r, Elsewhere), qt.DeepEquals, swallowed)
 	var dropped []string
 	for _, l := range r.Lines {
@@ -179,11 +181,11 @@
 		}
 	}
 	slices.Sort(dropped)
-	qt.Assert(t, dropped, qt.DeepEquals, tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == "pay" && x.Code == 200 }))
+	qt.Assert(t, dropped, qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "pay" && x.Code == 200 }))
 
 	r = play(t, c, doc(t, 2, `"bindingKind":"upload","timeoutS":2,"targetS":0.4,"rank":2,"serviceName":"seats"`,
 		`"bindingKind":"upload","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":0},{"serviceName":"desk","share":1}]`))
-	qt.Assert(t, with(r, Elsewhere), qt.DeepEquals, tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == "up" }))
+	qt.Assert(t, with(r, Elsewhere), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "up" }))
 }
 
 func TestHarmlessChangeShowsNothing(t *testing.T) {
@@ -207,7 +209,7 @@
 
 func TestFewerRetriesAreForetold(t *testing.T) {
 	c := record(t, everyTenth("/map/"), 300)
-	hit := tickets(c, func(x *meshpb.Ticket) bool { return x.Binding == "map" && unsure(x) && x.Code == 200 })
+	hit := tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "map" && unsure(x) && x.Code == 200 })
 	r, err := Play(c, Rules{Retries: &Retries{Window: time.Second}, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, with(r, Misplaced), qt.DeepEquals, hit)
@@ -219,7 +221,7 @@
 	change := []string{`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"serviceName":"seats"`,
 		`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":50},{"serviceName":"desk","share":50}]`,
 		`"pathPrefix":"/up/","bindingKind":"upload","timeoutS":2`, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":0.03`}
-	var c *meshpb.Carried
+	var c *meshpb.ReplayFile
 	var gots []meshtest.Got
 	var lates, asks, else_ int
 	synctest.Test(t, func(t *testing.T) {
@@ -230,11 +232,11 @@
 		m.Push(doc(t, 2, change...))
 		gots = carry(m, 400, 9)
 		for _, n := range m.Carried().Nodes {
-			for _, x := range n.Tickets {
+			for _, x := range n.Records {
 				if x.Config != 2 {
 					continue
 				}
-				switch x.Binding {
+				switch x.Route {
 				case "up":
 					asks++
 					if x.Code == 504 {
@@ -266,16 +268,16 @@
 
 func TestCallsAreJoinedToTheRequestThatMadeThem(t *testing.T) {
 	v := &meshpb.View{Epoch: 1, Version: 1, Endpoints: []*meshpb.Endpoint{{Id: "e0", Node: "n0", Service: "s", State: "up", Inbound: "i", Slots: 2}}}
-	ticket := func(id string, at, due int64, d ...*meshpb.Dispatch) *meshpb.Ticket {
-		return &meshpb.Ticket{Id: id, AtUs: at, DeadlineUs: due, DueUs: due, Dispatches: d}
+	ticket := func(id string, at, due int64, d ...*meshpb.Attempt) *meshpb.RequestRecord {
+		return &meshpb.RequestRecord{Id: id, AtUs: at, DeadlineUs: due, DueUs: due, Attempts: d}
 	}
-	c := &meshpb.Carried{Views: []*meshpb.View{v}, Nodes: []*meshpb.TicketsResp{
-		{Node: "n1", Tickets: []*meshpb.Ticket{ticket("p", 0, 2_000_000, &meshpb.Dispatch{Endpoint: "e0", AtUs: 1000, TookUs: 300_000, Fate: "ran"}),
-			ticket("q", 0, 1_000_000, &meshpb.Dispatch{Endpoint: "e0", AtUs: 1000, TookUs: 300_000, Fate: "ran"})}},
-		{Node: "n0", Tickets: []*meshpb.Ticket{ticket("call", 100_000, 1_893_000), ticket("other", 100_000, 500_000)}},
+	c := &meshpb.ReplayFile{Views: []*meshpb.View{v}, Nodes: []*meshpb.RequestRecordsResponse{
+		{Node: "n1", Records: []*meshpb.RequestRecord{ticket("p", 0, 2_000_000, &meshpb.Attempt{Endpoint: "e0", AtUs: 1000, TookUs: 300_000, Outcome: "ran"}),
+			ticket("q", 0, 1_000_000, &meshpb.Attempt{Endpoint: "e0", AtUs: 1000, TookUs: 300_000, Outcome: "ran"})}},
+		{Node: "n0", Records: []*meshpb.RequestRecord{ticket("call", 100_000, 1_893_000), ticket("other", 100_000, 500_000)}},
 	}}
 	for range 4 {
-		c.Nodes[1].Tickets = append(c.Nodes[1].Tickets, ticket("own", 100_000, 1_897_000))
+		c.Nodes[1].Records = append(c.Nodes[1].Records, ticket("own", 100_000, 1_897_000))
 	}
 	ps := join(c, nodesOf(c))
 	qt.Assert(t, len(ps), qt.Equals, 1)
@@ -294,7 +296,7 @@
 	inside := slices.Clone(whole)
 	inside[len(inside)/2] ^= 1
 	var empty bytes.Buffer
-	Write(&empty, &meshpb.Carried{})
+	Write(&empty, &meshpb.ReplayFile{})
 	for want, in := range map[string][]byte{
 		"cut short":       whole[:len(whole)/2],
 		"checksum":        changed,
--- a/internal/replay/shift.go
+++ b/internal/replay/shift.go
@@ -132,7 +132,7 @@
 	zone map[string]string
 }
 
-func atlasOf(c *meshpb.Carried) atlas {
+func atlasOf(c *meshpb.ReplayFile) atlas {
 	a := atlas{map[string]string{}, map[string]string{}}
 	for _, v := range c.Views {
 		for _, e := range v.Endpoints {
@@ -170,10 +170,10 @@
 	return a.way(service, end, zone, n)
 }
 
-func (a atlas) carried(t *meshpb.Ticket, zone string) way {
+func (a atlas) carried(t *meshpb.RequestRecord, zone string) way {
 	service, end, n := "", "", 0
-	for _, d := range t.Dispatches {
-		if f, ok := proxy.FateOf(d.Fate); ok && reached(f) {
+	for _, d := range t.Attempts {
+		if f, ok := proxy.FateOf(d.Outcome); ok && reached(f) {
 			n++
 			if end == "" || f == proxy.Ran {
 				service, end = d.Service, d.Endpoint
@@ -194,14 +194,14 @@
 	m      map[Flow]*Shift
 }
 
-func (s *flows) origin(n *meshpb.TicketsResp) string {
+func (s *flows) origin(n *meshpb.RequestRecordsResponse) string {
 	if s.byNode {
 		return n.Node
 	}
 	return n.Zone
 }
 
-func (s *flows) add(n *meshpb.TicketsResp, t *meshpb.Ticket, old, then *Fare) {
+func (s *flows) add(n *meshpb.RequestRecordsResponse, t *meshpb.RequestRecord, old, then *Fare) {
 	if then.quit || old.quit || t.AtUs < s.from {
 		return
 	}
--- a/internal/replay/verdict.go
+++ b/internal/replay/verdict.go
@@ -104,7 +104,7 @@
 
 // faults judges one playing of a request. Whether it may run twice was decided
 // by the rules it was carried under, and is not changed by calling it pure.
-func faults(t *meshpb.Ticket, f *Fare, once bool, aim time.Duration) map[string]bool {
+func faults(t *meshpb.RequestRecord, f *Fare, once bool, aim time.Duration) map[string]bool {
 	out := map[string]bool{}
 	if f.quit {
 		return out
@@ -155,7 +155,7 @@
 
 // coverage tells how much of the span the record has, node by node; one that
 // did not answer has nothing.
-func (r *Report) coverage(c *meshpb.Carried) {
+func (r *Report) coverage(c *meshpb.ReplayFile) {
 	kept := 0.0
 	for _, n := range c.Nodes {
 		span := float64(min(c.SpanUs, max(n.NowUs-n.BeganUs, 1)))
@@ -168,14 +168,14 @@
 			r.Lost = append(r.Lost, Loss{n.Node, float64(n.LostUs) / 1e6})
 		}
 	}
-	r.Coverage = kept / float64(max(len(c.Nodes)+len(c.Silent), 1))
+	r.Coverage = kept / float64(max(len(c.Nodes)+len(c.Unreachable), 1))
 }
 
 // start is when the record's first request began.
-func start(c *meshpb.Carried) int64 {
+func start(c *meshpb.ReplayFile) int64 {
 	first := int64(1 << 62)
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
+		for _, t := range n.Records {
 			first = min(first, t.AtUs)
 		}
 	}
@@ -184,7 +184,7 @@
 
 // Play plays the record under the old rules and under the new ones, and tells
 // what differs.
-func Play(c *meshpb.Carried, r Rules, b Bars) (*Report, error) {
+func Play(c *meshpb.ReplayFile, r Rules, b Bars) (*Report, error) {
 	was, err := newWorld(c, Rules{Seed: r.Seed})
 	if err != nil {
 		return nil, err
@@ -197,7 +197,7 @@
 	}
 	now.seed()
 	now.play()
-	rep := &Report{Nodes: len(c.Nodes), SpanS: float64(c.SpanUs) / 1e6, Silent: append([]string{}, c.Silent...), Allowed: b.Off, Needed: b.Coverage, Counts: map[string]int{},
+	rep := &Report{Nodes: len(c.Nodes), SpanS: float64(c.SpanUs) / 1e6, Silent: append([]string{}, c.Unreachable...), Allowed: b.Off, Needed: b.Coverage, Counts: map[string]int{},
 		Lines: []Line{}, Sums: []Sum{}, Moves: []SessionMove{}, Flags: []Flag{}, Lost: []Loss{}}
 	rep.coverage(c)
 	nodes := nodesOf(c)
@@ -208,7 +208,7 @@
 	type sumKey struct{ b, k, n string }
 	sums := map[sumKey]*Sum{}
 	sessions := map[string]bool{}
-	runsAt := func(w *world, p *meshpb.Ticket, node string) bool {
+	runsAt := func(w *world, p *meshpb.RequestRecord, node string) bool {
 		if p == nil {
 			return true
 		}
@@ -226,7 +226,7 @@
 		if len(n.Views) == 0 {
 			rep.NoView++
 		}
-		for _, t := range n.Tickets {
+		for _, t := range n.Records {
 			rep.Requests++
 			old, then := was.fares[t], now.fares[t]
 			if !same(t, old) {
@@ -326,10 +326,10 @@
 // seed plugs sessions in where the record has them first.
 func (w *world) seed() {
 	type at struct{ key, service string }
-	first := map[at]*meshpb.Ticket{}
+	first := map[at]*meshpb.RequestRecord{}
 	for _, n := range w.c.Nodes {
-		for _, t := range n.Tickets {
-			if t.Session == "" || len(t.Dispatches) == 0 {
+		for _, t := range n.Records {
+			if t.Session == "" || len(t.Attempts) == 0 {
 				continue
 			}
 			k := at{t.Session, t.Service}
@@ -339,7 +339,7 @@
 		}
 	}
 	for k, t := range first {
-		p := &meshpb.Pin{Key: k.key, Service: k.service, Endpoint: t.Dispatches[0].Endpoint, Config: t.Config}
+		p := &meshpb.Pin{Key: k.key, Service: k.service, Endpoint: t.Attempts[0].Endpoint, Config: t.Config}
 		w.pins.Apply(&meshpb.Change{Pin: p}, time.Hour)
 		for _, n := range w.nodes {
 			n.cords.Known(p.Key, p.Service, p.Endpoint)
@@ -349,22 +349,22 @@
 
 // same tells whether the playing under the old rules gave back what was
 // recorded.
-func same(t *meshpb.Ticket, f *Fare) bool {
+func same(t *meshpb.RequestRecord, f *Fare) bool {
 	if f.quit {
 		return true
 	}
-	if t.Code == 0 && len(t.Dispatches) == 0 {
+	if t.Code == 0 && len(t.Attempts) == 0 {
 		return true
 	}
 	if int(t.Code) != f.Code && !(t.Code == 0) {
 		return false
 	}
-	if len(t.Dispatches) != len(f.Runs) {
+	if len(t.Attempts) != len(f.Runs) {
 		return false
 	}
 	seen := map[string]int{}
-	for _, d := range t.Dispatches {
-		seen[d.Endpoint+d.Fate]++
+	for _, d := range t.Attempts {
+		seen[d.Endpoint+d.Outcome]++
 	}
 	for _, r := range f.Runs {
 		seen[r.Endpoint+r.Fate]--
@@ -377,7 +377,7 @@
 	return true
 }
 
-func nodesOf(c *meshpb.Carried) map[string]string {
+func nodesOf(c *meshpb.ReplayFile) map[string]string {
 	out := map[string]string{}
 	for _, v := range c.Views {
 		for _, e := range v.Endpoints {
@@ -389,36 +389,36 @@
 
 // firsthand tells which deadlines of a binding user agents ask with: those come
 // again and again, while a call has what is left of its parent's.
-func firsthand(c *meshpb.Carried) func(*meshpb.Ticket) bool {
+func firsthand(c *meshpb.ReplayFile) func(*meshpb.RequestRecord) bool {
 	type ask struct {
 		binding string
 		ms      int64
 	}
 	all, same := map[string]int{}, map[ask]int{}
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
-			all[t.Binding]++
-			same[ask{t.Binding, t.DeadlineUs / 1000}]++
+		for _, t := range n.Records {
+			all[t.Route]++
+			same[ask{t.Route, t.DeadlineUs / 1000}]++
 		}
 	}
-	return func(t *meshpb.Ticket) bool {
-		n := same[ask{t.Binding, t.DeadlineUs / 1000}]
-		return n >= 3 && 10*n >= all[t.Binding]
+	return func(t *meshpb.RequestRecord) bool {
+		n := same[ask{t.Route, t.DeadlineUs / 1000}]
+		return n >= 3 && 10*n >= all[t.Route]
 	}
 }
 
 // join finds the parent of each call that an endpoint made: the one request
 // that its endpoint was at work on then, and that ends with the same deadline.
-func join(c *meshpb.Carried, nodeOf map[string]string) map[*meshpb.Ticket]*meshpb.Ticket {
+func join(c *meshpb.ReplayFile, nodeOf map[string]string) map[*meshpb.RequestRecord]*meshpb.RequestRecord {
 	type work struct {
-		t        *meshpb.Ticket
+		t        *meshpb.RequestRecord
 		from, to int64
 		due      int64
 	}
 	at := map[string][]work{}
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
-			for _, d := range t.Dispatches {
+		for _, t := range n.Records {
+			for _, d := range t.Attempts {
 				if x := nodeOf[d.Endpoint]; x != "" {
 					at[x] = append(at[x], work{t, t.AtUs + d.AtUs, t.AtUs + d.AtUs + d.TookUs, t.AtUs + t.DueUs})
 				}
@@ -427,14 +427,14 @@
 	}
 	const slack = int64(25 * time.Millisecond / time.Microsecond)
 	own := firsthand(c)
-	out := map[*meshpb.Ticket]*meshpb.Ticket{}
+	out := map[*meshpb.RequestRecord]*meshpb.RequestRecord{}
 	for _, n := range c.Nodes {
 		ws := at[n.Node]
-		for _, t := range n.Tickets {
+		for _, t := range n.Records {
 			if own(t) {
 				continue
 			}
-			var found *meshpb.Ticket
+			var found *meshpb.RequestRecord
 			many := false
 			for _, w := range ws {
 				if w.t == t || t.AtUs < w.from || t.AtUs > w.to || t.DeadlineUs == 0 {
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -73,12 +73,12 @@
 }
 
 type node struct {
-	r       *meshpb.TicketsResp
+	r       *meshpb.RequestRecordsResponse
 	pools   *proxy.Pools
 	budget  *proxy.Budget
 	cords   *affinity.Cords
 	plan    *routeconfig.Table
-	tickets []*meshpb.Ticket
+	tickets []*meshpb.RequestRecord
 	view    *meshpb.View
 	keys    *proxy.KeyMeter
 }
@@ -124,7 +124,7 @@
 
 // world plays in virtual time; one seed gives one course of events.
 type world struct {
-	c      *meshpb.Carried
+	c      *meshpb.ReplayFile
 	rules  Rules
 	now    int64
 	seq    int
@@ -134,7 +134,7 @@
 	usual  map[string]time.Duration
 	work   map[string]time.Duration
 	pins   *coordination.Table
-	fares  map[*meshpb.Ticket]*Fare
+	fares  map[*meshpb.RequestRecord]*Fare
 	rng    *rand.Rand
 	speeds map[string]float64
 	docs   map[uint64]*routeconfig.Table
@@ -151,9 +151,9 @@
 
 // newWorld learns from the record how fast endpoints answer and when they
 // failed.
-func newWorld(c *meshpb.Carried, r Rules) (*world, error) {
+func newWorld(c *meshpb.ReplayFile, r Rules) (*world, error) {
 	w := &world{c: c, rules: r, places: map[string]*place{}, usual: map[string]time.Duration{}, work: map[string]time.Duration{}, pins: coordination.NewTable(time.Minute),
-		fares: map[*meshpb.Ticket]*Fare{}, rng: rand.New(rand.NewPCG(r.Seed, 7)), speeds: map[string]float64{}}
+		fares: map[*meshpb.RequestRecord]*Fare{}, rng: rand.New(rand.NewPCG(r.Seed, 7)), speeds: map[string]float64{}}
 	type sum struct {
 		n int
 		d time.Duration
@@ -161,21 +161,21 @@
 	by, at := map[string]sum{}, map[string]sum{}
 	first := start(c)
 	for _, n := range c.Nodes {
-		for _, t := range n.Tickets {
-			for _, d := range t.Dispatches {
-				f, ok := proxy.FateOf(d.Fate)
+		for _, t := range n.Records {
+			for _, d := range t.Attempts {
+				f, ok := proxy.FateOf(d.Outcome)
 				if !ok {
-					return nil, Error.New("ticket %s names a fate %q that is not known", t.Id, d.Fate)
+					return nil, Error.New("ticket %s names a fate %q that is not known", t.Id, d.Outcome)
 				}
 				p := w.place(d.Endpoint)
 				p.direct = p.direct || d.Node == ""
 				p.marks = append(p.marks, mark{t.AtUs + d.AtUs, f, int(d.Code), d.TookUs})
 				if f == proxy.Ran && d.Code < 500 {
 					x := time.Duration(d.TookUs) * time.Microsecond
-					s := by[t.Binding]
-					by[t.Binding] = sum{s.n + 1, s.d + x}
-					s = at[key(d.Endpoint, t.Binding)]
-					at[key(d.Endpoint, t.Binding)] = sum{s.n + 1, s.d + x}
+					s := by[t.Route]
+					by[t.Route] = sum{s.n + 1, s.d + x}
+					s = at[key(d.Endpoint, t.Route)]
+					at[key(d.Endpoint, t.Route)] = sum{s.n + 1, s.d + x}
 				}
 			}
 		}
@@ -225,8 +225,8 @@
 	clock := func() time.Time { return time.UnixMicro(w.now) }
 	since := func() time.Duration { return time.Duration(w.now-first+3600e6) * time.Microsecond }
 	for _, t := range c.Nodes {
-		n := &node{r: t, plan: plan, tickets: t.Tickets, keys: proxy.NewKeyMeter(clock)}
-		n.pools = proxy.NewPools(t.Zone, t.Far, t.Heavy).Prefer(t.Node, int(t.Near)).SlowStart(2 * time.Second)
+		n := &node{r: t, plan: plan, tickets: t.Records, keys: proxy.NewKeyMeter(clock)}
+		n.pools = proxy.NewPools(t.Zone, t.RemoteWeight, t.BulkWeight).Prefer(t.Node, int(t.PreferredEndpoints)).SlowStart(2 * time.Second)
 		if t.Role == "sidecar" {
 			n.pools.Beside(t.Node)
 		}
@@ -238,7 +238,7 @@
 		}
 		n.budget = proxy.NewBudget(ry.Ratio, ry.Slack, ry.Window, n.pools.Nodes, since)
 		n.cords = affinity.New(affinity.Options{Now: clock, Config: func() uint64 { return versionOf(n.plan) }, Touch: time.Hour, Idle: time.Hour, Most: 1 << 20,
-			Ask: func(_ context.Context, q *meshpb.PinReq) (*meshpb.PinResp, error) {
+			Ask: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 				ch, p := w.pins.Pin(q, since())
 				if ch != nil {
 					w.pins.Apply(ch, since())
@@ -300,7 +300,7 @@
 	n.view = v
 	if w.hots != nil {
 		v = v.Lean()
-		v.Hot = w.hot
+		v.HotKeys = w.hot
 	}
 	n.pools.Set(v)
 }
@@ -372,12 +372,12 @@
 type ride struct {
 	w      *world
 	n      *node
-	t      *meshpb.Ticket
+	t      *meshpb.RequestRecord
 	f      *Fare
 	plan   *routeconfig.Table
 	route  *routeconfig.Route
 	course proxy.Course
-	left   []*meshpb.Dispatch
+	left   []*meshpb.Attempt
 	rng    *rand.Rand
 	at     int64
 	due    int64
@@ -387,12 +387,12 @@
 	second bool
 }
 
-func (w *world) begin(n *node, t *meshpb.Ticket) {
+func (w *world) begin(n *node, t *meshpb.RequestRecord) {
 	f := &Fare{}
 	w.fares[t] = f
-	x := &ride{w: w, n: n, t: t, f: f, plan: n.plan, at: w.now, left: slices.Clone(t.Dispatches), rng: rand.New(rand.NewPCG(w.rules.Seed, hash(t.Id)))}
+	x := &ride{w: w, n: n, t: t, f: f, plan: n.plan, at: w.now, left: slices.Clone(t.Attempts), rng: rand.New(rand.NewPCG(w.rules.Seed, hash(t.Id)))}
 	if x.plan == nil {
-		if t.Code != 0 && t.Binding == "" {
+		if t.Code != 0 && t.Route == "" {
 			x.end(int(t.Code))
 		} else {
 			x.end(503)
@@ -414,7 +414,7 @@
 	}
 	f.Service = x.plan.Services[ix].Name
 	if r.Policy != nil {
-		may, _ := r.Policy.Allows(routeconfig.Asked{Method: t.Method, Path: path, Query: query, Caller: t.Caller, BodyBytes: int(t.Body), Header: x.header})
+		may, _ := r.Policy.Allows(routeconfig.Asked{Method: t.Method, Path: path, Query: query, Caller: t.Caller, BodyBytes: int(t.BodyBytes), Header: x.header})
 		if !may {
 			x.end(proxy.Barred.Code())
 			return
@@ -429,14 +429,14 @@
 	}
 	f.due = d
 	x.due = x.at + d.Microseconds()
-	if t.Body > x.plan.Limits.BodyBytes {
+	if t.BodyBytes > x.plan.Limits.BodyBytes {
 		x.end(413)
 		return
 	}
 	if t.Session != "" && !x.seat() {
 		return
 	}
-	if f.Binding == t.Binding && f.Kind == t.Kind && len(t.Dispatches) == 0 && t.Code != 0 && t.Code != 404 && f.Service == t.Service {
+	if f.Binding == t.Route && f.Kind == t.Kind && len(t.Attempts) == 0 && t.Code != 0 && t.Code != 404 && f.Service == t.Service {
 		x.end(int(t.Code))
 		return
 	}
@@ -446,7 +446,7 @@
 }
 
 func (x *ride) start() {
-	heavy := proxy.Heavy(x.route.Kind, x.t.Body)
+	heavy := proxy.Heavy(x.route.Kind, x.t.BodyBytes)
 	was := x.course
 	x.course = proxy.NewCourse(x.n.pools, x.n.budget, x.route, x.f.Service, heavy)
 	x.course.After(was)
@@ -614,8 +614,8 @@
 			continue
 		}
 		x.left = slices.Delete(x.left, i, i+1)
-		f, _ := proxy.FateOf(d.Fate)
-		r := Run{Endpoint: id, Service: x.f.Service, Fate: d.Fate, fate: f, code: int(d.Code), AtMs: (at - x.at) / 1000, TookMs: d.TookUs / 1000}
+		f, _ := proxy.FateOf(d.Outcome)
+		r := Run{Endpoint: id, Service: x.f.Service, Fate: d.Outcome, fate: f, code: int(d.Code), AtMs: (at - x.at) / 1000, TookMs: d.TookUs / 1000}
 		end := at + d.TookUs
 		if end > x.due && f != proxy.Quit {
 			end, r.fate, r.Fate, r.TookMs = x.due, proxy.Late, "late", (x.due-at)/1000
@@ -652,7 +652,7 @@
 	}
 	most := left
 	if !p.direct {
-		most = proxy.MayWait(x.route.Target, x.now(), left, usual, x.t.Fresh, x.course.Short())
+		most = proxy.MayWait(x.route.Target, x.now(), left, usual, x.t.FirstSeen, x.course.Short())
 	}
 	if est := time.Duration(len(p.wait)+1) * usual / time.Duration(p.slots); est > most {
 		fate := proxy.Bounced
@@ -683,8 +683,8 @@
 // and failures as often as the record has them there around that moment.
 func (x *ride) model(p *place, usual time.Duration) (time.Duration, proxy.Fate, int) {
 	took := time.Duration(float64(usual) * p.speed)
-	for _, d := range x.t.Dispatches {
-		if d.Fate == "ran" && d.Code < 500 {
+	for _, d := range x.t.Attempts {
+		if d.Outcome == "ran" && d.Code < 500 {
 			took = time.Duration(float64(d.TookUs)*p.speed/max(x.w.place(d.Endpoint).speed, 0.05)) * time.Microsecond
 		}
 	}
--- a/internal/replication/board.go
+++ b/internal/replication/board.go
@@ -32,12 +32,12 @@
 // Wire carries calls to other members. Each callback runs on the board's
 // goroutine; a nil answer means that no answer came.
 type Wire interface {
-	Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp))
-	Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp))
-	Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp))
-	Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp))
-	Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp))
-	Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp))
+	Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse))
+	Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse))
+	Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse))
+	Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse))
+	Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse))
+	Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse))
 }
 
 // Book keeps records. Each callback runs on the board's goroutine, in the
@@ -269,16 +269,16 @@
 
 func (b *Board) replay(r *meshpb.Record, now time.Duration) {
 	if id := r.GetIdentity(); id != nil {
-		b.me.Id, b.first = id.Id, b.first || id.First
+		b.me.Id, b.first = id.Id, b.first || id.Bootstrap
 	}
 	if x := r.GetMembership(); x != nil && (b.membership == nil || x.Version > b.membership.Version) {
 		b.membership = x
 		b.first = b.first && !inMembership(x, b.me.Id)
 	}
-	if p := r.GetPromise(); p != nil && int(p.Shard) < len(b.shards) {
+	if p := r.GetVote(); p != nil && int(p.Shard) < len(b.shards) {
 		s := b.shards[p.Shard]
 		if p.Epoch >= s.promised {
-			s.promised, s.promisedBy = p.Epoch, p.By
+			s.promised, s.promisedBy = p.Epoch, p.Candidate
 		}
 	}
 	if st := r.GetState(); st != nil && int(st.Shard) < len(b.shards) {
@@ -287,7 +287,7 @@
 		s.table.Load(st, now, true)
 		s.forget()
 	}
-	if x := r.GetRaise(); x != nil && int(x.Shard) < len(b.shards) {
+	if x := r.GetEpochChange(); x != nil && int(x.Shard) < len(b.shards) {
 		if s := b.shards[x.Shard]; s.epoch == x.FromEpoch && s.version == x.FromVersion {
 			s.raise(x, now)
 		}
@@ -400,8 +400,8 @@
 	return b.alive(id) && b.peers[id].sound
 }
 
-func (b *Board) head(p *peer) *meshpb.Head {
-	return &meshpb.Head{From: b.me, To: p.m.Id, Deaf: !b.inTouch(p), Membership: b.membership.Version, Sound: b.ready(b.me.Id), Leaving: b.leaving}
+func (b *Board) head(p *peer) *meshpb.SenderHeader {
+	return &meshpb.SenderHeader{From: b.me, To: p.m.Id, NotReceiving: !b.inTouch(p), Membership: b.membership.Version, Healthy: b.ready(b.me.Id), Leaving: b.leaving}
 }
 
 // disk
@@ -456,7 +456,7 @@
 }
 
 func (b *Board) page() [][]byte {
-	out := [][]byte{enc(&meshpb.Record{Identity: &meshpb.Identity{Id: b.me.Id, First: b.first}})}
+	out := [][]byte{enc(&meshpb.Record{Identity: &meshpb.Identity{Id: b.me.Id, Bootstrap: b.first}})}
 	if b.membership.Version > 0 {
 		out = append(out, enc(&meshpb.Record{Membership: b.membership}))
 	}
@@ -464,7 +464,7 @@
 		st := b.dump(s)
 		out = append(out, enc(&meshpb.Record{State: st}))
 		if s.promised > 0 {
-			out = append(out, enc(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: s.promised, By: s.promisedBy}}))
+			out = append(out, enc(&meshpb.Record{Vote: &meshpb.Vote{Shard: uint32(s.ix), Epoch: s.promised, Candidate: s.promisedBy}}))
 		}
 	}
 	return out
@@ -539,10 +539,10 @@
 // Lines tells of each shard what this member knows; of those it owns, also how
 // far the copies are and how many members may be lost with the rest still a
 // majority that holds all.
-func (b *Board) Lines() []*meshpb.ShardLine {
-	var out []*meshpb.ShardLine
+func (b *Board) Lines() []*meshpb.ShardStatus {
+	var out []*meshpb.ShardStatus
 	for _, s := range b.shards {
-		l := &meshpb.ShardLine{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version}
+		l := &meshpb.ShardStatus{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version}
 		if m, ok := b.Owner(s.ix); ok {
 			l.Owner = m.Addr
 		}
@@ -554,11 +554,11 @@
 	return out
 }
 
-func (b *Board) owned(s *shard, l *meshpb.ShardLine) {
+func (b *Board) owned(s *shard, l *meshpb.ShardStatus) {
 	l.Owned, l.Committed, l.LeaseMs = true, s.commit, int64(max(s.lease-b.now(), 0)/time.Millisecond)
 	whole := 1
 	for _, p := range b.others() {
-		c := &meshpb.CopyLine{Addr: p.m.Addr, Learner: b.peers[p.m.Id] == nil, Reached: b.inTouch(p), Sound: p.sound, Leaving: p.leaving,
+		c := &meshpb.ReplicaStatus{Addr: p.m.Addr, Learner: b.peers[p.m.Id] == nil, Reached: b.inTouch(p), Sound: p.sound, Leaving: p.leaving,
 			Known: p.known[s.ix] == s.epoch}
 		if c.Behind = s.version; c.Known {
 			c.Behind = s.version - min(p.acked[s.ix], s.version)
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -41,7 +41,7 @@
 
 // raise takes the copy on to the epoch of x, whose entries bring it to what
 // that epoch began with.
-func (s *shard) raise(x *meshpb.Raise, now time.Duration) {
+func (s *shard) raise(x *meshpb.EpochChange, now time.Duration) {
 	s.past = append(s.past, span{s.epoch, s.version})
 	if n := len(s.past); n > pastMost {
 		s.past = append([]span(nil), s.past[n-pastMost:]...)
@@ -71,12 +71,12 @@
 // raiseFor makes what brings a copy at h on to this owner's epoch: all up to
 // its beginning in one, since a copy at a new epoch must hold all that came
 // before that epoch.
-func (s *shard) raiseFor(h span) *meshpb.Raise {
+func (s *shard) raiseFor(h span) *meshpb.EpochChange {
 	es, ok := s.after(h)
 	if !ok {
 		return nil
 	}
-	x := &meshpb.Raise{Shard: uint32(s.ix), Epoch: s.epoch, FromEpoch: h.epoch, FromVersion: h.version}
+	x := &meshpb.EpochChange{Shard: uint32(s.ix), Epoch: s.epoch, FromEpoch: h.epoch, FromVersion: h.version}
 	for _, e := range es {
 		if e.Version > s.begin {
 			break
--- a/internal/replication/loop.go
+++ b/internal/replication/loop.go
@@ -84,7 +84,7 @@
 
 type Net struct {
 	Loop  *Loop
-	Lines *rpc.Lines
+	Lines *rpc.Clients
 	Short time.Duration
 	Long  time.Duration
 }
@@ -99,28 +99,28 @@
 	}()
 }
 
-func (n Net) Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp)) {
-	send(n, n.Short, n.Lines.Exchange(to.Addr).Hold, q, cb)
+func (n Net) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	send(n, n.Short, n.Lines.Replication(to.Addr).RenewLeases, q, cb)
 }
 
-func (n Net) Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp)) {
-	send(n, n.Long, n.Lines.Exchange(to.Addr).Copy, q, cb)
+func (n Net) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
+	send(n, n.Long, n.Lines.Replication(to.Addr).Replicate, q, cb)
 }
 
-func (n Net) Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp)) {
-	send(n, n.Short, n.Lines.Exchange(to.Addr).Ask, q, cb)
+func (n Net) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
+	send(n, n.Short, n.Lines.Replication(to.Addr).RequestVotes, q, cb)
 }
 
-func (n Net) Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp)) {
-	send(n, n.Short, n.Lines.Exchange(to.Addr).Hand, q, cb)
+func (n Net) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	send(n, n.Short, n.Lines.Replication(to.Addr).TransferOwnership, q, cb)
 }
 
-func (n Net) Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp)) {
-	send(n, n.Short, n.Lines.Exchange(to.Addr).Enroll, q, cb)
+func (n Net) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
+	send(n, n.Short, n.Lines.Replication(to.Addr).AcceptMembership, q, cb)
 }
 
-func (n Net) Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp)) {
-	send(n, n.Short, n.Lines.Exchange(to).Join, q, cb)
+func (n Net) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
+	send(n, n.Short, n.Lines.Replication(to).Join, q, cb)
 }
 
 // Door answers other members' calls.
@@ -149,52 +149,52 @@
 	return out
 }
 
-func whole(h *meshpb.Head) bool { return h.GetFrom().GetId() != "" && h.From.Addr != "" }
+func whole(h *meshpb.SenderHeader) bool { return h.GetFrom().GetId() != "" && h.From.Addr != "" }
 
 var errHead = Error.New("a call without a sender")
 
-func (d Door) Hold(_ context.Context, q *meshpb.LeaseReq) (*meshpb.LeaseResp, error) {
-	if !whole(q.Head) {
+func (d Door) RenewLeases(_ context.Context, q *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
+	if !whole(q.Header) {
 		return nil, errHead
 	}
-	q.Marks = fit(d, q.Marks)
-	return answer(Ask(d.Loop, func() *meshpb.LeaseResp { return d.Board.OnLease(q) }))
+	q.Watermarks = fit(d, q.Watermarks)
+	return answer(Ask(d.Loop, func() *meshpb.RenewLeasesResponse { return d.Board.OnLease(q) }))
 }
 
-func (d Door) Copy(ctx context.Context, q *meshpb.CopyReq) (*meshpb.CopyResp, error) {
-	if !whole(q.Head) {
+func (d Door) Replicate(ctx context.Context, q *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
+	if !whole(q.Header) {
 		return nil, errHead
 	}
-	q.States, q.Entries, q.Raises = fit(d, q.States), fit(d, q.Entries), fit(d, q.Raises)
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.CopyResp)) { d.Board.OnCopy(q, f) }))
+	q.States, q.Entries, q.EpochChanges = fit(d, q.States), fit(d, q.Entries), fit(d, q.EpochChanges)
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.ReplicateResponse)) { d.Board.OnCopy(q, f) }))
 }
 
-func (d Door) Ask(ctx context.Context, q *meshpb.AskReq) (*meshpb.AskResp, error) {
-	if !whole(q.Head) {
+func (d Door) RequestVotes(ctx context.Context, q *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
+	if !whole(q.Header) {
 		return nil, errHead
 	}
-	q.Asks = fit(d, q.Asks)
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.AskResp)) { d.Board.OnAsk(q, f) }))
+	q.Votes = fit(d, q.Votes)
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.RequestVotesResponse)) { d.Board.OnAsk(q, f) }))
 }
 
-func (d Door) Hand(_ context.Context, q *meshpb.HandReq) (*meshpb.HandResp, error) {
-	if !whole(q.Head) {
+func (d Door) TransferOwnership(_ context.Context, q *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
+	if !whole(q.Header) {
 		return nil, errHead
 	}
-	q.Marks = fit(d, q.Marks)
-	return answer(Ask(d.Loop, func() *meshpb.HandResp { return d.Board.OnHand(q) }))
+	q.Watermarks = fit(d, q.Watermarks)
+	return answer(Ask(d.Loop, func() *meshpb.TransferOwnershipResponse { return d.Board.OnHand(q) }))
 }
 
-func (d Door) Enroll(ctx context.Context, q *meshpb.EnrollReq) (*meshpb.EnrollResp, error) {
+func (d Door) AcceptMembership(ctx context.Context, q *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
 	if len(q.GetMembership().GetMembers()) == 0 {
 		return nil, errHead
 	}
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.EnrollResp)) { d.Board.OnEnroll(q, f) }))
+	return answer(Later(ctx, d.Loop, func(f func(*meshpb.AcceptMembershipResponse)) { d.Board.OnEnroll(q, f) }))
 }
 
-func (d Door) Join(_ context.Context, q *meshpb.JoinReq) (*meshpb.JoinResp, error) {
+func (d Door) Join(_ context.Context, q *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
 	if q.GetFrom().GetId() == "" || q.From.Addr == "" {
 		return nil, errHead
 	}
-	return answer(Ask(d.Loop, func() *meshpb.JoinResp { return d.Board.OnJoin(q) }))
+	return answer(Ask(d.Loop, func() *meshpb.JoinResponse { return d.Board.OnJoin(q) }))
 }
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -24,11 +24,11 @@
 
 func (b *Board) sawMembership(m *meshpb.Member, version uint64) {
 	if version < b.membership.Version && m != nil && b.membership.Version > 1 {
-		b.wire.Enroll(m, &meshpb.EnrollReq{Membership: b.membership, From: b.me}, func(r *meshpb.EnrollResp) { b.enrolledBy(m.Id, r) })
+		b.wire.Enroll(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
 	}
 }
 
-func (b *Board) OnEnroll(q *meshpb.EnrollReq, reply func(*meshpb.EnrollResp)) {
+func (b *Board) OnEnroll(q *meshpb.AcceptMembershipRequest, reply func(*meshpb.AcceptMembershipResponse)) {
 	if b.diskBad {
 		reply(nil)
 		return
@@ -40,7 +40,7 @@
 				reply(nil)
 				return
 			}
-			reply(&meshpb.EnrollResp{Version: st, Ok: true})
+			reply(&meshpb.AcceptMembershipResponse{Version: st, Ok: true})
 		})
 		return
 	}
@@ -49,7 +49,7 @@
 			reply(nil)
 			return
 		}
-		reply(&meshpb.EnrollResp{Version: q.Membership.Version, Ok: true})
+		reply(&meshpb.AcceptMembershipResponse{Version: q.Membership.Version, Ok: true})
 	})
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-func (b *Board) enrolledBy(id string, r *meshpb.EnrollResp) {
+func (b *Board) enrolledBy(id string, r *meshpb.AcceptMembershipResponse) {
 	if r == nil || !r.Ok || b.enrolled == nil || r.Version != b.membership.Version {
 		return
 	}
@@ -167,7 +167,7 @@
 			}
 			seen[m.Id] = true
 			m := m
-			b.wire.Enroll(m, &meshpb.EnrollReq{Membership: b.membership, From: b.me}, func(r *meshpb.EnrollResp) { b.enrolledBy(m.Id, r) })
+			b.wire.Enroll(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
 		}
 	}
 }
@@ -303,10 +303,10 @@
 
 // OnJoin takes a learner's word: who owns a shard sends it copies from now on,
 // and the master gives it a place when there is one.
-func (b *Board) OnJoin(q *meshpb.JoinReq) *meshpb.JoinResp {
-	r := &meshpb.JoinResp{Ok: inMembership(b.membership, q.From.Id), Membership: b.membership}
+func (b *Board) OnJoin(q *meshpb.JoinRequest) *meshpb.JoinResponse {
+	r := &meshpb.JoinResponse{Ok: inMembership(b.membership, q.From.Id), Membership: b.membership}
 	if _, own := b.Own(0); own {
-		r.Settled = b.enrolledAll() && b.settled()
+		r.Replicated = b.enrolledAll() && b.settled()
 	}
 	if b.blank || r.Ok || q.Leaving {
 		return r
@@ -316,7 +316,7 @@
 		p = b.newPeer()
 		b.learners = append(b.learners, p)
 	}
-	p.m, p.joined, p.caught, p.first = q.From, b.now(), q.Caught, q.First
+	p.m, p.joined, p.caught, p.first = q.From, b.now(), q.CaughtUp, q.Bootstrap
 	return r
 }
 
@@ -333,9 +333,9 @@
 		return
 	}
 	b.joinAt = now + learnerSays
-	q := &meshpb.JoinReq{From: b.me, First: b.first, Leaving: b.leaving}
+	q := &meshpb.JoinRequest{From: b.me, Bootstrap: b.first, Leaving: b.leaving}
 	if b.caughtUp() {
-		q.Caught = b.membership.Version
+		q.CaughtUp = b.membership.Version
 	}
 	seen := map[string]bool{b.me.Addr: true}
 	for _, m := range slices.Concat(b.membership.Members, b.o.Seeds, b.more) {
@@ -351,11 +351,11 @@
 // its start may all be gone.
 func (b *Board) Reseed(ms []*meshpb.Member) { b.more = ms }
 
-func (b *Board) joined(r *meshpb.JoinResp) {
+func (b *Board) joined(r *meshpb.JoinResponse) {
 	if r == nil || !b.blank {
 		return
 	}
-	if b.leaving && r.Settled && r.Membership.GetVersion() == b.membership.Version {
+	if b.leaving && r.Replicated && r.Membership.GetVersion() == b.membership.Version {
 		b.gone = true
 	}
 	if r.Membership.GetVersion() > b.membership.Version {
--- a/internal/replication/serve.go
+++ b/internal/replication/serve.go
@@ -195,8 +195,8 @@
 // load collects what the peer lacks: of a shard whose epoch it does not have,
 // what leads there from what it has, or all; else the entries that follow. It
 // tells too whether all went in.
-func (b *Board) load(p *peer) (q *meshpb.CopyReq, whole bool) {
-	q = &meshpb.CopyReq{}
+func (b *Board) load(p *peer) (q *meshpb.ReplicateRequest, whole bool) {
+	q = &meshpb.ReplicateRequest{}
 	size := 0
 	for _, s := range b.shards {
 		if s.role != owner && s.role != handing {
@@ -219,7 +219,7 @@
 				continue
 			}
 			size += proto.Size(x)
-			q.Raises = append(q.Raises, x)
+			q.EpochChanges = append(q.EpochChanges, x)
 			at = s.begin
 		}
 		es, ok := s.after(span{s.epoch, at})
@@ -247,13 +247,13 @@
 	}
 	p.pushed = now
 	q, whole := b.load(p)
-	if len(q.States)+len(q.Entries)+len(q.Raises) == 0 {
+	if len(q.States)+len(q.Entries)+len(q.EpochChanges) == 0 {
 		return
 	}
-	q.Head = b.head(p)
+	q.Header = b.head(p)
 	p.copying = true
 	at := now
-	b.wire.Copy(p.m, q, func(r *meshpb.CopyResp) {
+	b.wire.Copy(p.m, q, func(r *meshpb.ReplicateResponse) {
 		p.copying = false
 		if r == nil {
 			p.nextAt = b.now() + 100*time.Millisecond
@@ -264,7 +264,7 @@
 			b.sawMembership(p.m, r.Membership)
 			return
 		}
-		b.met(p, r.Sound, p.leaving)
+		b.met(p, r.Healthy, p.leaving)
 		again := !whole
 		for _, a := range r.Acks {
 			s := b.shards[a.Shard]
@@ -288,7 +288,7 @@
 			b.advance(s)
 			b.relet(s)
 		}
-		if !r.Deaf {
+		if !r.NotReceiving {
 			b.unanswered(p, q, r)
 		}
 		if again || slices.Contains(b.near, p) {
@@ -302,9 +302,9 @@
 
 // unanswered notes raises of which a copy said nothing, or that it would go on
 // from just there: a member of the release before knows none and gets states.
-func (b *Board) unanswered(p *peer, q *meshpb.CopyReq, r *meshpb.CopyResp) {
-	for _, x := range q.Raises {
-		i := slices.IndexFunc(r.Acks, func(a *meshpb.CopyAck) bool { return a.Shard == x.Shard })
+func (b *Board) unanswered(p *peer, q *meshpb.ReplicateRequest, r *meshpb.ReplicateResponse) {
+	for _, x := range q.EpochChanges {
+		i := slices.IndexFunc(r.Acks, func(a *meshpb.ReplicateAck) bool { return a.Shard == x.Shard })
 		if i >= 0 {
 			a := r.Acks[i]
 			if !a.Gap || a.Promised > 0 || a.HaveEpoch != x.FromEpoch || a.HaveVersion != x.FromVersion {
@@ -353,14 +353,14 @@
 type copied struct {
 	b    *Board
 	from string
-	acks []*meshpb.CopyAck
-	by   map[uint32]*meshpb.CopyAck
+	acks []*meshpb.ReplicateAck
+	by   map[uint32]*meshpb.ReplicateAck
 	left *int
 	fin  func(error)
 }
 
-func (c *copied) ack(shard uint32, epoch, version uint64) *meshpb.CopyAck {
-	a := &meshpb.CopyAck{Shard: shard, Epoch: epoch, Version: version}
+func (c *copied) ack(shard uint32, epoch, version uint64) *meshpb.ReplicateAck {
+	a := &meshpb.ReplicateAck{Shard: shard, Epoch: epoch, Version: version}
 	c.acks = append(c.acks, a)
 	c.by[shard] = a
 	return a
@@ -373,7 +373,7 @@
 }
 
 // outdone tells that another epoch was promised than the one that a copy is for.
-func (c *copied) outdone(s *shard, a *meshpb.CopyAck) bool {
+func (c *copied) outdone(s *shard, a *meshpb.ReplicateAck) bool {
 	if a.Epoch > s.promised || a.Epoch == s.promised && s.promisedBy == c.from && a.Epoch > s.ended {
 		return false
 	}
@@ -388,7 +388,7 @@
 	}
 	c.b.depose(s, epoch, "another took over")
 	s.promised, s.promisedBy = epoch, c.from
-	c.b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: epoch, By: c.from}}, func(error) {})
+	c.b.save(&meshpb.Record{Vote: &meshpb.Vote{Shard: uint32(s.ix), Epoch: epoch, Candidate: c.from}}, func(error) {})
 }
 
 func (c *copied) state(st *meshpb.ShardState) {
@@ -407,7 +407,7 @@
 	c.b.install(s, st, st.Epoch, c.fin)
 }
 
-func (c *copied) raise(x *meshpb.Raise) {
+func (c *copied) raise(x *meshpb.EpochChange) {
 	s := c.b.shards[x.Shard]
 	a := c.ack(x.Shard, x.Epoch, 0)
 	if c.outdone(s, a) {
@@ -429,11 +429,11 @@
 }
 
 // lift raises a copy and has it synced as one record.
-func (b *Board) lift(s *shard, x *meshpb.Raise, done func(error)) {
+func (b *Board) lift(s *shard, x *meshpb.EpochChange, done func(error)) {
 	s.raise(x, b.now())
 	s.synced = 0
 	ep, at := s.epoch, s.version
-	b.save(&meshpb.Record{Raise: x}, func(err error) {
+	b.save(&meshpb.Record{EpochChange: x}, func(err error) {
 		if err == nil && s.epoch == ep {
 			s.synced = max(s.synced, at)
 		}
@@ -476,10 +476,10 @@
 
 // OnCopy answers reply once all it takes is synced. Learners take copies as
 // members do; they don't count.
-func (b *Board) OnCopy(q *meshpb.CopyReq, reply func(*meshpb.CopyResp)) {
-	r := &meshpb.CopyResp{Membership: b.membership.Version, Member: (b.member() || !b.leaving) && q.Head.To == b.me.Id}
-	if !r.Member || q.Head.Membership != b.membership.Version || !inMembership(b.membership, q.Head.From.Id) {
-		b.sawMembership(q.Head.From, q.Head.Membership)
+func (b *Board) OnCopy(q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
+	r := &meshpb.ReplicateResponse{Membership: b.membership.Version, Member: (b.member() || !b.leaving) && q.Header.To == b.me.Id}
+	if !r.Member || q.Header.Membership != b.membership.Version || !inMembership(b.membership, q.Header.From.Id) {
+		b.sawMembership(q.Header.From, q.Header.Membership)
 		reply(r)
 		return
 	}
@@ -487,14 +487,14 @@
 		reply(nil)
 		return
 	}
-	c := &copied{b: b, from: q.Head.From.Id, by: map[uint32]*meshpb.CopyAck{}}
-	if p := b.peers[c.from]; p != nil && !q.Head.Deaf {
-		b.met(p, q.Head.Sound, q.Head.Leaving)
+	c := &copied{b: b, from: q.Header.From.Id, by: map[uint32]*meshpb.ReplicateAck{}}
+	if p := b.peers[c.from]; p != nil && !q.Header.NotReceiving {
+		b.met(p, q.Header.Healthy, q.Header.Leaving)
 	}
-	r.Sound = b.ready(b.me.Id)
-	if q.Head.Deaf {
+	r.Healthy = b.ready(b.me.Id)
+	if q.Header.NotReceiving {
 		// It does not hear the answers, or is back after a while: this one tells.
-		r.Deaf = true
+		r.NotReceiving = true
 		reply(r)
 		return
 	}
@@ -516,7 +516,7 @@
 	for _, st := range q.States {
 		c.state(st)
 	}
-	for _, x := range q.Raises {
+	for _, x := range q.EpochChanges {
 		c.raise(x)
 	}
 	for _, e := range q.Entries {
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -378,19 +378,21 @@
 	}
 }
 
-func (x *wire) Lease(to *meshpb.Member, q *meshpb.LeaseReq, cb func(*meshpb.LeaseResp)) {
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.LeaseReq, f func(*meshpb.LeaseResp)) { f(b.OnLease(q)) })
+func (x *wire) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.RenewLeasesRequest, f func(*meshpb.RenewLeasesResponse)) {
+		f(b.OnLease(q))
+	})
 }
-func (x *wire) Copy(to *meshpb.Member, q *meshpb.CopyReq, cb func(*meshpb.CopyResp)) {
+func (x *wire) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
 	x.m.w.copies++
 	if x.m.w.plain != to.Addr {
 		carry(x, to.Addr, q, cb, (*replication.Board).OnCopy)
 		return
 	}
-	q = proto.Clone(q).(*meshpb.CopyReq)
-	q.Raises = nil
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.CopyReq, reply func(*meshpb.CopyResp)) {
-		b.OnCopy(q, func(r *meshpb.CopyResp) {
+	q = proto.Clone(q).(*meshpb.ReplicateRequest)
+	q.EpochChanges = nil
+	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
+		b.OnCopy(q, func(r *meshpb.ReplicateResponse) {
 			for _, a := range r.GetAcks() {
 				a.HaveEpoch, a.HaveVersion = 0, 0
 			}
@@ -398,17 +400,19 @@
 		})
 	})
 }
-func (x *wire) Ask(to *meshpb.Member, q *meshpb.AskReq, cb func(*meshpb.AskResp)) {
+func (x *wire) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
 	carry(x, to.Addr, q, cb, (*replication.Board).OnAsk)
 }
-func (x *wire) Hand(to *meshpb.Member, q *meshpb.HandReq, cb func(*meshpb.HandResp)) {
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.HandReq, f func(*meshpb.HandResp)) { f(b.OnHand(q)) })
+func (x *wire) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.TransferOwnershipRequest, f func(*meshpb.TransferOwnershipResponse)) {
+		f(b.OnHand(q))
+	})
 }
-func (x *wire) Enroll(to *meshpb.Member, q *meshpb.EnrollReq, cb func(*meshpb.EnrollResp)) {
+func (x *wire) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
 	carry(x, to.Addr, q, cb, (*replication.Board).OnEnroll)
 }
-func (x *wire) Join(to string, q *meshpb.JoinReq, cb func(*meshpb.JoinResp)) {
-	carry(x, to, q, cb, func(b *replication.Board, q *meshpb.JoinReq, f func(*meshpb.JoinResp)) { f(b.OnJoin(q)) })
+func (x *wire) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
+	carry(x, to, q, cb, func(b *replication.Board, q *meshpb.JoinRequest, f func(*meshpb.JoinResponse)) { f(b.OnJoin(q)) })
 }
 
 // The callers' side and the rules.
@@ -860,16 +864,16 @@
 	defer l.Close()
 	d := replication.Door{Loop: l, Board: w.ms["m0"].board}
 	me := w.ms["m0"].board.Me()
-	h := &meshpb.Head{From: me, To: me.Id, Membership: 1}
+	h := &meshpb.SenderHeader{From: me, To: me.Id, Membership: 1}
 	c := t.Context()
-	for _, h := range []*meshpb.Head{nil, {}, h} {
-		d.Hold(c, &meshpb.LeaseReq{Head: h, Marks: []*meshpb.Mark{{Shard: 999}, nil}})
-		d.Copy(c, &meshpb.CopyReq{Head: h, Entries: []*meshpb.Entry{{Shard: 999}}, States: []*meshpb.ShardState{{Shard: 999}}})
-		d.Ask(c, &meshpb.AskReq{Head: h, Asks: []*meshpb.Ask{{Shard: 999}}})
-		d.Hand(c, &meshpb.HandReq{Head: h, Marks: []*meshpb.Mark{{Shard: 999}}})
+	for _, h := range []*meshpb.SenderHeader{nil, {}, h} {
+		d.RenewLeases(c, &meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}, nil}})
+		d.Replicate(c, &meshpb.ReplicateRequest{Header: h, Entries: []*meshpb.Entry{{Shard: 999}}, States: []*meshpb.ShardState{{Shard: 999}}})
+		d.RequestVotes(c, &meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Shard: 999}}})
+		d.TransferOwnership(c, &meshpb.TransferOwnershipRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}}})
 	}
-	d.Enroll(c, &meshpb.EnrollReq{})
-	d.Join(c, &meshpb.JoinReq{})
+	d.AcceptMembership(c, &meshpb.AcceptMembershipRequest{})
+	d.Join(c, &meshpb.JoinRequest{})
 	_, own := w.ms["m0"].board.Own(0)
 	qt.Assert(t, own, qt.IsTrue)
 }
@@ -877,8 +881,8 @@
 func (w *world) askOne(to, from string, shard uint32, epoch uint64) bool {
 	t, f := w.ms[to].board, w.ms[from].board.Me()
 	ok := false
-	t.OnAsk(&meshpb.AskReq{Head: &meshpb.Head{From: f, To: t.Me().Id, Membership: t.Membership().Version}, Asks: []*meshpb.Ask{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.AskResp) {
-		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Ok
+	t.OnAsk(&meshpb.RequestVotesRequest{Header: &meshpb.SenderHeader{From: f, To: t.Me().Id, Membership: t.Membership().Version}, Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.RequestVotesResponse) {
+		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Granted
 	})
 	w.run(w.now + 10*time.Millisecond)
 	return ok
@@ -955,9 +959,9 @@
 	w.run(5 * time.Second)
 	m := w.ms["m1"].board
 	l := m.Lines()[0]
-	ask := func(x *meshpb.Raise) *meshpb.CopyAck {
-		var a *meshpb.CopyAck
-		m.OnCopy(&meshpb.CopyReq{Head: &meshpb.Head{From: w.ms["m0"].board.Me(), To: m.Me().Id, Membership: m.Membership().Version}, Raises: []*meshpb.Raise{x}}, func(q *meshpb.CopyResp) {
+	ask := func(x *meshpb.EpochChange) *meshpb.ReplicateAck {
+		var a *meshpb.ReplicateAck
+		m.OnCopy(&meshpb.ReplicateRequest{Header: &meshpb.SenderHeader{From: w.ms["m0"].board.Me(), To: m.Me().Id, Membership: m.Membership().Version}, EpochChanges: []*meshpb.EpochChange{x}}, func(q *meshpb.ReplicateResponse) {
 			if len(q.Acks) == 1 {
 				a = q.Acks[0]
 			}
@@ -965,15 +969,15 @@
 		w.run(w.now + 20*time.Millisecond)
 		return a
 	}
-	a := ask(&meshpb.Raise{Epoch: l.Epoch + 640, FromEpoch: l.Epoch - 1, FromVersion: l.Version})
+	a := ask(&meshpb.EpochChange{Epoch: l.Epoch + 640, FromEpoch: l.Epoch - 1, FromVersion: l.Version})
 	qt.Assert(t, a.Gap && a.HaveEpoch == l.Epoch && a.HaveVersion == l.Version, qt.IsTrue)
-	a = ask(&meshpb.Raise{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version + 1})
+	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version + 1})
 	qt.Assert(t, a.Gap, qt.IsTrue)
 	qt.Assert(t, m.Lines()[0].Epoch, qt.Equals, l.Epoch)
-	a = ask(&meshpb.Raise{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version})
+	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version})
 	qt.Assert(t, a.Gap, qt.IsFalse)
 	qt.Assert(t, m.Lines()[0].Epoch, qt.Equals, l.Epoch+640)
-	a = ask(&meshpb.Raise{Epoch: l.Epoch + 64, FromEpoch: l.Epoch + 640, FromVersion: l.Version})
+	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 64, FromEpoch: l.Epoch + 640, FromVersion: l.Version})
 	qt.Assert(t, a.Gap && a.Promised == l.Epoch+640, qt.IsTrue)
 }
 
@@ -1063,11 +1067,11 @@
 	b, from := w.ms["m1"].board, w.ms["m0"].board.Me()
 	l := b.Lines()[0]
 	for _, v := range []uint64{0, b.Membership().Version - 1, b.Membership().Version + 1} {
-		h := &meshpb.Head{From: from, To: b.Me().Id, Membership: v}
+		h := &meshpb.SenderHeader{From: from, To: b.Me().Id, Membership: v}
 		acks, promises := 0, 0
-		b.OnCopy(&meshpb.CopyReq{Head: h, Raises: []*meshpb.Raise{{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version}}}, func(r *meshpb.CopyResp) { acks += len(r.GetAcks()) })
-		b.OnAsk(&meshpb.AskReq{Head: h, Asks: []*meshpb.Ask{{Epoch: l.Epoch + 640}}}, func(r *meshpb.AskResp) { promises += len(r.GetReplies()) })
-		g := b.OnLease(&meshpb.LeaseReq{Head: h, Marks: []*meshpb.Mark{{Epoch: l.Epoch, Version: l.Version}}})
+		b.OnCopy(&meshpb.ReplicateRequest{Header: h, EpochChanges: []*meshpb.EpochChange{{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version}}}, func(r *meshpb.ReplicateResponse) { acks += len(r.GetAcks()) })
+		b.OnAsk(&meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Epoch: l.Epoch + 640}}}, func(r *meshpb.RequestVotesResponse) { promises += len(r.GetReplies()) })
+		g := b.OnLease(&meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Epoch: l.Epoch, Version: l.Version}}})
 		w.run(w.now + 20*time.Millisecond)
 		qt.Check(t, acks+promises+len(g.Granted), qt.Equals, 0, qt.Commentf("version %d", v))
 	}
@@ -1086,7 +1090,7 @@
 		g.ms["m0"].kill()
 		for _, a := range []string{"m1", "m2"} {
 			b := g.ms[a].board
-			b.OnHand(&meshpb.HandReq{Head: &meshpb.Head{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: b.Me().Id, Membership: 1}, Marks: []*meshpb.Mark{{Epoch: e}}, Successor: b.Me().Id})
+			b.OnHand(&meshpb.TransferOwnershipRequest{Header: &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: b.Me().Id, Membership: 1}, Watermarks: []*meshpb.Watermark{{Epoch: e}}, Successor: b.Me().Id})
 		}
 		g.run(g.now + 4*time.Second)
 		var epochs []uint64
--- a/internal/replication/turns.go
+++ b/internal/replication/turns.go
@@ -61,10 +61,10 @@
 }
 
 func (b *Board) beat() {
-	var ms []*meshpb.Mark
+	var ms []*meshpb.Watermark
 	for _, s := range b.shards {
 		if s.role == owner && s.serving {
-			ms = append(ms, &meshpb.Mark{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.commit, Settled: s.settled})
+			ms = append(ms, &meshpb.Watermark{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.commit, Committed: s.settled})
 		}
 	}
 	urgent := b.urgent
@@ -76,8 +76,8 @@
 		p.holding = true
 		at := b.now()
 		p.beaten = at
-		q := &meshpb.LeaseReq{Head: b.head(p), Marks: ms, Sound: b.ready(b.me.Id)}
-		b.wire.Lease(p.m, q, func(r *meshpb.LeaseResp) {
+		q := &meshpb.RenewLeasesRequest{Header: b.head(p), Watermarks: ms, Healthy: b.ready(b.me.Id)}
+		b.wire.Lease(p.m, q, func(r *meshpb.RenewLeasesResponse) {
 			p.holding = false
 			if r == nil {
 				return
@@ -85,7 +85,7 @@
 			if r.Id != p.m.Id {
 				return
 			}
-			b.met(p, r.Sound, r.Leaving)
+			b.met(p, r.Healthy, r.Leaving)
 			if r.Membership != b.membership.Version {
 				b.sawMembership(p.m, r.Membership)
 				return
@@ -95,7 +95,7 @@
 				p.grants[i] = max(p.grants[i], at)
 				b.relet(s)
 			}
-			for _, d := range r.Deposed {
+			for _, d := range r.Superseded {
 				s := b.shards[d.Shard]
 				if d.Epoch > s.epoch && (s.role == owner || s.role == handing) {
 					b.depose(s, d.Epoch, "a member promised a higher epoch")
@@ -136,25 +136,25 @@
 	p.sound = sound
 }
 
-func (b *Board) OnLease(q *meshpb.LeaseReq) *meshpb.LeaseResp {
-	r := &meshpb.LeaseResp{Membership: b.membership.Version, Sound: b.ready(b.me.Id), Member: b.member(), Id: b.me.Id, Leaving: b.leaving}
-	if q.Head.To != b.me.Id {
+func (b *Board) OnLease(q *meshpb.RenewLeasesRequest) *meshpb.RenewLeasesResponse {
+	r := &meshpb.RenewLeasesResponse{Membership: b.membership.Version, Healthy: b.ready(b.me.Id), Member: b.member(), Id: b.me.Id, Leaving: b.leaving}
+	if q.Header.To != b.me.Id {
 		return r
 	}
-	if q.Head.Membership != b.membership.Version {
-		b.sawMembership(q.Head.From, q.Head.Membership)
+	if q.Header.Membership != b.membership.Version {
+		b.sawMembership(q.Header.From, q.Header.Membership)
 		return r
 	}
-	from := q.Head.From.Id
+	from := q.Header.From.Id
 	p := b.peers[from]
 	if p == nil {
 		return r
 	}
-	if q.Head.Deaf {
+	if q.Header.NotReceiving {
 		return r
 	}
-	b.met(p, q.Sound, q.Head.Leaving)
-	for _, m := range q.Marks {
+	b.met(p, q.Healthy, q.Header.Leaving)
+	for _, m := range q.Watermarks {
 		s := b.shards[m.Shard]
 		if m.Epoch == s.epoch {
 			// What was committed a beat ago has had time to come.
@@ -168,14 +168,14 @@
 		case m.Epoch == s.promised && s.promisedBy == from:
 			b.grant(s)
 			r.Granted = append(r.Granted, m.Shard)
-			if m.Settled > 0 {
-				b.settles[s.ix] = max(b.settles[s.ix], m.Settled)
+			if m.Committed > 0 {
+				b.settles[s.ix] = max(b.settles[s.ix], m.Committed)
 			}
 		case m.Epoch > s.promised:
 			s.rumour, s.rumourTo = from, b.now()+b.o.Lease
 			s.asked = max(s.asked, m.Epoch)
 		case m.Epoch < s.promised:
-			r.Deposed = append(r.Deposed, &meshpb.Mark{Shard: m.Shard, Epoch: s.promised})
+			r.Superseded = append(r.Superseded, &meshpb.Watermark{Shard: m.Shard, Epoch: s.promised})
 		}
 	}
 	return r
@@ -291,7 +291,7 @@
 	if len(ss) == 0 {
 		return
 	}
-	var as []*meshpb.Ask
+	var as []*meshpb.VoteRequest
 	for _, s := range ss {
 		s.role, s.pre, s.since = asking, true, b.now()
 		s.asked = b.nextEpoch(s)
@@ -328,7 +328,7 @@
 		return
 	}
 	now := b.now()
-	var as []*meshpb.Ask
+	var as []*meshpb.VoteRequest
 	for _, s := range ss {
 		e := b.nextEpoch(s)
 		s.role, s.pre, s.since, s.asked = asking, false, now, e
@@ -337,7 +337,7 @@
 		s.oks = map[string]bool{}
 		s.best, s.bestAt, s.bestSt = nil, s.epoch, s.version
 		as = append(as, s.ask())
-		b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: uint32(s.ix), Epoch: e, By: b.me.Id}}, func(err error) {
+		b.save(&meshpb.Record{Vote: &meshpb.Vote{Shard: uint32(s.ix), Epoch: e, Candidate: b.me.Id}}, func(err error) {
 			if err != nil {
 				if s.role == asking && s.asked == e {
 					b.depose(s, e, "own promise not synced")
@@ -353,8 +353,8 @@
 }
 
 // ask is the question for a promise that the shard is asked under now.
-func (s *shard) ask() *meshpb.Ask {
-	return &meshpb.Ask{Shard: uint32(s.ix), Epoch: s.asked, HaveEpoch: s.epoch, HaveVersion: s.version, Pre: s.pre}
+func (s *shard) ask() *meshpb.VoteRequest {
+	return &meshpb.VoteRequest{Shard: uint32(s.ix), Epoch: s.asked, HaveEpoch: s.epoch, HaveVersion: s.version, PreVote: s.pre}
 }
 
 // askAgain repeats what is still asked to the members that have not promised: a
@@ -362,7 +362,7 @@
 func (b *Board) askAgain() {
 	now := b.now()
 	for _, p := range b.line {
-		var asks []*meshpb.Ask
+		var asks []*meshpb.VoteRequest
 		for _, s := range b.shards {
 			if s.role == asking && !s.oks[p.m.Id] && now-s.since > b.o.Beat/2 {
 				asks = append(asks, s.ask())
@@ -374,11 +374,11 @@
 	}
 }
 
-func (b *Board) askPeer(p *peer, asks []*meshpb.Ask) {
+func (b *Board) askPeer(p *peer, asks []*meshpb.VoteRequest) {
 	p.askedAt = b.now()
-	q := &meshpb.AskReq{Head: b.head(p), Asks: asks}
+	q := &meshpb.RequestVotesRequest{Header: b.head(p), Votes: asks}
 	membership := b.membership.Version
-	b.wire.Ask(p.m, q, func(r *meshpb.AskResp) {
+	b.wire.Ask(p.m, q, func(r *meshpb.RequestVotesResponse) {
 		if r == nil || !r.Member {
 			return
 		}
@@ -388,11 +388,11 @@
 		}
 		for _, a := range r.Replies {
 			s := b.shards[a.Shard]
-			if s.role != asking || s.asked != a.Epoch || s.pre != a.Pre {
+			if s.role != asking || s.asked != a.Epoch || s.pre != a.PreVote {
 				continue
 			}
-			if !a.Ok {
-				if a.Promised > s.asked || a.Pre && a.Promised == s.asked {
+			if !a.Granted {
+				if a.Promised > s.asked || a.PreVote && a.Promised == s.asked {
 					b.depose(s, a.Promised, "promised elsewhere")
 				}
 				continue
@@ -407,10 +407,10 @@
 	})
 }
 
-func (b *Board) OnAsk(q *meshpb.AskReq, reply func(*meshpb.AskResp)) {
-	r := &meshpb.AskResp{Membership: b.membership.Version, Member: b.member() && q.Head.To == b.me.Id}
-	if !r.Member || q.Head.Membership != b.membership.Version || !inMembership(b.membership, q.Head.From.Id) {
-		b.sawMembership(q.Head.From, q.Head.Membership)
+func (b *Board) OnAsk(q *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
+	r := &meshpb.RequestVotesResponse{Membership: b.membership.Version, Member: b.member() && q.Header.To == b.me.Id}
+	if !r.Member || q.Header.Membership != b.membership.Version || !inMembership(b.membership, q.Header.From.Id) {
+		b.sawMembership(q.Header.From, q.Header.Membership)
 		reply(r)
 		return
 	}
@@ -418,7 +418,7 @@
 		reply(nil)
 		return
 	}
-	from := q.Head.From.Id
+	from := q.Header.From.Id
 	now := b.now()
 	left, fin := gather(func(failed bool) {
 		if failed {
@@ -427,11 +427,11 @@
 		}
 		reply(r)
 	})
-	for _, a := range q.Asks {
+	for _, a := range q.Votes {
 		s := b.shards[a.Shard]
-		x := &meshpb.AskReply{Shard: a.Shard, Promised: s.promised, Epoch: a.Epoch, Pre: a.Pre}
+		x := &meshpb.VoteReply{Shard: a.Shard, Promised: s.promised, Epoch: a.Epoch, PreVote: a.PreVote}
 		r.Replies = append(r.Replies, x)
-		if a.Epoch == s.promised && s.promisedBy == from && !a.Pre {
+		if a.Epoch == s.promised && s.promisedBy == from && !a.PreVote {
 			// Promised already; the answer was lost.
 			b.vow(s, a, x)
 			*left++
@@ -447,8 +447,8 @@
 		if (s.role == owner || s.role == handing) && now < s.lease {
 			continue
 		}
-		if a.Pre {
-			if x.Ok = now >= s.soundUntil || s.soundBy == from; x.Ok {
+		if a.PreVote {
+			if x.Granted = now >= s.soundUntil || s.soundBy == from; x.Granted {
 				s.soundBy, s.soundUntil = from, now+b.o.Beat/2
 			}
 			continue
@@ -458,14 +458,14 @@
 		s.leasedUntil = max(s.leasedUntil, now+b.o.Lease/2)
 		b.vow(s, a, x)
 		*left++
-		b.save(&meshpb.Record{Promise: &meshpb.Promise{Shard: a.Shard, Epoch: a.Epoch, By: from}}, fin)
+		b.save(&meshpb.Record{Vote: &meshpb.Vote{Shard: a.Shard, Epoch: a.Epoch, Candidate: from}}, fin)
 	}
 	fin(nil)
 }
 
 // vow fills in the promise, with the copy's content if it is newer than the asker's.
-func (b *Board) vow(s *shard, a *meshpb.Ask, x *meshpb.AskReply) {
-	x.Ok, x.Promised = true, a.Epoch
+func (b *Board) vow(s *shard, a *meshpb.VoteRequest, x *meshpb.VoteReply) {
+	x.Granted, x.Promised = true, a.Epoch
 	x.HaveEpoch, x.HaveVersion = s.epoch, s.version
 	if s.epoch > a.HaveEpoch || s.epoch == a.HaveEpoch && s.version > a.HaveVersion {
 		x.State = b.dump(s)
@@ -507,7 +507,7 @@
 	}
 	if st == nil {
 		s.begin, s.base = s.version, s.version
-		b.lift(s, &meshpb.Raise{Shard: uint32(s.ix), Epoch: e, FromEpoch: s.epoch, FromVersion: s.version}, done)
+		b.lift(s, &meshpb.EpochChange{Shard: uint32(s.ix), Epoch: e, FromEpoch: s.epoch, FromVersion: s.version}, done)
 	} else {
 		s.begin, s.base = st.Version, st.Version
 		b.install(s, st, e, done)
@@ -573,24 +573,24 @@
 		return
 	}
 	b.note("shard %d: handed to %s at epoch %d", s.ix, s.succ, s.epoch)
-	q := &meshpb.HandReq{Marks: []*meshpb.Mark{{Shard: uint32(s.ix), Epoch: s.epoch}}, Successor: s.succ}
+	q := &meshpb.TransferOwnershipRequest{Watermarks: []*meshpb.Watermark{{Shard: uint32(s.ix), Epoch: s.epoch}}, Successor: s.succ}
 	succ := s.succ
 	b.depose(s, s.epoch, "handed over")
 	s.leasedUntil, s.retryAt = 0, b.now()+2*b.o.Lease
 	for _, x := range b.line {
-		q := &meshpb.HandReq{Marks: q.Marks, Successor: succ, Head: b.head(x)}
-		b.wire.Hand(x.m, q, func(*meshpb.HandResp) {})
+		q := &meshpb.TransferOwnershipRequest{Watermarks: q.Watermarks, Successor: succ, Header: b.head(x)}
+		b.wire.Hand(x.m, q, func(*meshpb.TransferOwnershipResponse) {})
 	}
 }
 
-func (b *Board) OnHand(q *meshpb.HandReq) *meshpb.HandResp {
-	if q.Head.To != b.me.Id || q.Head.Membership != b.membership.Version || !b.member() {
-		return &meshpb.HandResp{}
+func (b *Board) OnHand(q *meshpb.TransferOwnershipRequest) *meshpb.TransferOwnershipResponse {
+	if q.Header.To != b.me.Id || q.Header.Membership != b.membership.Version || !b.member() {
+		return &meshpb.TransferOwnershipResponse{}
 	}
 	var ss []*shard
-	for _, m := range q.Marks {
+	for _, m := range q.Watermarks {
 		s := b.shards[m.Shard]
-		if s.promised != m.Epoch || s.promisedBy != q.Head.From.Id {
+		if s.promised != m.Epoch || s.promisedBy != q.Header.From.Id {
 			continue
 		}
 		s.leasedUntil, s.ended = 0, m.Epoch
@@ -603,7 +603,7 @@
 		}
 	}
 	b.ask(ss)
-	return &meshpb.HandResp{Ok: true}
+	return &meshpb.TransferOwnershipResponse{Ok: true}
 }
 
 // Leave starts handing over all that this member owns. Where a learner waits for
--- a/internal/requestlog/ticket.go
+++ b/internal/requestlog/ticket.go
@@ -34,19 +34,19 @@
 	mu      sync.Mutex
 	now     func() time.Time
 	span    time.Duration
-	ring    []*meshpb.Ticket
+	ring    []*meshpb.RequestRecord
 	n       uint64
 	open    int
 	began   int64
 	views   []viewAt
 	configs []configAt
-	bal     []*meshpb.Balance
+	bal     []*meshpb.BudgetSample
 	balAt   map[string]int64
 }
 
 // New keeps the last most requests of the last span.
 func New(most int, span time.Duration, now func() time.Time) *Recorder {
-	return &Recorder{now: now, span: span, ring: make([]*meshpb.Ticket, most), began: now().UnixMicro(), balAt: map[string]int64{}}
+	return &Recorder{now: now, span: span, ring: make([]*meshpb.RequestRecord, most), began: now().UnixMicro(), balAt: map[string]int64{}}
 }
 
 func (r *Recorder) Begin() {
@@ -55,7 +55,7 @@
 	r.mu.Unlock()
 }
 
-func (r *Recorder) End(t *meshpb.Ticket, left func(service string) float64) {
+func (r *Recorder) End(t *meshpb.RequestRecord, left func(service string) float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
@@ -67,9 +67,9 @@
 	at := t.AtUs + t.TookUs
 	if t.Service != "" && at-r.balAt[t.Service] > eachS.Microseconds() {
 		r.balAt[t.Service] = at
-		r.bal = append(r.bal, &meshpb.Balance{AtUs: at, Service: t.Service, Left: left(t.Service)})
+		r.bal = append(r.bal, &meshpb.BudgetSample{AtUs: at, Service: t.Service, Remaining: left(t.Service)})
 		if len(r.bal) > balances {
-			r.bal = append([]*meshpb.Balance(nil), r.bal[balances/4:]...)
+			r.bal = append([]*meshpb.BudgetSample(nil), r.bal[balances/4:]...)
 		}
 	}
 }
@@ -112,15 +112,15 @@
 
 // Report gives the tickets of the last span that ended, from the one numbered
 // from; next is 0 once there are no more.
-func (r *Recorder) Report(span time.Duration, from, most uint32) *meshpb.TicketsResp {
+func (r *Recorder) Report(span time.Duration, from, most uint32) *meshpb.RequestRecordsResponse {
 	if r == nil {
-		return &meshpb.TicketsResp{}
+		return &meshpb.RequestRecordsResponse{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now().UnixMicro()
 	since := now - min(span, r.span).Microseconds()
-	o := &meshpb.TicketsResp{NowUs: now, BeganUs: max(r.began, since), Unfinished: uint64(max(r.open, 0))}
+	o := &meshpb.RequestRecordsResponse{NowUs: now, BeganUs: max(r.began, since), Unfinished: uint64(max(r.open, 0))}
 	size := uint64(len(r.ring))
 	first := uint64(0)
 	if r.n > size {
@@ -141,26 +141,26 @@
 		if k++; k <= from {
 			continue
 		}
-		if uint32(len(o.Tickets)) == most {
+		if uint32(len(o.Records)) == most {
 			o.Next = k - 1
 			break
 		}
-		o.Tickets = append(o.Tickets, t)
+		o.Records = append(o.Records, t)
 	}
 	if from == 0 {
 		for i, v := range r.views {
 			if i == len(r.views)-1 || r.views[i+1].at > since {
-				o.Views = append(o.Views, &meshpb.Point{AtUs: v.at, Epoch: v.view.Epoch, Version: v.view.Version})
+				o.Views = append(o.Views, &meshpb.VersionChange{AtUs: v.at, Epoch: v.view.Epoch, Version: v.view.Version})
 			}
 		}
 		for i, c := range r.configs {
 			if i == len(r.configs)-1 || r.configs[i+1].at > since {
-				o.Configs = append(o.Configs, &meshpb.Point{AtUs: c.at, Version: c.version})
+				o.Configs = append(o.Configs, &meshpb.VersionChange{AtUs: c.at, Version: c.version})
 			}
 		}
 		for _, b := range r.bal {
 			if b.AtUs > since {
-				o.Balances = append(o.Balances, b)
+				o.BudgetSamples = append(o.BudgetSamples, b)
 			}
 		}
 	}
@@ -168,14 +168,14 @@
 }
 
 // Parts gives the views and configurations that are asked for and kept here.
-func (r *Recorder) Parts(q *meshpb.PartsReq) *meshpb.PartsResp {
+func (r *Recorder) Parts(q *meshpb.SnapshotsRequest) *meshpb.SnapshotsResponse {
 	if r == nil {
-		return &meshpb.PartsResp{}
+		return &meshpb.SnapshotsResponse{}
 	}
 	r.mu.Lock()
 	vs, cs := r.views, r.configs
 	r.mu.Unlock()
-	o := &meshpb.PartsResp{}
+	o := &meshpb.SnapshotsResponse{}
 	for _, x := range q.Views {
 		for _, v := range vs {
 			if v.view.Epoch == x.Epoch && v.view.Version == x.Version {
@@ -187,7 +187,7 @@
 	for _, s := range q.Configs {
 		for _, c := range cs {
 			if c.version == s {
-				o.Configs = append(o.Configs, &meshpb.ConfigDoc{Version: s, Packed: rpc.Pack(c.doc())})
+				o.Configs = append(o.Configs, &meshpb.ConfigSnapshot{Version: s, Packed: rpc.Pack(c.doc())})
 				break
 			}
 		}
--- a/internal/rpc/net_test.go
+++ b/internal/rpc/clients_test.go
@@ -20,7 +20,7 @@
 // TestCallsBetweenProcessesAreSentOnce has the other process answer the first
 // call on a stream and do to the second what the case says.
 func TestCallsBetweenProcessesAreSentOnce(t *testing.T) {
-	ok, err := proto.Marshal(&meshpb.CopyResp{Membership: 1})
+	ok, err := proto.Marshal(&meshpb.ReplicateResponse{Membership: 1})
 	qt.Assert(t, err, qt.IsNil)
 	good := func(s net.Conn) {
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 2\r\n\r\n"+string(ok))
@@ -62,11 +62,11 @@
 					return c, nil
 				}
 				defer line.CloseIdleConnections()
-				l := NewLines(&http.Client{Transport: line})
+				l := NewClients(&http.Client{Transport: line})
 				c := qt.Commentf("%s", name)
-				_, err := Call(time.Second, l.Exchange("a:1").Copy, &meshpb.CopyReq{})
+				_, err := Call(time.Second, l.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
 				qt.Assert(t, err, qt.IsNil, c)
-				_, err = Call(time.Second, l.Exchange("a:1").Copy, &meshpb.CopyReq{})
+				_, err = Call(time.Second, l.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
 				qt.Check(t, err, qt.IsNotNil, c)
 				qt.Check(t, calls.Load(), qt.Equals, int64(2), c)
 			})
--- a/internal/rpc/meshpb/view.go
+++ b/internal/rpc/meshpb/view.go
@@ -2,51 +2,69 @@
 
 import "google.golang.org/protobuf/proto"
 
-// Since gives what changed from one view to the next of the same epoch.
+// withoutEndpoints copies what a view has beside its endpoints and what only a
+// next master needs.
+func (x *View) withoutEndpoints() *View {
+	return &View{
+		Epoch:         x.Epoch,
+		Version:       x.Version,
+		ConfigVersion: x.ConfigVersion,
+		Master:        x.Master,
+		Nodes:         x.Nodes,
+		Membership:    x.Membership,
+		HotKeys:       x.HotKeys,
+	}
+}
+
+// Since returns the difference from old, a view of the same epoch, to x.
 func (x *View) Since(old *View) *View {
-	d := &View{Epoch: x.Epoch, Version: x.Version, Base: old.Version, ConfigVersion: x.ConfigVersion, Master: x.Master, Nodes: x.Nodes, Hot: x.Hot}
-	if x.Membership.GetVersion() != old.Membership.GetVersion() {
-		d.Membership = x.Membership
+	difference := x.withoutEndpoints()
+	difference.BaseVersion = old.Version
+	if x.Membership.GetVersion() == old.Membership.GetVersion() {
+		difference.Membership = nil
 	}
-	had := make(map[string]*Endpoint, len(old.Endpoints))
-	for _, e := range old.Endpoints {
-		had[e.Id] = e
+	before := make(map[string]*Endpoint, len(old.Endpoints))
+	for _, endpoint := range old.Endpoints {
+		before[endpoint.Id] = endpoint
 	}
-	for _, e := range x.Endpoints {
-		if o := had[e.Id]; o == nil || !proto.Equal(o, e) {
-			d.Endpoints = append(d.Endpoints, e)
+	for _, endpoint := range x.Endpoints {
+		if previous := before[endpoint.Id]; previous == nil || !proto.Equal(previous, endpoint) {
+			difference.Endpoints = append(difference.Endpoints, endpoint)
 		}
-		delete(had, e.Id)
+		delete(before, endpoint.Id)
 	}
-	for id := range had {
-		d.Gone = append(d.Gone, id)
+	for id := range before {
+		difference.Removed = append(difference.Removed, id)
 	}
-	return d
+	return difference
 }
 
-// Onto makes the whole view of a difference and the view that it stands on.
+// Onto returns the complete view that x, a difference, makes of old, the view
+// of its base version.
 func (x *View) Onto(old *View) *View {
-	v := &View{Epoch: x.Epoch, Version: x.Version, ConfigVersion: x.ConfigVersion, Master: x.Master, Nodes: x.Nodes, Membership: x.Membership, Hot: x.Hot}
-	if v.Membership == nil {
-		v.Membership = old.Membership
+	complete := x.withoutEndpoints()
+	if complete.Membership == nil {
+		complete.Membership = old.Membership
 	}
-	drop := make(map[string]bool, len(x.Gone)+len(x.Endpoints))
-	for _, id := range x.Gone {
-		drop[id] = true
+	replaced := make(map[string]bool, len(x.Removed)+len(x.Endpoints))
+	for _, id := range x.Removed {
+		replaced[id] = true
 	}
-	for _, e := range x.Endpoints {
-		drop[e.Id] = true
+	for _, endpoint := range x.Endpoints {
+		replaced[endpoint.Id] = true
 	}
-	for _, e := range old.Endpoints {
-		if !drop[e.Id] {
-			v.Endpoints = append(v.Endpoints, e)
+	for _, endpoint := range old.Endpoints {
+		if !replaced[endpoint.Id] {
+			complete.Endpoints = append(complete.Endpoints, endpoint)
 		}
 	}
-	v.Endpoints = append(v.Endpoints, x.Endpoints...)
-	return v
+	complete.Endpoints = append(complete.Endpoints, x.Endpoints...)
+	return complete
 }
 
-// Lean is the view without what only a next master needs.
+// Lean returns the view without what only a next master needs.
 func (x *View) Lean() *View {
-	return &View{Epoch: x.Epoch, Version: x.Version, ConfigVersion: x.ConfigVersion, Master: x.Master, Nodes: x.Nodes, Membership: x.Membership, Endpoints: x.Endpoints, Hot: x.Hot}
+	lean := x.withoutEndpoints()
+	lean.Endpoints = x.Endpoints
+	return lean
 }
