--- /dev/null
+++ b/internal/numbering/stored_test.go
@@ -0,0 +1,23 @@
+package numbering
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// TestNamesAreInTheShardsOf242832a holds where stored names are looked for: a
+// release that looked elsewhere would find none of them.
+func TestNamesAreInTheShardsOf242832a(t *testing.T) {
+	const shards = 13
+	service := NewService(nil, shards)
+	for name, want := range map[string]int{"": 2, "lock": 7, "another lock": 12, "group.": 7, "orders": 9} {
+		qt.Check(t, service.Shard(name), qt.Equals, want, qt.Commentf("%q", name))
+	}
+	for key, want := range map[string]int{"": 5, "session": 1, "another session": 12, "customer-17": 8} {
+		qt.Check(t, service.PinShard(key), qt.Equals, want, qt.Commentf("%q", key))
+	}
+	for name, want := range map[string]string{"group.cell": "group.", "group.cell.more": "group.", "alone": "alone", "": ""} {
+		qt.Check(t, GroupOf(name), qt.Equals, want, qt.Commentf("%q", name))
+	}
+}
--- /dev/null
+++ b/internal/replay/stored_test.go
@@ -0,0 +1,51 @@
+package replay
+
+import (
+	"flag"
+	"os"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"google.golang.org/protobuf/proto"
+
+	"corkcove/internal/prototest"
+	"corkcove/internal/trunk"
+)
+
+// update writes the fixture of this package if it is missing. The committed file
+// is the reference: it was written by the code of commit 242832a and must never
+// be regenerated, so a folder that exists is refused.
+var update = flag.Bool("update", false, "write a missing fixture folder")
+
+const (
+	storedDir  = "testdata/242832a"
+	storedFile = storedDir + "/record"
+	storedText = storedDir + "/record.txt"
+)
+
+// TestReplayFileOf242832aIsRead reads a file whose parts have every field set.
+func TestReplayFileOf242832aIsRead(t *testing.T) {
+	if *update {
+		writeStored(t)
+	}
+	carried, err := Read(storedFile)
+	qt.Assert(t, err, qt.IsNil)
+	want, err := os.ReadFile(storedText)
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, prototest.Text(carried), qt.Equals, string(want))
+}
+
+func writeStored(t *testing.T) {
+	t.Helper()
+	carried := &trunk.Carried{}
+	prototest.Fill(carried)
+	carried.Version = version
+	file := proto.Clone(carried).(*trunk.Carried)
+	qt.Assert(t, os.MkdirAll("testdata", 0o755), qt.IsNil)
+	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
+	out, err := os.Create(storedFile)
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, Write(out, file), qt.IsNil)
+	qt.Assert(t, out.Close(), qt.IsNil)
+	qt.Assert(t, os.WriteFile(storedText, []byte(prototest.Text(carried)), 0o644), qt.IsNil)
+}
