--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -55,8 +55,8 @@
 
 type coreNode struct {
 	*process
-	loop   *replication.Loop
-	board  *replication.Board
+	loop   *replication.Mailbox
+	board  *replication.Replica
 	svc    *coordination.Service
 	master *clustercontroller.Master
 	conf   uint64
@@ -88,7 +88,7 @@
 	return v
 }
 
-func kept(t replication.Table, viewEpoch uint64) *meshpb.StoredVersions {
+func kept(t replication.StateMachine, viewEpoch uint64) *meshpb.StoredVersions {
 	c, v := t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)
 	return &meshpb.StoredVersions{ConfigVersion: c.GetVersion(), ConfigDigest: xxhash.Sum64(c.GetData()), ViewVersion: v.GetVersion(), ViewEpoch: viewEpoch, ViewDigest: xxhash.Sum64(v.GetData())}
 }
@@ -96,8 +96,8 @@
 // bundle gives what this member's copy of shard 0 holds of what the master names.
 func (c *coreNode) bundle(k *meshpb.StoredVersions) clustercontroller.Bundle {
 	type pair struct{ conf, view *meshpb.Blob }
-	p, _ := replication.Ask(c.loop, func() pair {
-		t := c.board.Table(0)
+	p, _ := replication.Call(c.loop, func() pair {
+		t := c.board.StateMachine(0)
 		return pair{t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)}
 	})
 	var b clustercontroller.Bundle
@@ -115,7 +115,7 @@
 	return b
 }
 
-func users(t replication.Table) map[string]string {
+func users(t replication.StateMachine) map[string]string {
 	u := &meshpb.UserStates{}
 	if b := t.Blob(usersBlob); b != nil {
 		proto.Unmarshal(b.Data, u)
@@ -134,16 +134,16 @@
 		return
 	}
 	if !own {
-		c.master.Loop.Put(c.master.Step)
+		c.master.Loop.Post(c.master.Step)
 		return
 	}
-	t := c.board.Table(0)
+	t := c.board.StateMachine(0)
 	conf := controlapi.ReadConfig(t)
 	c.conf = conf.Version
 	u, r := users(t), c.board.Membership()
 	view := keptView(t.Blob(viewBlob))
 	k := kept(t, view.Epoch)
-	c.master.Loop.Put(func() {
+	c.master.Loop.Post(func() {
 		c.master.SetKept(k)
 		c.master.Lead(epoch, view, u, conf, r)
 	})
@@ -151,14 +151,14 @@
 
 func (c *coreNode) onCommit(i int) {
 	c.svc.Committed(i)
-	if i != 0 || !c.board.Clean(0) {
+	if i != 0 || !c.board.FullyCommitted(0) {
 		return
 	}
-	t := c.board.Table(0)
+	t := c.board.StateMachine(0)
 	if b := t.Blob(controlapi.ConfigBlob); b != nil && b.Version > c.conf {
 		conf := controlapi.ReadConfig(t)
 		c.conf = conf.Version
-		c.master.Loop.Put(func() { c.master.SetConfig(conf) })
+		c.master.Loop.Post(func() { c.master.SetConfig(conf) })
 	}
 }
 
@@ -168,8 +168,8 @@
 	if !clustercontroller.UserState(q.State) {
 		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
-	held := c.board.Leased()
-	known, _ := replication.Ask(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
+	held := c.board.HoldsMasterLease()
+	known, _ := replication.Call(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
 	if !held {
 		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.masterAddr()}, nil
 	}
@@ -192,12 +192,12 @@
 	if err != nil || u == nil {
 		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
 	}
-	c.master.Loop.Put(func() { c.master.SetUsers(u, q.Node) })
+	c.master.Loop.Post(func() { c.master.SetUsers(u, q.Node) })
 	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
 func (c *coreNode) masterAddr() string {
-	a, _ := replication.Ask(c.loop, func() string {
+	a, _ := replication.Call(c.loop, func() string {
 		if m, ok := c.board.Owner(0); ok {
 			return m.Addr
 		}
@@ -207,11 +207,11 @@
 }
 
 func (c *coreNode) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	r, _ := replication.Ask(c.master.Loop, func() *meshpb.RegisterNodeResponse {
+	r, _ := replication.Call(c.master.Loop, func() *meshpb.RegisterNodeResponse {
 		l, is := c.master.Hello(q.Node)
 		return &meshpb.RegisterNodeResponse{Master: is, LastEndpoint: l}
 	})
-	r.Membership, _ = replication.Ask(c.loop, func() *meshpb.Membership { return c.board.Membership() })
+	r.Membership, _ = replication.Call(c.loop, func() *meshpb.Membership { return c.board.Membership() })
 	if !r.Master {
 		r.MasterAddr = c.masterAddr()
 	}
@@ -228,7 +228,7 @@
 func (c *coreNode) await(ctx context.Context, f func() (done, never bool)) bool {
 	for end := time.Now().Add(followWait); ; {
 		var never bool
-		done, _ := replication.Ask(c.loop, func() (d bool) {
+		done, _ := replication.Call(c.loop, func() (d bool) {
 			d, never = f()
 			return d
 		})
@@ -239,7 +239,7 @@
 	}
 }
 
-func holds(t replication.Table, k *meshpb.StoredVersions) bool {
+func holds(t replication.StateMachine, k *meshpb.StoredVersions) bool {
 	return t.Blob(controlapi.ConfigBlob).GetVersion() == k.GetConfigVersion() && t.Blob(viewBlob).GetVersion() == k.GetViewVersion()
 }
 
@@ -249,12 +249,12 @@
 // lease to it runs: one that was cut off or frozen is not spoken for.
 func (c *coreNode) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	epoch := max(q.GetPoll().GetEpoch(), q.GetView().GetEpoch(), q.GetConfig().GetEpoch())
-	if !c.await(ctx, func() (done, never bool) { return c.board.Follows(0, epoch), c.board.Promised(0) > epoch }) {
+	if !c.await(ctx, func() (done, never bool) { return c.board.LeaseGranted(0, epoch), c.board.PromisedEpoch(0) > epoch }) {
 		return nil, errNotMine
 	}
 	b := sync.OnceValue(func() clustercontroller.Bundle {
 		// The copy may be about to come.
-		c.await(ctx, func() (bool, bool) { return holds(c.board.Table(0), q.Stored), false })
+		c.await(ctx, func() (bool, bool) { return holds(c.board.StateMachine(0), q.Stored), false })
 		return c.bundle(q.Stored)
 	})
 	return clustercontroller.Relay(ctx, c.lines, q, b), nil
@@ -269,8 +269,8 @@
 	period := min(max(settings.Secs(c.o.Terms.Bounds.DrainS)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
 	duty := func() bool {
-		is, _ := replication.Ask(c.master.Loop, c.master.Leading)
-		return is && c.board.Leased()
+		is, _ := replication.Call(c.master.Loop, c.master.Leading)
+		return is && c.board.HoldsMasterLease()
 	}
 	for ctx.Err() == nil {
 		w := tick
@@ -279,7 +279,7 @@
 			es, err := r.Read(ctx, duty)
 			switch {
 			case err == nil:
-				c.master.Loop.Put(func() { c.master.SetListed(es) })
+				c.master.Loop.Post(func() { c.master.SetListed(es) })
 				w, back = period-time.Since(t0), 100*time.Millisecond
 			default:
 				c.note("directory")("the platform's list was not read: %v", err)
@@ -299,7 +299,7 @@
 
 func runCore(p *process) error {
 	o := p.o
-	dk, err := wal.Folder(o.Self.DataDir)
+	dk, err := wal.OpenDirectory(o.Self.DataDir)
 	if err != nil {
 		return err
 	}
@@ -316,36 +316,36 @@
 		return err
 	}
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
-	loop := replication.NewLoop()
+	loop := replication.NewMailbox()
 	c := &coreNode{process: p, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
 	c.master = clustercontroller.NewMaster(clustercontroller.Options{
 		Interval: 250 * time.Millisecond, PerNode: 4 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond, Linger: 2 * time.Second, LingerPer: 36 * time.Millisecond, LingerMost: 10 * time.Second,
 		Grace: 800 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2,
 		Hot: hotOptions(o.Hot),
 		Me:  o.InnerAddr(), Now: p.now, Note: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
-		Leased: func() bool { return c.board.Leased() }, Reached: func(a string) bool { return c.board.Reached(a) }, Bundle: c.bundle,
-	}, replication.NewLoop(), lines, c)
+		Leased: func() bool { return c.board.HoldsMasterLease() }, Reached: func(a string) bool { return c.board.InContact(a) }, Bundle: c.bundle,
+	}, replication.NewMailbox(), lines, c)
 	hist := settings.Secs(o.Terms.Bounds.HistoryS)
 	c.board, err = replication.New(replication.Options{
-		Me:    &meshpb.Member{Addr: o.InnerAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
-		Seeds: members(o), First: o.Self.FirstStart, Shards: shards,
-		Lease: leaseFor, Beat: beatEach, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 4 << 20,
-		NewTable: func() replication.Table {
+		Self:  &meshpb.Member{Addr: o.InnerAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
+		Seeds: members(o), Bootstrap: o.Self.FirstStart, Shards: shards,
+		LeaseDuration: leaseFor, HeartbeatInterval: beatEach, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 4 << 20,
+		NewStateMachine: func() replication.StateMachine {
 			t := coordination.NewTable(hist)
 			t.BoundPins(settings.Secs(o.Pins.IdleS), max(o.Pins.Most/shards, 1))
 			return t
 		},
-		NewID: newID, Now: p.now, Rand: mrand.IntN, Note: p.note("exchange"),
-		OnOwner: c.onOwner, OnCommit: c.onCommit, OnStep: c.onStep,
-		OnMembership: func(r *meshpb.Membership) { c.master.Loop.Put(func() { c.master.SetMembership(r) }) },
-	}, replication.Net{Loop: loop, Lines: lines, Short: 600 * time.Millisecond, Long: 1500 * time.Millisecond}, replication.Shelf{Loop: loop, Book: book}, recs)
+		NewID: newID, Now: p.now, Rand: mrand.IntN, Logf: p.note("exchange"),
+		OnOwnershipChange: c.onOwner, OnCommit: c.onCommit, OnEntryProgress: c.onStep,
+		OnMembershipChange: func(r *meshpb.Membership) { c.master.Loop.Post(func() { c.master.SetMembership(r) }) },
+	}, replication.PeerClient{Mailbox: loop, Clients: lines, CallTimeout: 600 * time.Millisecond, ReplicateTimeout: 1500 * time.Millisecond}, replication.WALStorage{Mailbox: loop, Log: book}, recs)
 	if err != nil {
 		return err
 	}
 	c.svc.Board = c.board
-	p.note("core")("starts as %s, first start %v, %d records", c.board.Me().Id, o.Self.FirstStart, len(recs))
+	p.note("core")("starts as %s, first start %v, %d records", c.board.Self().Id, o.Self.FirstStart, len(recs))
 
-	door := replication.Door{Loop: loop, Board: c.board}
+	door := replication.Handler{Mailbox: loop, Replica: c.board}
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewReplicationServer(door))
 	rpc.Handle(mux, meshpb.NewControlServer(c))
@@ -354,13 +354,13 @@
 	go is.Serve(inner)
 	api := controlapi.NewCore(c.svc, 650*time.Millisecond)
 	api.Near = rpc.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
-	api.Acked = func(version uint64) { p.trace(changetrace.Config, "acknowledged", c.board.Epoch0(), version) }
+	api.Acked = func(version uint64) { p.trace(changetrace.Config, "acknowledged", c.board.MasterEpoch(), version) }
 	cs := &http.Server{Handler: api, IdleTimeout: time.Minute, ReadHeaderTimeout: 5 * time.Second}
 	go cs.Serve(ctl)
 	go c.master.Loop.Run(tick, c.master.Tick)
 	go loop.Run(tick, c.board.Tick)
-	go p.reseed(func() bool { out, _ := replication.Ask(loop, c.board.Blank); return out }, func(o settings.Options) {
-		loop.Put(func() { c.board.Reseed(members(o)) })
+	go p.reseed(func() bool { out, _ := replication.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
+		loop.Post(func() { c.board.SetExtraSeeds(members(o)) })
 	})
 
 	if o.Platform.Discovery == settings.FromCloud {
@@ -372,10 +372,10 @@
 	p.wait()
 	p.note("core")("stops")
 	api.Leave()
-	loop.Put(c.board.Leave)
+	loop.Post(c.board.Leave)
 	end := time.Now().Add(min(settings.Secs(o.Terms.Bounds.GraceS)*3/4, 6*time.Second))
 	for time.Now().Before(end) {
-		if done, _ := replication.Ask(loop, c.board.Done); done {
+		if done, _ := replication.Call(loop, c.board.LeaveComplete); done {
 			break
 		}
 		time.Sleep(tick)
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -21,9 +21,9 @@
 		return &meshpb.PinResponse{}, nil
 	}
 	p, err := c.svc.Pin(ctx, q)
-	if errors.Is(err, replication.ErrElsewhere) {
-		a, _ := replication.Ask(c.loop, func() string {
-			if m, ok := c.board.Owner(c.svc.PinShard(q.Key)); ok && m.Id != c.board.Me().Id {
+	if errors.Is(err, replication.ErrNotOwner) {
+		a, _ := replication.Call(c.loop, func() string {
+			if m, ok := c.board.Owner(c.svc.PinShard(q.Key)); ok && m.Id != c.board.Self().Id {
 				return m.Addr
 			}
 			return ""
--- a/cmd/corkcove/stored_test.go
+++ b/cmd/corkcove/stored_test.go
@@ -16,7 +16,7 @@
 func TestBlobsOf242832aAreFoundByTheirNames(t *testing.T) {
 	const usersData = "\x0a\x14\x0a\x08endpoint\x12\x08draining"
 	table := coordination.NewTable(time.Minute)
-	table.Load(&meshpb.ShardState{Blobs: []*meshpb.Blob{
+	table.Restore(&meshpb.ShardState{Blobs: []*meshpb.Blob{
 		{Name: "configuration", Version: 5, Data: []byte("configuration data")},
 		{Name: "users", Version: 6, Data: []byte(usersData)},
 		{Name: "view", Version: 7, Data: []byte("view data")},
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -70,15 +70,15 @@
 
 func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
 	r := &meshpb.StatusResponse{Node: c.o.Self.NodeName}
-	replication.Ask(c.loop, func() bool {
-		r.Membership, r.Shards, r.DiskSound, r.Member = c.board.Membership(), c.board.Lines(), c.board.Sound(), !c.board.Blank()
+	replication.Call(c.loop, func() bool {
+		r.Membership, r.Shards, r.DiskSound, r.Member = c.board.Membership(), c.board.ShardStatuses(), c.board.DiskHealthy(), !c.board.IsLearner()
 		if m, ok := c.board.Owner(0); ok {
 			r.MasterAddr = m.Addr
 		}
 		return true
 	})
-	replication.Ask(c.master.Loop, func() bool {
-		r.Master = c.master.Leading() && c.board.Leased()
+	replication.Call(c.master.Loop, func() bool {
+		r.Master = c.master.Leading() && c.board.HoldsMasterLease()
 		v := c.master.View()
 		r.Epoch, r.View = v.Epoch, v.Version
 		r.Config = c.master.Config()
--- a/internal/affinity/cord_test.go
+++ b/internal/affinity/cord_test.go
@@ -92,9 +92,9 @@
 type core struct{ t *coordination.Table }
 
 func (c *core) takeover() {
-	s := c.t.Dump(0)
+	s := c.t.Snapshot(0)
 	c.t = coordination.NewTable(time.Minute)
-	c.t.Load(s, 0, false)
+	c.t.Restore(s, 0, false)
 }
 
 func (c *core) answer(q *meshpb.PinRequest) *meshpb.PinResponse {
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -53,7 +53,7 @@
 // Master runs on its own mailbox; all its fields belong to that goroutine.
 type Master struct {
 	o     Options
-	Loop  *replication.Loop
+	Loop  *replication.Mailbox
 	lines *rpc.Clients
 	store Store
 
@@ -113,7 +113,7 @@
 	again time.Duration
 }
 
-func NewMaster(o Options, l *replication.Loop, lines *rpc.Clients, st Store) *Master {
+func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st Store) *Master {
 	return &Master{o: o, Loop: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeys(o.Hot),
 		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
@@ -418,7 +418,7 @@
 			}
 			bad := err != nil || r.GetNode() == nil || r.Stale
 			done := make(chan struct{})
-			m.Loop.Put(func() {
+			m.Loop.Post(func() {
 				defer close(done)
 				if ctx.Err() != nil || !m.leading || m.epoch != ep {
 					return
@@ -494,7 +494,7 @@
 		return
 	}
 	m.dirty = true
-	time.AfterFunc(gatherFor, func() { m.Loop.Put(m.put) })
+	time.AfterFunc(gatherFor, func() { m.Loop.Post(m.put) })
 }
 
 func (m *Master) put() {
@@ -561,7 +561,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
 		err := m.store.SaveView(ctx, v)
-		m.Loop.Put(func() {
+		m.Loop.Post(func() {
 			if m.epoch != ep || !m.leading {
 				return
 			}
--- a/internal/clustercontroller/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -132,7 +132,7 @@
 func (m *Master) send(key string, req *meshpb.RelayRequest, to *meshpb.RelayTarget, done func(*meshpb.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
-		time.AfterFunc(gatherFor, func() { m.Loop.Put(m.flush) })
+		time.AfterFunc(gatherFor, func() { m.Loop.Post(m.flush) })
 	}
 	p := m.parcels[key]
 	if p == nil {
@@ -202,7 +202,7 @@
 	done := p.done[to.Name]
 	go func() {
 		a := relayed(n, to, p.req, func() Bundle { return m.bundle(p.req.Stored) })
-		m.Loop.Put(func() { done(a) })
+		m.Loop.Post(func() { done(a) })
 	}()
 }
 
@@ -213,7 +213,7 @@
 	q := &meshpb.RelayRequest{Targets: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Stored: p.req.Stored}
 	go func() {
 		r, err := rpc.Call(relayWait, c.Relay, q)
-		m.Loop.Put(func() {
+		m.Loop.Post(func() {
 			got := map[string]bool{}
 			for _, a := range r.GetAcks() {
 				if d := p.done[a.Name]; d != nil && !got[a.Name] {
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -135,7 +135,7 @@
 	s := &stage{st: &saved{}, last: make([][]*meshpb.Endpoint, n)}
 	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 	s.m = NewMaster(Options{Interval: 250 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond,
-		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, replication.NewLoop(), lines, s.st)
+		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, replication.NewMailbox(), lines, s.st)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
 		a := &Agent{Name: fmt.Sprint("n", i), Life: "l", Quiet: time.Second, Now: now, Note: func(string, ...any) {}, Lines: lines}
@@ -170,7 +170,7 @@
 }
 
 func (s *stage) do(f func()) {
-	replication.Ask(s.m.Loop, func() bool { f(); return true })
+	replication.Call(s.m.Loop, func() bool { f(); return true })
 	synctest.Wait()
 }
 
--- a/internal/controlapi/core.go
+++ b/internal/controlapi/core.go
@@ -114,14 +114,14 @@
 		switch {
 		case err == nil:
 			return r, verdict{}, true
-		case errors.Is(err, replication.ErrElsewhere):
+		case errors.Is(err, replication.ErrNotOwner):
 			type who struct {
 				m  *meshpb.Member
 				ok bool
 			}
-			o, _ := replication.Ask(d.Svc.Loop, func() who {
+			o, _ := replication.Call(d.Svc.Loop, func() who {
 				m, ok := d.Svc.Board.Owner(shard)
-				if ok && m.Id == d.Svc.Board.Me().Id {
+				if ok && m.Id == d.Svc.Board.Self().Id {
 					return who{}
 				}
 				return who{m, ok}
@@ -129,7 +129,7 @@
 			if o.ok && o.m.Control != "" {
 				return r, verdict{out: elsewhere, to: "http://" + o.m.Control + c.r.RequestURI}, false
 			}
-		case errors.Is(err, replication.ErrBusy):
+		case errors.Is(err, replication.ErrUnavailable):
 		default:
 			return r, verdict{out: unsure}, false
 		}
@@ -255,7 +255,7 @@
 // Configuration
 
 // ReadConfig gives an empty configuration where there is none that can be read.
-func ReadConfig(t replication.Table) *meshpb.Config {
+func ReadConfig(t replication.StateMachine) *meshpb.Config {
 	c, err := decode(t.Blob(ConfigBlob))
 	if err != nil {
 		return &meshpb.Config{}
--- a/internal/controlapi/core_test.go
+++ b/internal/controlapi/core_test.go
@@ -67,7 +67,7 @@
 // writer is one life's way to its shelf.
 type writer struct {
 	s  *shelf
-	l  *replication.Loop
+	l  *replication.Mailbox
 	ch chan job
 }
 
@@ -85,7 +85,7 @@
 				x.s.recs = append(x.s.recs, j.rec)
 			}
 			x.s.mu.Unlock()
-			x.l.Put(func() { j.done(nil) })
+			x.l.Post(func() { j.done(nil) })
 		}
 	}
 }
@@ -101,8 +101,8 @@
 }
 
 type life struct {
-	l   *replication.Loop
-	b   *replication.Board
+	l   *replication.Mailbox
+	b   *replication.Replica
 	d   *Core
 	end chan struct{}
 }
@@ -146,15 +146,15 @@
 	for _, x := range w.ms {
 		seeds = append(seeds, &meshpb.Member{Addr: x.addr, Control: x.addr})
 	}
-	l, end := replication.NewLoop(), make(chan struct{})
+	l, end := replication.NewMailbox(), make(chan struct{})
 	wr := writer{m.disk, l, make(chan job, 1<<16)}
 	w.wg.Go(func() { wr.run(end) })
 	s := coordination.NewService(l, 4)
-	b, err := replication.New(replication.Options{Me: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, First: first, Shards: 4,
-		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 1 << 18,
-		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) },
-		NewID:    func() string { w.ids++; return fmt.Sprint("id", w.ids) },
-		Now:      func() time.Duration { return time.Since(w.t0) }, Rand: func(int) int { return 0 },
+	b, err := replication.New(replication.Options{Self: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, Bootstrap: first, Shards: 4,
+		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 1 << 18,
+		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) },
+		NewID:           func() string { w.ids++; return fmt.Sprint("id", w.ids) },
+		Now:             func() time.Duration { return time.Since(w.t0) }, Rand: func(int) int { return 0 },
 		OnCommit: s.Committed}, tube{m, l}, wr, m.disk.read())
 	qt.Assert(w.t, err, qt.IsNil)
 	s.Board = b
@@ -201,7 +201,7 @@
 			if !up {
 				continue
 			}
-			if own, _ := replication.Ask(x.l, func() bool { _, own := x.b.Own(0); return own }); own {
+			if own, _ := replication.Call(x.l, func() bool { _, own := x.b.OwnedEpoch(0); return own }); own {
 				return m
 			}
 		}
@@ -213,10 +213,10 @@
 
 type tube struct {
 	m *member
-	l *replication.Loop
+	l *replication.Mailbox
 }
 
-func pass[Q, R proto.Message](x tube, to string, q Q, cb func(R), f func(replication.Door, context.Context, Q) (R, error)) {
+func pass[Q, R proto.Message](x tube, to string, q Q, cb func(R), f func(replication.Handler, context.Context, Q) (R, error)) {
 	q = proto.Clone(q).(Q)
 	x.m.w.wg.Go(func() {
 		ctx, stop := context.WithTimeout(context.Background(), 600*time.Millisecond)
@@ -227,34 +227,34 @@
 		_, here := x.m.w.at(x.m.addr)
 		if !up || !here {
 			<-ctx.Done()
-			x.l.Put(func() { cb(none) })
+			x.l.Post(func() { cb(none) })
 			return
 		}
-		r, err := f(replication.Door{Loop: t.l, Board: t.b}, ctx, q)
+		r, err := f(replication.Handler{Mailbox: t.l, Replica: t.b}, ctx, q)
 		if _, here = x.m.w.at(x.m.addr); err != nil || !here {
 			r = none
 		}
-		x.l.Put(func() { cb(r) })
+		x.l.Post(func() { cb(r) })
 	})
 }
 
-func (x tube) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
-	pass(x, to.Addr, q, cb, replication.Door.RenewLeases)
+func (x tube) RenewLeases(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	pass(x, to.Addr, q, cb, replication.Handler.RenewLeases)
 }
-func (x tube) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
-	pass(x, to.Addr, q, cb, replication.Door.Replicate)
+func (x tube) Replicate(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
+	pass(x, to.Addr, q, cb, replication.Handler.Replicate)
 }
-func (x tube) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
-	pass(x, to.Addr, q, cb, replication.Door.RequestVotes)
+func (x tube) RequestVotes(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
+	pass(x, to.Addr, q, cb, replication.Handler.RequestVotes)
 }
-func (x tube) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
-	pass(x, to.Addr, q, cb, replication.Door.TransferOwnership)
+func (x tube) TransferOwnership(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	pass(x, to.Addr, q, cb, replication.Handler.TransferOwnership)
 }
-func (x tube) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
-	pass(x, to.Addr, q, cb, replication.Door.AcceptMembership)
+func (x tube) AcceptMembership(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
+	pass(x, to.Addr, q, cb, replication.Handler.AcceptMembership)
 }
 func (x tube) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
-	pass(x, to, q, cb, replication.Door.Join)
+	pass(x, to, q, cb, replication.Handler.Join)
 }
 
 // sending is one call of the operator or of an application.
--- a/internal/controlapi/desk_test.go
+++ b/internal/controlapi/desk_test.go
@@ -17,26 +17,26 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-type book struct{ l *replication.Loop }
+type book struct{ l *replication.Mailbox }
 
-func (b book) Append(_ []byte, f func(error))       { go b.l.Put(func() { f(nil) }) }
-func (b book) Checkpoint(_ [][]byte, f func(error)) { go b.l.Put(func() { f(nil) }) }
+func (b book) Append(_ []byte, f func(error))       { go b.l.Post(func() { f(nil) }) }
+func (b book) Checkpoint(_ [][]byte, f func(error)) { go b.l.Post(func() { f(nil) }) }
 
 type office struct {
 	d *Core
-	l *replication.Loop
+	l *replication.Mailbox
 }
 
 func open(t *testing.T) *office {
-	l := replication.NewLoop()
+	l := replication.NewMailbox()
 	t0 := time.Now()
 	me := &meshpb.Member{Addr: "a", Control: "c"}
 	s := coordination.NewService(l, 4)
-	b, err := replication.New(replication.Options{Me: me, Seeds: []*meshpb.Member{me}, First: true, Shards: 4,
-		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, LogBytes: 1 << 20,
-		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
+	b, err := replication.New(replication.Options{Self: me, Seeds: []*meshpb.Member{me}, Bootstrap: true, Shards: 4,
+		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, CheckpointBytes: 1 << 20,
+		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
 		Now: func() time.Duration { return time.Since(t0) }, Rand: func(int) int { return 0 },
-		OnCommit: s.Committed}, replication.Net{Loop: l}, book{l}, nil)
+		OnCommit: s.Committed}, replication.PeerClient{Mailbox: l}, book{l}, nil)
 	qt.Assert(t, err, qt.IsNil)
 	s.Board = b
 	go l.Run(50*time.Millisecond, b.Tick)
--- a/internal/controlapi/growth_test.go
+++ b/internal/controlapi/growth_test.go
@@ -62,8 +62,8 @@
 			away.start(false)
 			x, _ := w.at(away.addr)
 			same := func() bool {
-				a, _ := replication.Ask(own.l, func() uint64 { return own.b.Lines()[0].Version })
-				b, _ := replication.Ask(x.l, func() uint64 { return x.b.Lines()[0].Version })
+				a, _ := replication.Call(own.l, func() uint64 { return own.b.ShardStatuses()[0].Version })
+				b, _ := replication.Call(x.l, func() uint64 { return x.b.ShardStatuses()[0].Version })
 				return a == b
 			}
 			for !same() && time.Since(t0) < 20*time.Second {
@@ -72,8 +72,8 @@
 			back = time.Since(t0)
 		})
 		t0 := time.Now()
-		_, err := replication.New(replication.Options{Me: &meshpb.Member{Addr: "m0"}, Shards: 4, LogBytes: 1 << 30,
-			NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
+		_, err := replication.New(replication.Options{Self: &meshpb.Member{Addr: "m0"}, Shards: 4, CheckpointBytes: 1 << 30,
+			NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
 			Now: func() time.Duration { return 0 }, Rand: func(int) int { return 0 }}, nil, nowhere{}, recs)
 		qt.Assert(t, err, qt.IsNil)
 		t.Logf("%4d changes: disk %4d KB in %d records, read in %v; a member that missed them is back after %v", n, size(recs)>>10, len(recs), time.Since(t0).Round(100*time.Microsecond), back)
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -24,14 +24,14 @@
 // Service serves locks, numbers, cells and watches from the shards that this
 // process owns. The watchers belong to the board's goroutine.
 type Service struct {
-	Loop   *replication.Loop
-	Board  *replication.Board
+	Loop   *replication.Mailbox
+	Board  *replication.Replica
 	Shards int
 
 	watchers map[int][]*watcher
 }
 
-func NewService(l *replication.Loop, shards int) *Service {
+func NewService(l *replication.Mailbox, shards int) *Service {
 	return &Service{Loop: l, Shards: shards, watchers: map[int][]*watcher{}}
 }
 
@@ -59,22 +59,22 @@
 // there from an earlier sending. That one may yet take effect while it isn't
 // safe, so failing to see it so is ErrUnsure.
 func RunAgain[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R, bool)) (R, error) {
-	o, ok := replication.Later(ctx, s.Loop, func(reply func(out[R])) {
+	o, ok := replication.CallAsync(ctx, s.Loop, func(reply func(out[R])) {
 		var r R
 		var found bool
-		s.Board.Do(shard, func(t replication.Table, now time.Duration) (c *meshpb.Change) {
+		s.Board.Execute(shard, func(t replication.StateMachine, now time.Duration) (c *meshpb.Change) {
 			c, r, found = f(t.(*Table), now)
 			return c
 		}, func(err error) {
-			if found && errors.Is(err, replication.ErrBusy) {
-				err = replication.ErrUnsure
+			if found && errors.Is(err, replication.ErrUnavailable) {
+				err = replication.ErrOutcomeUnknown
 			}
 			reply(out[R]{r, err})
 		})
 	})
 	if !ok {
 		var r R
-		return r, replication.ErrUnsure
+		return r, replication.ErrOutcomeUnknown
 	}
 	return o.r, o.err
 }
@@ -126,7 +126,7 @@
 	w := &watcher{group: group, after: after}
 	wctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	o, ok := replication.Later(wctx, s.Loop, func(reply func(out[Events])) {
+	o, ok := replication.CallAsync(wctx, s.Loop, func(reply func(out[Events])) {
 		w.cb = func(e Events, err error) { reply(out[Events]{e, err}) }
 		s.watchers[sh] = append(s.watchers[sh], w)
 		s.ring(sh, w)
@@ -134,7 +134,7 @@
 	if ok {
 		return o.r, o.err
 	}
-	s.Loop.Put(func() { s.drop(sh, w) })
+	s.Loop.Post(func() { s.drop(sh, w) })
 	return s.since(ctx, group, after)
 }
 
@@ -153,13 +153,13 @@
 	if w.done {
 		return
 	}
-	t := s.Board.Table(sh).(*Table)
+	t := s.Board.StateMachine(sh).(*Table)
 	if t.Since(w.group, w.after).Outcome == Waiting {
 		return
 	}
 	s.drop(sh, w)
 	var e Events
-	s.Board.Do(sh, func(t replication.Table, _ time.Duration) *meshpb.Change {
+	s.Board.Execute(sh, func(t replication.StateMachine, _ time.Duration) *meshpb.Change {
 		e = t.(*Table).Since(w.group, w.after)
 		return nil
 	}, func(err error) { w.cb(e, err) })
@@ -178,7 +178,7 @@
 	for _, w := range ws {
 		if !w.done {
 			w.done = true
-			w.cb(Events{}, replication.ErrElsewhere)
+			w.cb(Events{}, replication.ErrNotOwner)
 		}
 	}
 }
--- a/internal/coordination/table.go
+++ b/internal/coordination/table.go
@@ -125,11 +125,11 @@
 
 // Lead is called when this process comes to own the shard: numbers reserved
 // by an earlier owner are passed over.
-func (t *Table) Lead() { t.given = map[string]uint64{} }
+func (t *Table) BecomeOwner() { t.given = map[string]uint64{} }
 
 func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-func (t *Table) Dump(now time.Duration) *meshpb.ShardState {
+func (t *Table) Snapshot(now time.Duration) *meshpb.ShardState {
 	s := &meshpb.ShardState{LastFencingToken: t.fences}
 	for n, l := range t.locks {
 		left := max(l.until-now, 0)
@@ -164,7 +164,7 @@
 // Load replaces the content. Ages are honoured when the state came straight
 // from another process; fresh restarts every hold and the history's age, as
 // after a read from disk.
-func (t *Table) Load(s *meshpb.ShardState, now time.Duration, fresh bool) {
+func (t *Table) Restore(s *meshpb.ShardState, now time.Duration, fresh bool) {
 	t.clear()
 	t.fences = s.LastFencingToken
 	age := func(v uint64) time.Duration {
--- a/internal/coordination/table_test.go
+++ b/internal/coordination/table_test.go
@@ -14,7 +14,7 @@
 	c, _ = a.Renew("l", "x", g.Fence, time.Second, 100*time.Millisecond)
 	a.Apply(c, 100*time.Millisecond)
 	at := 500 * time.Millisecond
-	b.Load(a.Dump(at), at, false)
+	b.Restore(a.Snapshot(at), at, false)
 	_, g2 := b.Take("l", "y", time.Second, 2900*time.Millisecond)
 	qt.Assert(t, g2.Outcome, qt.Equals, Held)
 	_, g2 = b.Take("l", "y", time.Second, 3002*time.Millisecond)
@@ -26,7 +26,7 @@
 	a, b := NewTable(20*time.Second), NewTable(20*time.Second)
 	c, _ := a.Take("l", "x", 3*time.Second, 0)
 	a.Apply(c, 0)
-	b.Load(a.Dump(2*time.Second), 0, true)
+	b.Restore(a.Snapshot(2*time.Second), 0, true)
 	_, g := b.Take("l", "y", time.Second, 2900*time.Millisecond)
 	qt.Assert(t, g.Outcome, qt.Equals, Held)
 }
@@ -46,7 +46,7 @@
 			b.Apply(c, 0)
 		}
 	}
-	b.Lead()
+	b.BecomeOwner()
 	_, m := b.Next("n")
 	qt.Assert(t, m > n, qt.IsTrue)
 }
@@ -87,7 +87,7 @@
 	qt.Assert(t, a.Since("g.", 3).Outcome, qt.Equals, Gone)
 	qt.Assert(t, a.Since("g.", 60).Outcome, qt.Equals, Waiting)
 	b := NewTable(20 * time.Second)
-	b.Load(a.Dump(at(60)), 0, true)
+	b.Restore(a.Snapshot(at(60)), 0, true)
 	qt.Assert(t, len(b.Since("g.", 40).List), qt.Equals, 20)
 	c, r := b.Put("g.k", "new", nil, 0)
 	qt.Assert(t, r.Revision, qt.Equals, uint64(61))
--- a/internal/coordination/taken_test.go
+++ b/internal/coordination/taken_test.go
@@ -25,8 +25,8 @@
 	for v := uint64(1); v <= MostTaken; v++ {
 		take(a, 2*v)
 	}
-	early := a.Dump(0)
-	b.Load(early, 0, true)
+	early := a.Snapshot(0)
+	b.Restore(early, 0, true)
 	for v := uint64(MostTaken + 1); v <= MostTaken+extra; v++ {
 		take(a, 2*v)
 		take(b, 2*v+1)
@@ -50,12 +50,12 @@
 		qt.Check(t, x.t.Forgotten(), qt.Equals, x.forgets, qt.Commentf("row %d", i))
 	}
 	c := NewTable(20 * time.Second)
-	c.Load(early, 0, true)
+	c.Restore(early, 0, true)
 	qt.Assert(t, c.Forgotten(), qt.Equals, uint64(0))
 	for v := uint64(1); v <= MostTaken; v++ {
 		qt.Assert(t, c.Taken(sumOf(2*v)), qt.IsTrue)
 	}
-	for _, d := range []*meshpb.ShardState{early, a.Dump(0), b.Dump(0)} {
+	for _, d := range []*meshpb.ShardState{early, a.Snapshot(0), b.Snapshot(0)} {
 		qt.Assert(t, len(d.AcceptedVersions), qt.Equals, MostTaken)
 		qt.Assert(t, len(d.AcceptedDigests), qt.Equals, MostTaken*SumSize)
 	}
--- a/internal/replication/board.go
+++ b/internal/replication/board.go
@@ -16,56 +16,56 @@
 var Error = errs.Class("exchange")
 
 var (
-	ErrElsewhere = Error.New("another member owns this shard")
-	ErrBusy      = Error.New("no owner can serve now; nothing was done")
-	ErrUnsure    = Error.New("the change may or may not have been taken")
+	ErrNotOwner       = Error.New("another member owns this shard")
+	ErrUnavailable    = Error.New("no owner can serve now; nothing was done")
+	ErrOutcomeUnknown = Error.New("the change may or may not have been taken")
 )
 
-type Table interface {
+type StateMachine interface {
 	Apply(*meshpb.Change, time.Duration)
-	Dump(time.Duration) *meshpb.ShardState
-	Load(*meshpb.ShardState, time.Duration, bool)
-	Lead()
+	Snapshot(time.Duration) *meshpb.ShardState
+	Restore(*meshpb.ShardState, time.Duration, bool)
+	BecomeOwner()
 	Blob(string) *meshpb.Blob
 }
 
 // Wire carries calls to other members. Each callback runs on the board's
 // goroutine; a nil answer means that no answer came.
-type Wire interface {
-	Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse))
-	Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse))
-	Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse))
-	Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse))
-	Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse))
+type Transport interface {
+	RenewLeases(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse))
+	Replicate(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse))
+	RequestVotes(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse))
+	TransferOwnership(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse))
+	AcceptMembership(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse))
 	Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse))
 }
 
 // Book keeps records. Each callback runs on the board's goroutine, in the
 // order of the calls.
-type Book interface {
+type Storage interface {
 	Append(rec []byte, done func(error))
 	Checkpoint(page [][]byte, done func(error))
 }
 
 type Options struct {
-	Me           *meshpb.Member
-	Seeds        []*meshpb.Member
-	First        bool
-	Shards       int
-	Lease        time.Duration
-	Beat         time.Duration
-	CallWait     time.Duration
-	Unreached    time.Duration
-	LogBytes     int
-	NewTable     func() Table
-	NewID        func() string
-	Now          func() time.Duration
-	Rand         func(n int) int
-	Note         func(f string, a ...any)
-	OnOwner      func(shard int, own bool, epoch uint64)
-	OnCommit     func(shard int)
-	OnMembership func(*meshpb.Membership)
-	OnStep       func(step string, shard int, epoch, version uint64, c *meshpb.Change)
+	Self               *meshpb.Member
+	Seeds              []*meshpb.Member
+	Bootstrap          bool
+	Shards             int
+	LeaseDuration      time.Duration
+	HeartbeatInterval  time.Duration
+	RequestTimeout     time.Duration
+	EvictionTimeout    time.Duration
+	CheckpointBytes    int
+	NewStateMachine    func() StateMachine
+	NewID              func() string
+	Now                func() time.Duration
+	Rand               func(n int) int
+	Logf               func(f string, a ...any)
+	OnOwnershipChange  func(shard int, own bool, epoch uint64)
+	OnCommit           func(shard int)
+	OnMembershipChange func(*meshpb.Membership)
+	OnEntryProgress    func(step string, shard int, epoch, version uint64, c *meshpb.Change)
 }
 
 type role int
@@ -87,7 +87,7 @@
 
 type shard struct {
 	ix      int
-	table   Table
+	table   StateMachine
 	epoch   uint64
 	version uint64
 	synced  uint64
@@ -169,10 +169,10 @@
 	span
 }
 
-type Board struct {
+type Replica struct {
 	o          Options
-	wire       Wire
-	book       Book
+	wire       Transport
+	book       Storage
 	me         *meshpb.Member
 	membership *meshpb.Membership
 	shards     []*shard
@@ -213,11 +213,11 @@
 	touch atomic.Pointer[map[string]bool]
 }
 
-func New(o Options, w Wire, bk Book, recs [][]byte) (*Board, error) {
-	b := &Board{o: o, wire: w, book: bk, me: proto.Clone(o.Me).(*meshpb.Member), peers: map[string]*peer{},
-		settles: make([]uint64, o.Shards), first: o.First, started: o.Now(), starved: -1 << 40}
+func New(o Options, w Transport, bk Storage, recs [][]byte) (*Replica, error) {
+	b := &Replica{o: o, wire: w, book: bk, me: proto.Clone(o.Self).(*meshpb.Member), peers: map[string]*peer{},
+		settles: make([]uint64, o.Shards), first: o.Bootstrap, started: o.Now(), starved: -1 << 40}
 	for i := 0; i < o.Shards; i++ {
-		b.shards = append(b.shards, &shard{ix: i, table: o.NewTable()})
+		b.shards = append(b.shards, &shard{ix: i, table: o.NewStateMachine()})
 	}
 	now := o.Now()
 	for _, r := range recs {
@@ -229,15 +229,15 @@
 	}
 	if b.me.Id == "" {
 		founder := false
-		if o.First {
+		if o.Bootstrap {
 			for _, s := range o.Seeds {
-				if s.Addr == o.Me.Addr {
+				if s.Addr == o.Self.Addr {
 					founder = true
 				}
 			}
 		}
 		if founder {
-			b.me.Id = "founder-" + o.Me.Addr
+			b.me.Id = "founder-" + o.Self.Addr
 			r := &meshpb.Membership{Version: 1, Size: uint32(len(o.Seeds))}
 			for _, s := range o.Seeds {
 				m := proto.Clone(s).(*meshpb.Member)
@@ -259,7 +259,7 @@
 	for _, s := range b.shards {
 		s.fresh = -1 << 40
 		if s.promisedBy != "" && s.promisedBy != b.me.Id {
-			s.leasedUntil = now + o.Lease
+			s.leasedUntil = now + o.LeaseDuration
 		}
 	}
 	b.setPeers()
@@ -267,7 +267,7 @@
 	return b, nil
 }
 
-func (b *Board) replay(r *meshpb.Record, now time.Duration) {
+func (b *Replica) replay(r *meshpb.Record, now time.Duration) {
 	if id := r.GetIdentity(); id != nil {
 		b.me.Id, b.first = id.Id, b.first || id.Bootstrap
 	}
@@ -284,7 +284,7 @@
 	if st := r.GetState(); st != nil && int(st.Shard) < len(b.shards) {
 		s := b.shards[st.Shard]
 		s.epoch, s.version = st.Epoch, st.Version
-		s.table.Load(st, now, true)
+		s.table.Restore(st, now, true)
 		s.forget()
 	}
 	if x := r.GetEpochChange(); x != nil && int(x.Shard) < len(b.shards) {
@@ -309,25 +309,25 @@
 	return false
 }
 
-func (b *Board) now() time.Duration { return b.o.Now() }
+func (b *Replica) now() time.Duration { return b.o.Now() }
 
-func (b *Board) note(f string, a ...any) {
-	if b.o.Note != nil {
-		b.o.Note(f, a...)
+func (b *Replica) note(f string, a ...any) {
+	if b.o.Logf != nil {
+		b.o.Logf(f, a...)
 	}
 }
 
-func (b *Board) step(step string, s *shard, epoch, version uint64, c *meshpb.Change) {
-	if b.o.OnStep != nil {
-		b.o.OnStep(step, s.ix, epoch, version, c)
+func (b *Replica) step(step string, s *shard, epoch, version uint64, c *meshpb.Change) {
+	if b.o.OnEntryProgress != nil {
+		b.o.OnEntryProgress(step, s.ix, epoch, version, c)
 	}
 }
 
-func (b *Board) majority() int { return len(b.membership.Members)/2 + 1 }
+func (b *Replica) majority() int { return len(b.membership.Members)/2 + 1 }
 
-func (b *Board) member() bool { return !b.blank && inMembership(b.membership, b.me.Id) }
+func (b *Replica) member() bool { return !b.blank && inMembership(b.membership, b.me.Id) }
 
-func (b *Board) index(id string) int {
+func (b *Replica) index(id string) int {
 	for i, m := range b.membership.Members {
 		if m.Id == id {
 			return i
@@ -336,7 +336,7 @@
 	return -1
 }
 
-func (b *Board) setPeers() {
+func (b *Replica) setPeers() {
 	n := map[string]*peer{}
 	b.line = nil
 	for _, m := range b.membership.Members {
@@ -359,7 +359,7 @@
 	b.rank()
 }
 
-func (b *Board) newPeer() *peer {
+func (b *Replica) newPeer() *peer {
 	n := len(b.shards)
 	p := &peer{grants: make([]time.Duration, n), acked: make([]uint64, n), known: make([]uint64, n), have: make([]have, n)}
 	for i := range p.grants {
@@ -368,7 +368,7 @@
 	return p
 }
 
-func (b *Board) learner(id string) *peer {
+func (b *Replica) learner(id string) *peer {
 	for _, p := range b.learners {
 		if p.m.Id == id {
 			return p
@@ -378,11 +378,11 @@
 }
 
 // others are all that copies go to: members and learners.
-func (b *Board) others() []*peer {
+func (b *Replica) others() []*peer {
 	return append(slices.Clip(b.line), b.learners...)
 }
 
-func (b *Board) alive(id string) bool {
+func (b *Replica) alive(id string) bool {
 	if id == b.me.Id {
 		return true
 	}
@@ -391,16 +391,16 @@
 }
 
 // inTouch tells that the other has been heard within a lease.
-func (b *Board) inTouch(p *peer) bool { return p.ever && b.now()-p.heard < b.o.Lease }
+func (b *Replica) inTouch(p *peer) bool { return p.ever && b.now()-p.heard < b.o.LeaseDuration }
 
-func (b *Board) ready(id string) bool {
+func (b *Replica) ready(id string) bool {
 	if id == b.me.Id {
 		return !b.diskBad && !b.stalled() && !b.leaving && b.member() && b.reach() >= b.majority()
 	}
 	return b.alive(id) && b.peers[id].sound
 }
 
-func (b *Board) head(p *peer) *meshpb.SenderHeader {
+func (b *Replica) head(p *peer) *meshpb.SenderHeader {
 	return &meshpb.SenderHeader{From: b.me, To: p.m.Id, NotReceiving: !b.inTouch(p), Membership: b.membership.Version, Healthy: b.ready(b.me.Id), Leaving: b.leaving}
 }
 
@@ -414,7 +414,7 @@
 	return x
 }
 
-func (b *Board) save(r *meshpb.Record, done func(error)) {
+func (b *Replica) save(r *meshpb.Record, done func(error)) {
 	x := enc(r)
 	b.written += len(x)
 	b.outs = append(b.outs, b.now())
@@ -425,7 +425,7 @@
 		}
 		done(err)
 	})
-	if b.written > b.o.LogBytes && !b.diskBusy && !b.diskBad {
+	if b.written > b.o.CheckpointBytes && !b.diskBusy && !b.diskBad {
 		b.checkpoint()
 	}
 }
@@ -433,21 +433,21 @@
 // stalled tells that a record has waited long for the disk. Where this member
 // itself got no processor of late, the wait is no sign of the disk: to hand over
 // then would bring the load that it suffers from to the next member, and so on.
-func (b *Board) stalled() bool {
+func (b *Replica) stalled() bool {
 	now := b.now()
-	return len(b.outs) > 0 && now-b.outs[0] > b.o.Lease/2 && now-b.starved > b.o.Lease
+	return len(b.outs) > 0 && now-b.outs[0] > b.o.LeaseDuration/2 && now-b.starved > b.o.LeaseDuration
 }
 
 // turned notes a tick; one that comes late means that the processor was short.
-func (b *Board) turned() {
+func (b *Replica) turned() {
 	now := b.now()
-	if b.ticked > 0 && now-b.ticked > b.o.Beat {
+	if b.ticked > 0 && now-b.ticked > b.o.HeartbeatInterval {
 		b.starved = now
 	}
 	b.ticked = now
 }
 
-func (b *Board) spoil(err error) {
+func (b *Replica) spoil(err error) {
 	if !b.diskBad {
 		b.note("disk refuses: %v", err)
 		b.diskBad = true
@@ -455,7 +455,7 @@
 	}
 }
 
-func (b *Board) page() [][]byte {
+func (b *Replica) page() [][]byte {
 	out := [][]byte{enc(&meshpb.Record{Identity: &meshpb.Identity{Id: b.me.Id, Bootstrap: b.first}})}
 	if b.membership.Version > 0 {
 		out = append(out, enc(&meshpb.Record{Membership: b.membership}))
@@ -470,7 +470,7 @@
 	return out
 }
 
-func (b *Board) checkpoint() {
+func (b *Replica) checkpoint() {
 	b.diskBusy = true
 	b.written = 0
 	type mark struct{ epoch, version uint64 }
@@ -498,15 +498,15 @@
 	})
 }
 
-func (b *Board) dump(s *shard) *meshpb.ShardState {
-	st := s.table.Dump(b.now())
+func (b *Replica) dump(s *shard) *meshpb.ShardState {
+	st := s.table.Snapshot(b.now())
 	st.Shard, st.Epoch, st.Version = uint32(s.ix), s.epoch, s.version
 	return st
 }
 
 // install makes st the shard's accepted state and calls done once it is synced.
-func (b *Board) install(s *shard, st *meshpb.ShardState, epoch uint64, done func(error)) {
-	s.table.Load(st, b.now(), false)
+func (b *Replica) install(s *shard, st *meshpb.ShardState, epoch uint64, done func(error)) {
+	s.table.Restore(st, b.now(), false)
 	s.forget()
 	s.past = []span{{st.Epoch, st.Version}}
 	s.epoch, s.version, s.synced = epoch, st.Version, 0
@@ -521,25 +521,25 @@
 	})
 }
 
-func (b *Board) Sound() bool { return !b.diskBad }
+func (b *Replica) DiskHealthy() bool { return !b.diskBad }
 
-func (b *Board) Membership() *meshpb.Membership { return b.membership }
+func (b *Replica) Membership() *meshpb.Membership { return b.membership }
 
-func (b *Board) Me() *meshpb.Member { return b.me }
+func (b *Replica) Self() *meshpb.Member { return b.me }
 
-func (b *Board) Table(i int) Table { return b.shards[i].table }
+func (b *Replica) StateMachine(i int) StateMachine { return b.shards[i].table }
 
-func (b *Board) Blank() bool { return !b.member() }
+func (b *Replica) IsLearner() bool { return !b.member() }
 
 // Clean tells that all of the shard's content is committed.
-func (b *Board) Clean(i int) bool { return b.shards[i].commit >= b.shards[i].version }
+func (b *Replica) FullyCommitted(i int) bool { return b.shards[i].commit >= b.shards[i].version }
 
-func (b *Board) Epoch(i int) uint64 { return b.shards[i].epoch }
+func (b *Replica) Epoch(i int) uint64 { return b.shards[i].epoch }
 
 // Lines tells of each shard what this member knows; of those it owns, also how
 // far the copies are and how many members may be lost with the rest still a
 // majority that holds all.
-func (b *Board) Lines() []*meshpb.ShardStatus {
+func (b *Replica) ShardStatuses() []*meshpb.ShardStatus {
 	var out []*meshpb.ShardStatus
 	for _, s := range b.shards {
 		l := &meshpb.ShardStatus{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version}
@@ -554,7 +554,7 @@
 	return out
 }
 
-func (b *Board) owned(s *shard, l *meshpb.ShardStatus) {
+func (b *Replica) owned(s *shard, l *meshpb.ShardStatus) {
 	l.Owned, l.Committed, l.LeaseMs = true, s.commit, int64(max(s.lease-b.now(), 0)/time.Millisecond)
 	whole := 1
 	for _, p := range b.others() {
@@ -573,29 +573,29 @@
 
 // Held tells, from any goroutine, whether this member serves shard 0 under a
 // lease right now.
-func (b *Board) Leased() bool { return int64(b.now()) < b.held.Load() }
+func (b *Replica) HoldsMasterLease() bool { return int64(b.now()) < b.held.Load() }
 
 // Follows tells whether this member's lease of the shard to the owner under that
 // epoch runs now.
-func (b *Board) Follows(i int, epoch uint64) bool {
+func (b *Replica) LeaseGranted(i int, epoch uint64) bool {
 	s := b.shards[i]
 	return s.promised == epoch && b.now() < s.leasedUntil
 }
 
 // Promised is the epoch under which this member last promised the shard.
-func (b *Board) Promised(i int) uint64 { return b.shards[i].promised }
+func (b *Replica) PromisedEpoch(i int) uint64 { return b.shards[i].promised }
 
 // Epoch0 is the epoch under which this member last served shard 0.
-func (b *Board) Epoch0() uint64 { return b.epoch.Load() }
+func (b *Replica) MasterEpoch() uint64 { return b.epoch.Load() }
 
 // Reached tells, from any goroutine, whether this member and the one at addr
 // have heard each other within a lease.
-func (b *Board) Reached(addr string) bool {
+func (b *Replica) InContact(addr string) bool {
 	m := b.touch.Load()
 	return m != nil && (*m)[addr]
 }
 
-func (b *Board) noteReached() {
+func (b *Replica) noteReached() {
 	m := map[string]bool{}
 	for _, p := range b.line {
 		if b.inTouch(p) {
--- a/internal/replication/loop.go
+++ b/internal/replication/loop.go
@@ -11,24 +11,24 @@
 )
 
 // Loop is the board's mailbox: one goroutine runs all that is put in.
-type Loop struct {
+type Mailbox struct {
 	ch   chan func()
 	end  chan struct{}
 	once sync.Once
 }
 
-func NewLoop() *Loop { return &Loop{ch: make(chan func(), 4096), end: make(chan struct{})} }
+func NewMailbox() *Mailbox { return &Mailbox{ch: make(chan func(), 4096), end: make(chan struct{})} }
 
-func (l *Loop) Put(f func()) {
+func (l *Mailbox) Post(f func()) {
 	select {
 	case l.ch <- f:
 	case <-l.end:
 	}
 }
 
-func (l *Loop) Close() { l.once.Do(func() { close(l.end) }) }
+func (l *Mailbox) Close() { l.once.Do(func() { close(l.end) }) }
 
-func (l *Loop) Run(tick time.Duration, on func()) {
+func (l *Mailbox) Run(tick time.Duration, on func()) {
 	t := time.NewTicker(tick)
 	defer t.Stop()
 	for {
@@ -44,9 +44,9 @@
 }
 
 // Ask runs f on the loop and waits for its answer.
-func Ask[R any](l *Loop, f func() R) (r R, ok bool) {
+func Call[R any](l *Mailbox, f func() R) (r R, ok bool) {
 	c := make(chan R, 1)
-	l.Put(func() { c <- f() })
+	l.Post(func() { c <- f() })
 	select {
 	case r = <-c:
 		return r, true
@@ -56,9 +56,9 @@
 }
 
 // Later runs f on the loop; f hands its answer to reply when it is ready.
-func Later[R any](ctx context.Context, l *Loop, f func(reply func(R))) (r R, ok bool) {
+func CallAsync[R any](ctx context.Context, l *Mailbox, f func(reply func(R))) (r R, ok bool) {
 	c := make(chan R, 1)
-	l.Put(func() { f(func(r R) { c <- r }) })
+	l.Post(func() { f(func(r R) { c <- r }) })
 	select {
 	case r = <-c:
 		return r, true
@@ -69,64 +69,64 @@
 	}
 }
 
-type Shelf struct {
-	Loop *Loop
-	Book *wal.Book
+type WALStorage struct {
+	Mailbox *Mailbox
+	Log     *wal.Log
 }
 
-func (s Shelf) Append(rec []byte, done func(error)) {
-	s.Book.Append(rec, func(err error) { s.Loop.Put(func() { done(err) }) })
+func (s WALStorage) Append(rec []byte, done func(error)) {
+	s.Log.Append(rec, func(err error) { s.Mailbox.Post(func() { done(err) }) })
 }
 
-func (s Shelf) Checkpoint(page [][]byte, done func(error)) {
-	s.Book.Checkpoint(page, func(err error) { s.Loop.Put(func() { done(err) }) })
+func (s WALStorage) Checkpoint(page [][]byte, done func(error)) {
+	s.Log.Checkpoint(page, func(err error) { s.Mailbox.Post(func() { done(err) }) })
 }
 
-type Net struct {
-	Loop  *Loop
-	Lines *rpc.Clients
-	Short time.Duration
-	Long  time.Duration
+type PeerClient struct {
+	Mailbox          *Mailbox
+	Clients          *rpc.Clients
+	CallTimeout      time.Duration
+	ReplicateTimeout time.Duration
 }
 
-func send[Q, R any](n Net, d time.Duration, f func(context.Context, *Q) (*R, error), q *Q, cb func(*R)) {
+func send[Q, R any](n PeerClient, d time.Duration, f func(context.Context, *Q) (*R, error), q *Q, cb func(*R)) {
 	go func() {
 		r, err := rpc.Call(d, f, q)
 		if err != nil {
 			r = nil
 		}
-		n.Loop.Put(func() { cb(r) })
+		n.Mailbox.Post(func() { cb(r) })
 	}()
 }
 
-func (n Net) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
-	send(n, n.Short, n.Lines.Replication(to.Addr).RenewLeases, q, cb)
+func (n PeerClient) RenewLeases(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	send(n, n.CallTimeout, n.Clients.Replication(to.Addr).RenewLeases, q, cb)
 }
 
-func (n Net) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
-	send(n, n.Long, n.Lines.Replication(to.Addr).Replicate, q, cb)
+func (n PeerClient) Replicate(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
+	send(n, n.ReplicateTimeout, n.Clients.Replication(to.Addr).Replicate, q, cb)
 }
 
-func (n Net) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
-	send(n, n.Short, n.Lines.Replication(to.Addr).RequestVotes, q, cb)
+func (n PeerClient) RequestVotes(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
+	send(n, n.CallTimeout, n.Clients.Replication(to.Addr).RequestVotes, q, cb)
 }
 
-func (n Net) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
-	send(n, n.Short, n.Lines.Replication(to.Addr).TransferOwnership, q, cb)
+func (n PeerClient) TransferOwnership(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	send(n, n.CallTimeout, n.Clients.Replication(to.Addr).TransferOwnership, q, cb)
 }
 
-func (n Net) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
-	send(n, n.Short, n.Lines.Replication(to.Addr).AcceptMembership, q, cb)
+func (n PeerClient) AcceptMembership(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
+	send(n, n.CallTimeout, n.Clients.Replication(to.Addr).AcceptMembership, q, cb)
 }
 
-func (n Net) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
-	send(n, n.Short, n.Lines.Replication(to).Join, q, cb)
+func (n PeerClient) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
+	send(n, n.CallTimeout, n.Clients.Replication(to).Join, q, cb)
 }
 
 // Door answers other members' calls.
-type Door struct {
-	Loop  *Loop
-	Board *Board
+type Handler struct {
+	Mailbox *Mailbox
+	Replica *Replica
 }
 
 var errNone = Error.New("no answer")
@@ -139,10 +139,10 @@
 }
 
 // fit drops what names no shard here, so that a malformed call harms nobody.
-func fit[T interface{ GetShard() uint32 }](d Door, xs []T) []T {
+func fit[T interface{ GetShard() uint32 }](d Handler, xs []T) []T {
 	out := xs[:0]
 	for _, x := range xs {
-		if int(x.GetShard()) < len(d.Board.shards) {
+		if int(x.GetShard()) < len(d.Replica.shards) {
 			out = append(out, x)
 		}
 	}
@@ -153,48 +153,48 @@
 
 var errHead = Error.New("a call without a sender")
 
-func (d Door) RenewLeases(_ context.Context, q *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
+func (d Handler) RenewLeases(_ context.Context, q *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
 	if !whole(q.Header) {
 		return nil, errHead
 	}
 	q.Watermarks = fit(d, q.Watermarks)
-	return answer(Ask(d.Loop, func() *meshpb.RenewLeasesResponse { return d.Board.OnLease(q) }))
+	return answer(Call(d.Mailbox, func() *meshpb.RenewLeasesResponse { return d.Replica.HandleRenewLeases(q) }))
 }
 
-func (d Door) Replicate(ctx context.Context, q *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
+func (d Handler) Replicate(ctx context.Context, q *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
 	if !whole(q.Header) {
 		return nil, errHead
 	}
 	q.States, q.Entries, q.EpochChanges = fit(d, q.States), fit(d, q.Entries), fit(d, q.EpochChanges)
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.ReplicateResponse)) { d.Board.OnCopy(q, f) }))
+	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.ReplicateResponse)) { d.Replica.HandleReplicate(q, f) }))
 }
 
-func (d Door) RequestVotes(ctx context.Context, q *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
+func (d Handler) RequestVotes(ctx context.Context, q *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
 	if !whole(q.Header) {
 		return nil, errHead
 	}
 	q.Votes = fit(d, q.Votes)
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.RequestVotesResponse)) { d.Board.OnAsk(q, f) }))
+	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.RequestVotesResponse)) { d.Replica.HandleRequestVotes(q, f) }))
 }
 
-func (d Door) TransferOwnership(_ context.Context, q *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
+func (d Handler) TransferOwnership(_ context.Context, q *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
 	if !whole(q.Header) {
 		return nil, errHead
 	}
 	q.Watermarks = fit(d, q.Watermarks)
-	return answer(Ask(d.Loop, func() *meshpb.TransferOwnershipResponse { return d.Board.OnHand(q) }))
+	return answer(Call(d.Mailbox, func() *meshpb.TransferOwnershipResponse { return d.Replica.HandleTransferOwnership(q) }))
 }
 
-func (d Door) AcceptMembership(ctx context.Context, q *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
+func (d Handler) AcceptMembership(ctx context.Context, q *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
 	if len(q.GetMembership().GetMembers()) == 0 {
 		return nil, errHead
 	}
-	return answer(Later(ctx, d.Loop, func(f func(*meshpb.AcceptMembershipResponse)) { d.Board.OnEnroll(q, f) }))
+	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.AcceptMembershipResponse)) { d.Replica.HandleAcceptMembership(q, f) }))
 }
 
-func (d Door) Join(_ context.Context, q *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
+func (d Handler) Join(_ context.Context, q *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
 	if q.GetFrom().GetId() == "" || q.From.Addr == "" {
 		return nil, errHead
 	}
-	return answer(Ask(d.Loop, func() *meshpb.JoinResponse { return d.Board.OnJoin(q) }))
+	return answer(Call(d.Mailbox, func() *meshpb.JoinResponse { return d.Replica.HandleJoin(q) }))
 }
--- a/internal/replication/members.go
+++ b/internal/replication/members.go
@@ -22,13 +22,13 @@
 // A membership is decided as a change of shard 0 and then enrolled: it is in force
 // once majorities of the old membership and of the new one have synced it.
 
-func (b *Board) sawMembership(m *meshpb.Member, version uint64) {
+func (b *Replica) sawMembership(m *meshpb.Member, version uint64) {
 	if version < b.membership.Version && m != nil && b.membership.Version > 1 {
-		b.wire.Enroll(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
+		b.wire.AcceptMembership(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
 	}
 }
 
-func (b *Board) OnEnroll(q *meshpb.AcceptMembershipRequest, reply func(*meshpb.AcceptMembershipResponse)) {
+func (b *Replica) HandleAcceptMembership(q *meshpb.AcceptMembershipRequest, reply func(*meshpb.AcceptMembershipResponse)) {
 	if b.diskBad {
 		reply(nil)
 		return
@@ -53,7 +53,7 @@
 	})
 }
 
-func (b *Board) adopt(r *meshpb.Membership, done func(error)) {
+func (b *Replica) adopt(r *meshpb.Membership, done func(error)) {
 	b.note("membership %d with %d members", r.Version, len(r.Members))
 	b.membership = proto.Clone(r).(*meshpb.Membership)
 	if !inMembership(b.membership, b.me.Id) {
@@ -78,7 +78,7 @@
 		switch s.role {
 		case asking:
 			b.depose(s, s.asked, "the roll changed")
-			s.retryAt = b.now() + b.o.Beat
+			s.retryAt = b.now() + b.o.HeartbeatInterval
 		case owner, handing:
 			s.base = s.version
 			s.settled = 0
@@ -89,19 +89,19 @@
 	for _, p := range b.line {
 		b.push(p)
 	}
-	if b.o.OnMembership != nil {
-		b.o.OnMembership(b.membership)
+	if b.o.OnMembershipChange != nil {
+		b.o.OnMembershipChange(b.membership)
 	}
 }
 
-func (b *Board) enrolledBy(id string, r *meshpb.AcceptMembershipResponse) {
+func (b *Replica) enrolledBy(id string, r *meshpb.AcceptMembershipResponse) {
 	if r == nil || !r.Ok || b.enrolled == nil || r.Version != b.membership.Version {
 		return
 	}
 	b.enrolled[id] = true
 }
 
-func (b *Board) enrolledAll() bool {
+func (b *Replica) enrolledAll() bool {
 	if b.prior == nil {
 		return true
 	}
@@ -121,7 +121,7 @@
 
 // manage is the work of shard 0's owner on the membership: finish a change that was
 // decided, then decide the next.
-func (b *Board) manage() {
+func (b *Replica) manage() {
 	s := b.shards[0]
 	if s.role != owner || !s.serving || b.now() >= s.lease || s.commit < s.version {
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-func (b *Board) spread() {
+func (b *Replica) spread() {
 	seen := map[string]bool{b.me.Id: true}
 	for _, r := range []*meshpb.Membership{b.prior, b.membership} {
 		for _, m := range r.GetMembers() {
@@ -167,7 +167,7 @@
 			}
 			seen[m.Id] = true
 			m := m
-			b.wire.Enroll(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
+			b.wire.AcceptMembership(m, &meshpb.AcceptMembershipRequest{Membership: b.membership, From: b.me}, func(r *meshpb.AcceptMembershipResponse) { b.enrolledBy(m.Id, r) })
 		}
 	}
 }
@@ -176,7 +176,7 @@
 // may be lost. A member that is gone leaves before its successor comes: with an
 // odd number of members the majority of the rest is then smaller. One that is
 // about to leave goes after its successor has come.
-func (b *Board) decide() {
+func (b *Replica) decide() {
 	n, size := len(b.membership.Members), b.places()
 	lost, leaver := b.unreached(), b.leaver()
 	for _, j := range b.learners {
@@ -216,7 +216,7 @@
 }
 
 // places is how many members there are to be.
-func (b *Board) places() int {
+func (b *Replica) places() int {
 	n := max(len(b.o.Seeds), int(b.membership.Size))
 	if x := b.shards[0].table.Blob("places"); x != nil {
 		n = max(n, int(x.Version))
@@ -226,10 +226,10 @@
 
 // unreached is the member that has been silent longest, and for long enough; one
 // that had said before that it leaves comes first.
-func (b *Board) unreached() *meshpb.Member {
+func (b *Replica) unreached() *meshpb.Member {
 	var best *peer
 	for _, p := range b.line {
-		if b.now()-max(p.heard, b.alone) <= b.o.Unreached {
+		if b.now()-max(p.heard, b.alone) <= b.o.EvictionTimeout {
 			continue
 		}
 		if best == nil || p.leaving && !best.leaving || p.leaving == best.leaving && p.heard < best.heard {
@@ -242,7 +242,7 @@
 	return best.m
 }
 
-func (b *Board) leaver() *meshpb.Member {
+func (b *Replica) leaver() *meshpb.Member {
 	for _, p := range b.line {
 		if p.leaving {
 			return p.m
@@ -253,7 +253,7 @@
 
 // drop takes a member out. Its place in the order is kept for the next to come,
 // or taken by the one that has come already, so that shards need not move.
-func (b *Board) drop(gone *meshpb.Member, why string) {
+func (b *Replica) drop(gone *meshpb.Member, why string) {
 	r := &meshpb.Membership{Version: b.membership.Version + 1, Size: uint32(b.places()), Gaps: slices.Clone(b.membership.Gaps)}
 	i, last := b.index(gone.Id), len(b.membership.Members)-1
 	if last == 0 {
@@ -271,7 +271,7 @@
 	b.agree(r)
 }
 
-func (b *Board) admit(j *peer, size int) {
+func (b *Replica) admit(j *peer, size int) {
 	r := &meshpb.Membership{Version: b.membership.Version + 1, Size: uint32(size), Gaps: slices.Clone(b.membership.Gaps)}
 	at := len(b.membership.Members)
 	if n := len(r.Gaps); n > 0 {
@@ -283,7 +283,7 @@
 	b.agree(r)
 }
 
-func (b *Board) agree(r *meshpb.Membership) {
+func (b *Replica) agree(r *meshpb.Membership) {
 	x, err := proto.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -292,7 +292,7 @@
 }
 
 // settled tells that every shard's content is with a majority of this membership.
-func (b *Board) settled() bool {
+func (b *Replica) settled() bool {
 	for i := range b.shards {
 		if b.settles[i] < b.membership.Version {
 			return false
@@ -303,9 +303,9 @@
 
 // OnJoin takes a learner's word: who owns a shard sends it copies from now on,
 // and the master gives it a place when there is one.
-func (b *Board) OnJoin(q *meshpb.JoinRequest) *meshpb.JoinResponse {
+func (b *Replica) HandleJoin(q *meshpb.JoinRequest) *meshpb.JoinResponse {
 	r := &meshpb.JoinResponse{Ok: inMembership(b.membership, q.From.Id), Membership: b.membership}
-	if _, own := b.Own(0); own {
+	if _, own := b.OwnedEpoch(0); own {
 		r.Replicated = b.enrolledAll() && b.settled()
 	}
 	if b.blank || r.Ok || q.Leaving {
@@ -320,14 +320,14 @@
 	return r
 }
 
-func (b *Board) forgetLearners() {
+func (b *Replica) forgetLearners() {
 	now := b.now()
 	b.learners = slices.DeleteFunc(b.learners, func(p *peer) bool { return now-p.joined > learnerStays })
 }
 
 // seek is the work of a process outside the membership: it tells all members
 // that it is there, and what it has caught up with.
-func (b *Board) seek() {
+func (b *Replica) seek() {
 	now := b.now()
 	if now < b.joinAt || b.diskBad || b.gone {
 		return
@@ -349,9 +349,9 @@
 
 // Reseed gives a process outside the membership further members to ask: those of
 // its start may all be gone.
-func (b *Board) Reseed(ms []*meshpb.Member) { b.more = ms }
+func (b *Replica) SetExtraSeeds(ms []*meshpb.Member) { b.more = ms }
 
-func (b *Board) joined(r *meshpb.JoinResponse) {
+func (b *Replica) joined(r *meshpb.JoinResponse) {
 	if r == nil || !b.blank {
 		return
 	}
@@ -365,7 +365,7 @@
 
 // caughtUp tells that this learner holds what each shard's owner had committed
 // a moment ago.
-func (b *Board) caughtUp() bool {
+func (b *Replica) caughtUp() bool {
 	for _, s := range b.shards {
 		if b.now()-s.fresh > learnerFresh {
 			return false
--- a/internal/replication/serve.go
+++ b/internal/replication/serve.go
@@ -12,19 +12,19 @@
 
 // Do runs f on the shard if this member owns it, and calls cb when what f saw
 // and did is safe: committed by a majority, and read under the lease.
-func (b *Board) Do(i int, f func(t Table, now time.Duration) *meshpb.Change, cb func(error)) {
+func (b *Replica) Execute(i int, f func(t StateMachine, now time.Duration) *meshpb.Change, cb func(error)) {
 	s := b.shards[i]
 	now := b.now()
 	if s.role != owner {
-		cb(ErrElsewhere)
+		cb(ErrNotOwner)
 		return
 	}
 	if !s.serving || now >= s.lease {
-		cb(ErrBusy)
+		cb(ErrUnavailable)
 		return
 	}
 	c := f(s.table, now)
-	w := wait{epoch: s.epoch, cb: cb, until: now + b.o.CallWait}
+	w := wait{epoch: s.epoch, cb: cb, until: now + b.o.RequestTimeout}
 	if c != nil {
 		b.propose(s, c)
 		w.chg = true
@@ -34,7 +34,7 @@
 	b.release(s)
 }
 
-func (b *Board) propose(s *shard, c *meshpb.Change) {
+func (b *Replica) propose(s *shard, c *meshpb.Change) {
 	e := &meshpb.Entry{Shard: uint32(s.ix), Epoch: s.epoch, Version: s.version + 1, Change: c}
 	s.take(e, b.now())
 	b.step("proposed", s, e.Epoch, e.Version, c)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (b *Board) release(s *shard) {
+func (b *Replica) release(s *shard) {
 	now := b.now()
 	for len(s.waits) > 0 {
 		w := s.waits[0]
@@ -79,13 +79,13 @@
 
 func (w wait) fail() {
 	if w.chg {
-		w.cb(ErrUnsure)
+		w.cb(ErrOutcomeUnknown)
 		return
 	}
-	w.cb(ErrBusy)
+	w.cb(ErrUnavailable)
 }
 
-func (b *Board) advance(s *shard) {
+func (b *Replica) advance(s *shard) {
 	if s.role != owner && s.role != handing {
 		return
 	}
@@ -108,8 +108,8 @@
 		s.serving = true
 		b.note("shard %d: serving at epoch %d from version %d", s.ix, s.epoch, s.base)
 		b.relet(s)
-		if b.o.OnOwner != nil {
-			b.o.OnOwner(s.ix, true, s.epoch)
+		if b.o.OnOwnershipChange != nil {
+			b.o.OnOwnershipChange(s.ix, true, s.epoch)
 		}
 	}
 	if s.settled != b.membership.Version {
@@ -131,7 +131,7 @@
 }
 
 // relet works out until when a majority lets this member own the shard.
-func (b *Board) relet(s *shard) {
+func (b *Replica) relet(s *shard) {
 	var at []time.Duration
 	for _, m := range b.membership.Members {
 		if m.Id == b.me.Id {
@@ -144,7 +144,7 @@
 	if len(at) < b.majority() {
 		return
 	}
-	s.lease = max(s.lease, at[b.majority()-1]+b.o.Lease*9/10)
+	s.lease = max(s.lease, at[b.majority()-1]+b.o.LeaseDuration*9/10)
 	if s.ix == 0 && s.serving {
 		b.held.Store(int64(s.lease))
 		b.epoch.Store(s.epoch)
@@ -154,14 +154,14 @@
 
 // spreadOut sends changes to the peers that did not get them at once: those
 // that a majority does not need, in turns, and all if a majority is slow.
-func (b *Board) spreadOut() {
+func (b *Replica) spreadOut() {
 	now := b.now()
 	late := false
 	for _, s := range b.shards {
-		late = late || (s.role == owner || s.role == handing) && (s.role == handing || !s.serving || s.commit < s.version && now-s.pending > b.o.Lease/20)
+		late = late || (s.role == owner || s.role == handing) && (s.role == handing || !s.serving || s.commit < s.version && now-s.pending > b.o.LeaseDuration/20)
 	}
 	for _, p := range b.others() {
-		if late || now-p.pushed >= b.o.Beat {
+		if late || now-p.pushed >= b.o.HeartbeatInterval {
 			b.push(p)
 		}
 	}
@@ -170,14 +170,14 @@
 
 // rank puts first the peers whose copies make a majority: sound ones, by
 // preference of this zone.
-func (b *Board) rank() {
+func (b *Replica) rank() {
 	b.near = append(b.near[:0], b.line...)
 	cost := func(p *peer) int {
 		n := 0
 		if !b.ready(p.m.Id) {
 			n += 4
 		}
-		if p.copying && b.now()-p.pushed > b.o.Lease/20 {
+		if p.copying && b.now()-p.pushed > b.o.LeaseDuration/20 {
 			n += 2
 		}
 		if p.m.Zone != b.me.Zone {
@@ -195,7 +195,7 @@
 // load collects what the peer lacks: of a shard whose epoch it does not have,
 // what leads there from what it has, or all; else the entries that follow. It
 // tells too whether all went in.
-func (b *Board) load(p *peer) (q *meshpb.ReplicateRequest, whole bool) {
+func (b *Replica) load(p *peer) (q *meshpb.ReplicateRequest, whole bool) {
 	q = &meshpb.ReplicateRequest{}
 	size := 0
 	for _, s := range b.shards {
@@ -240,7 +240,7 @@
 	return q, true
 }
 
-func (b *Board) push(p *peer) {
+func (b *Replica) push(p *peer) {
 	now := b.now()
 	if p.copying || now < p.nextAt || b.blank {
 		return
@@ -253,7 +253,7 @@
 	q.Header = b.head(p)
 	p.copying = true
 	at := now
-	b.wire.Copy(p.m, q, func(r *meshpb.ReplicateResponse) {
+	b.wire.Replicate(p.m, q, func(r *meshpb.ReplicateResponse) {
 		p.copying = false
 		if r == nil {
 			p.nextAt = b.now() + 100*time.Millisecond
@@ -279,7 +279,7 @@
 				p.known[s.ix], p.acked[s.ix] = 0, 0
 				p.have[s.ix] = have{s.epoch, span{a.HaveEpoch, a.HaveVersion}}
 				if again = again || a.Promised == 0; a.Promised > 0 {
-					p.nextAt = b.now() + b.o.Beat/5
+					p.nextAt = b.now() + b.o.HeartbeatInterval/5
 				}
 				continue
 			}
@@ -302,7 +302,7 @@
 
 // unanswered notes raises of which a copy said nothing, or that it would go on
 // from just there: a member of the release before knows none and gets states.
-func (b *Board) unanswered(p *peer, q *meshpb.ReplicateRequest, r *meshpb.ReplicateResponse) {
+func (b *Replica) unanswered(p *peer, q *meshpb.ReplicateRequest, r *meshpb.ReplicateResponse) {
 	for _, x := range q.EpochChanges {
 		i := slices.IndexFunc(r.Acks, func(a *meshpb.ReplicateAck) bool { return a.Shard == x.Shard })
 		if i >= 0 {
@@ -313,12 +313,12 @@
 		}
 		if s := b.shards[x.Shard]; x.Epoch == s.epoch {
 			p.have[x.Shard] = have{s.epoch, nothing}
-			p.nextAt = b.now() + b.o.Beat/5
+			p.nextAt = b.now() + b.o.HeartbeatInterval/5
 		}
 	}
 }
 
-func (b *Board) depose(s *shard, epoch uint64, why string) {
+func (b *Replica) depose(s *shard, epoch uint64, why string) {
 	if s.role == idle {
 		return
 	}
@@ -329,11 +329,11 @@
 		b.held.Store(0)
 	}
 	s.best, s.oks = nil, nil
-	s.retryAt = b.now() + b.o.Beat + time.Duration(b.o.Rand(200))*time.Millisecond
+	s.retryAt = b.now() + b.o.HeartbeatInterval + time.Duration(b.o.Rand(200))*time.Millisecond
 	s.asked = max(s.asked, epoch)
 	b.release(s)
-	if was && b.o.OnOwner != nil {
-		b.o.OnOwner(s.ix, false, s.epoch)
+	if was && b.o.OnOwnershipChange != nil {
+		b.o.OnOwnershipChange(s.ix, false, s.epoch)
 	}
 }
 
@@ -351,7 +351,7 @@
 
 // copied gathers what a copy came to, in the order of the shards in it.
 type copied struct {
-	b    *Board
+	b    *Replica
 	from string
 	acks []*meshpb.ReplicateAck
 	by   map[uint32]*meshpb.ReplicateAck
@@ -429,7 +429,7 @@
 }
 
 // lift raises a copy and has it synced as one record.
-func (b *Board) lift(s *shard, x *meshpb.EpochChange, done func(error)) {
+func (b *Replica) lift(s *shard, x *meshpb.EpochChange, done func(error)) {
 	s.raise(x, b.now())
 	s.synced = 0
 	ep, at := s.epoch, s.version
@@ -476,7 +476,7 @@
 
 // OnCopy answers reply once all it takes is synced. Learners take copies as
 // members do; they don't count.
-func (b *Board) OnCopy(q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
+func (b *Replica) HandleReplicate(q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
 	r := &meshpb.ReplicateResponse{Membership: b.membership.Version, Member: (b.member() || !b.leaving) && q.Header.To == b.me.Id}
 	if !r.Member || q.Header.Membership != b.membership.Version || !inMembership(b.membership, q.Header.From.Id) {
 		b.sawMembership(q.Header.From, q.Header.Membership)
@@ -525,8 +525,8 @@
 	c.fin(nil)
 }
 
-func (b *Board) grant(s *shard) {
+func (b *Replica) grant(s *shard) {
 	if s.promisedBy != b.me.Id {
-		s.leasedUntil = max(s.leasedUntil, b.now()+b.o.Lease)
+		s.leasedUntil = max(s.leasedUntil, b.now()+b.o.LeaseDuration)
 	}
 }
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -47,7 +47,7 @@
 	addr  string
 	life  int
 	up    bool
-	board *replication.Board
+	board *replication.Replica
 	disk  [][]byte
 	// busy are the jobs that the disk works on, queue those that wait for it.
 	busy  []job
@@ -218,12 +218,12 @@
 	m.up = true
 	life := m.life
 	b, err := replication.New(replication.Options{
-		Me: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: w.seeds(m.first), First: m.first, Shards: simShards,
-		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 20000,
-		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) },
-		NewID:    func() string { w.ids++; return fmt.Sprintf("id%d", w.ids) },
-		Now:      func() time.Duration { return w.now }, Rand: w.rng.Intn,
-		Note: func(f string, a ...any) { w.note(m.addr+" "+f, a...) },
+		Self: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: w.seeds(m.first), Bootstrap: m.first, Shards: simShards,
+		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 20000,
+		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) },
+		NewID:           func() string { w.ids++; return fmt.Sprintf("id%d", w.ids) },
+		Now:             func() time.Duration { return w.now }, Rand: w.rng.Intn,
+		Logf: func(f string, a ...any) { w.note(m.addr+" "+f, a...) },
 	}, &wire{m, life}, &shelf{m, life}, append([][]byte(nil), m.disk...))
 	if err != nil {
 		w.t.Fatal(err)
@@ -335,7 +335,7 @@
 	return !w.cut[[2]string{a, b}] && !w.mute[a] && !w.deaf[b]
 }
 
-func carry[Q, R proto.Message](x *wire, to string, q Q, cb func(R), f func(b *replication.Board, q Q, reply func(R))) {
+func carry[Q, R proto.Message](x *wire, to string, q Q, cb func(R), f func(b *replication.Replica, q Q, reply func(R))) {
 	w := x.m.w
 	var none R
 	done := false
@@ -378,21 +378,21 @@
 	}
 }
 
-func (x *wire) Lease(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.RenewLeasesRequest, f func(*meshpb.RenewLeasesResponse)) {
-		f(b.OnLease(q))
+func (x *wire) RenewLeases(to *meshpb.Member, q *meshpb.RenewLeasesRequest, cb func(*meshpb.RenewLeasesResponse)) {
+	carry(x, to.Addr, q, cb, func(b *replication.Replica, q *meshpb.RenewLeasesRequest, f func(*meshpb.RenewLeasesResponse)) {
+		f(b.HandleRenewLeases(q))
 	})
 }
-func (x *wire) Copy(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
+func (x *wire) Replicate(to *meshpb.Member, q *meshpb.ReplicateRequest, cb func(*meshpb.ReplicateResponse)) {
 	x.m.w.copies++
 	if x.m.w.plain != to.Addr {
-		carry(x, to.Addr, q, cb, (*replication.Board).OnCopy)
+		carry(x, to.Addr, q, cb, (*replication.Replica).HandleReplicate)
 		return
 	}
 	q = proto.Clone(q).(*meshpb.ReplicateRequest)
 	q.EpochChanges = nil
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
-		b.OnCopy(q, func(r *meshpb.ReplicateResponse) {
+	carry(x, to.Addr, q, cb, func(b *replication.Replica, q *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
+		b.HandleReplicate(q, func(r *meshpb.ReplicateResponse) {
 			for _, a := range r.GetAcks() {
 				a.HaveEpoch, a.HaveVersion = 0, 0
 			}
@@ -400,19 +400,19 @@
 		})
 	})
 }
-func (x *wire) Ask(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
-	carry(x, to.Addr, q, cb, (*replication.Board).OnAsk)
+func (x *wire) RequestVotes(to *meshpb.Member, q *meshpb.RequestVotesRequest, cb func(*meshpb.RequestVotesResponse)) {
+	carry(x, to.Addr, q, cb, (*replication.Replica).HandleRequestVotes)
 }
-func (x *wire) Hand(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
-	carry(x, to.Addr, q, cb, func(b *replication.Board, q *meshpb.TransferOwnershipRequest, f func(*meshpb.TransferOwnershipResponse)) {
-		f(b.OnHand(q))
+func (x *wire) TransferOwnership(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, cb func(*meshpb.TransferOwnershipResponse)) {
+	carry(x, to.Addr, q, cb, func(b *replication.Replica, q *meshpb.TransferOwnershipRequest, f func(*meshpb.TransferOwnershipResponse)) {
+		f(b.HandleTransferOwnership(q))
 	})
 }
-func (x *wire) Enroll(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
-	carry(x, to.Addr, q, cb, (*replication.Board).OnEnroll)
+func (x *wire) AcceptMembership(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, cb func(*meshpb.AcceptMembershipResponse)) {
+	carry(x, to.Addr, q, cb, (*replication.Replica).HandleAcceptMembership)
 }
 func (x *wire) Join(to string, q *meshpb.JoinRequest, cb func(*meshpb.JoinResponse)) {
-	carry(x, to, q, cb, func(b *replication.Board, q *meshpb.JoinRequest, f func(*meshpb.JoinResponse)) { f(b.OnJoin(q)) })
+	carry(x, to, q, cb, func(b *replication.Replica, q *meshpb.JoinRequest, f func(*meshpb.JoinResponse)) { f(b.HandleJoin(q)) })
 }
 
 // The callers' side and the rules.
@@ -495,16 +495,16 @@
 		}
 		m.do(life, func() {
 			b := m.board
-			if _, own := b.Own(shard); !own && hops > 0 {
+			if _, own := b.OwnedEpoch(shard); !own && hops > 0 {
 				o, ok := b.Owner(shard)
 				if !ok || w.ms[o.Addr] == nil || !w.ms[o.Addr].up {
-					answer(replication.ErrBusy)
+					answer(replication.ErrUnavailable)
 					return
 				}
 				r.callAt(w.ms[o.Addr], shard, hops-1, f, cb)
 				return
 			}
-			b.Do(shard, func(t replication.Table, now time.Duration) *meshpb.Change {
+			b.Execute(shard, func(t replication.StateMachine, now time.Duration) *meshpb.Change {
 				c := f(t.(*coordination.Table), now)
 				changed = c != nil
 				return c
@@ -648,7 +648,7 @@
 	for s := 0; s < simShards; s++ {
 		for _, m := range w.all() {
 			if m.up && !m.frozen {
-				if _, own := m.board.Own(s); own {
+				if _, own := m.board.OwnedEpoch(s); own {
 					n++
 				}
 			}
@@ -757,7 +757,7 @@
 		w.run(w.now + time.Second)
 		w.add("m7", false)
 		w.run(w.now + 6*time.Second)
-		qt.Assert(t, w.ms["m7"].board.Blank(), qt.IsFalse)
+		qt.Assert(t, w.ms["m7"].board.IsLearner(), qt.IsFalse)
 		qt.Assert(t, len(w.ms["m7"].board.Membership().Members), qt.Equals, 3)
 		b := w.pickOther(a)
 		w.ms[b].kill()
@@ -782,10 +782,10 @@
 	w.isolate("m0", true)
 	w.run(w.now + 1500*time.Millisecond)
 	for s := 0; s < simShards; s++ {
-		_, own := w.ms["m0"].board.Own(s)
+		_, own := w.ms["m0"].board.OwnedEpoch(s)
 		qt.Assert(t, own, qt.IsFalse)
 		var got error
-		w.ms["m0"].board.Do(s, func(replication.Table, time.Duration) *meshpb.Change { return nil }, func(err error) { got = err })
+		w.ms["m0"].board.Execute(s, func(replication.StateMachine, time.Duration) *meshpb.Change { return nil }, func(err error) { got = err })
 		qt.Assert(t, got, qt.IsNotNil)
 	}
 }
@@ -795,7 +795,7 @@
 	w.run(4 * time.Second)
 	w.ms["m0"].board.Leave()
 	w.run(w.now + 600*time.Millisecond)
-	qt.Assert(t, w.ms["m0"].board.Done(), qt.IsTrue)
+	qt.Assert(t, w.ms["m0"].board.LeaveComplete(), qt.IsTrue)
 	qt.Assert(t, w.owners(), qt.Equals, simShards)
 }
 
@@ -806,7 +806,7 @@
 	w.run(5 * time.Second)
 	w.ms["m0"].sync = 8 * time.Second
 	w.run(w.now + 1500*time.Millisecond)
-	qt.Assert(t, w.ms["m0"].board.Done(), qt.IsTrue)
+	qt.Assert(t, w.ms["m0"].board.LeaveComplete(), qt.IsTrue)
 	qt.Assert(t, w.owners(), qt.Equals, simShards)
 	n := r.served
 	w.run(w.now + time.Second)
@@ -842,13 +842,13 @@
 	r.work(20 * time.Second)
 	w.run(5 * time.Second)
 	m := w.ms["m0"]
-	_, own := m.board.Own(0)
+	_, own := m.board.OwnedEpoch(0)
 	qt.Assert(t, own, qt.IsTrue)
 	m.slow, m.sync = 300*time.Millisecond, 550*time.Millisecond
 	epoch := m.board.Epoch(0)
 	w.run(w.now + 4*time.Second)
 	qt.Assert(t, m.board.Epoch(0), qt.Equals, epoch)
-	_, own = m.board.Own(0)
+	_, own = m.board.OwnedEpoch(0)
 	qt.Assert(t, own, qt.IsTrue)
 	m.slow, m.sync = 0, 2*time.Millisecond
 	n := r.served
@@ -859,11 +859,11 @@
 func TestMalformedCallsHarmNobody(t *testing.T) {
 	w := newWorld(t, 7, 1)
 	w.run(time.Second)
-	l := replication.NewLoop()
+	l := replication.NewMailbox()
 	go l.Run(time.Hour, func() {})
 	defer l.Close()
-	d := replication.Door{Loop: l, Board: w.ms["m0"].board}
-	me := w.ms["m0"].board.Me()
+	d := replication.Handler{Mailbox: l, Replica: w.ms["m0"].board}
+	me := w.ms["m0"].board.Self()
 	h := &meshpb.SenderHeader{From: me, To: me.Id, Membership: 1}
 	c := t.Context()
 	for _, h := range []*meshpb.SenderHeader{nil, {}, h} {
@@ -874,14 +874,14 @@
 	}
 	d.AcceptMembership(c, &meshpb.AcceptMembershipRequest{})
 	d.Join(c, &meshpb.JoinRequest{})
-	_, own := w.ms["m0"].board.Own(0)
+	_, own := w.ms["m0"].board.OwnedEpoch(0)
 	qt.Assert(t, own, qt.IsTrue)
 }
 
 func (w *world) askOne(to, from string, shard uint32, epoch uint64) bool {
-	t, f := w.ms[to].board, w.ms[from].board.Me()
+	t, f := w.ms[to].board, w.ms[from].board.Self()
 	ok := false
-	t.OnAsk(&meshpb.RequestVotesRequest{Header: &meshpb.SenderHeader{From: f, To: t.Me().Id, Membership: t.Membership().Version}, Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.RequestVotesResponse) {
+	t.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: &meshpb.SenderHeader{From: f, To: t.Self().Id, Membership: t.Membership().Version}, Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.RequestVotesResponse) {
 		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Granted
 	})
 	w.run(w.now + 10*time.Millisecond)
@@ -891,7 +891,7 @@
 func TestGranterPromisesNoOtherWhileItsHoldRuns(t *testing.T) {
 	w := newWorld(t, 8, 3)
 	w.run(4 * time.Second)
-	_, own := w.ms["m0"].board.Own(1)
+	_, own := w.ms["m0"].board.OwnedEpoch(1)
 	qt.Assert(t, own, qt.IsTrue)
 	qt.Assert(t, w.askOne("m1", "m2", 1, 500), qt.IsFalse)
 	qt.Assert(t, w.askOne("m0", "m2", 1, 500), qt.IsFalse, qt.Commentf("the owner itself, while it is held"))
@@ -943,7 +943,7 @@
 		w.run(w.now + 1800*time.Millisecond)
 		own := false
 		for _, m := range w.all()[1:] {
-			_, o := m.board.Own(0)
+			_, o := m.board.OwnedEpoch(0)
 			own = own || o
 		}
 		qt.Check(t, own, qt.IsTrue, qt.Commentf("seed %d", seed))
@@ -958,10 +958,10 @@
 	r.work(5 * time.Second)
 	w.run(5 * time.Second)
 	m := w.ms["m1"].board
-	l := m.Lines()[0]
+	l := m.ShardStatuses()[0]
 	ask := func(x *meshpb.EpochChange) *meshpb.ReplicateAck {
 		var a *meshpb.ReplicateAck
-		m.OnCopy(&meshpb.ReplicateRequest{Header: &meshpb.SenderHeader{From: w.ms["m0"].board.Me(), To: m.Me().Id, Membership: m.Membership().Version}, EpochChanges: []*meshpb.EpochChange{x}}, func(q *meshpb.ReplicateResponse) {
+		m.HandleReplicate(&meshpb.ReplicateRequest{Header: &meshpb.SenderHeader{From: w.ms["m0"].board.Self(), To: m.Self().Id, Membership: m.Membership().Version}, EpochChanges: []*meshpb.EpochChange{x}}, func(q *meshpb.ReplicateResponse) {
 			if len(q.Acks) == 1 {
 				a = q.Acks[0]
 			}
@@ -973,10 +973,10 @@
 	qt.Assert(t, a.Gap && a.HaveEpoch == l.Epoch && a.HaveVersion == l.Version, qt.IsTrue)
 	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version + 1})
 	qt.Assert(t, a.Gap, qt.IsTrue)
-	qt.Assert(t, m.Lines()[0].Epoch, qt.Equals, l.Epoch)
+	qt.Assert(t, m.ShardStatuses()[0].Epoch, qt.Equals, l.Epoch)
 	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version})
 	qt.Assert(t, a.Gap, qt.IsFalse)
-	qt.Assert(t, m.Lines()[0].Epoch, qt.Equals, l.Epoch+640)
+	qt.Assert(t, m.ShardStatuses()[0].Epoch, qt.Equals, l.Epoch+640)
 	a = ask(&meshpb.EpochChange{Epoch: l.Epoch + 64, FromEpoch: l.Epoch + 640, FromVersion: l.Version})
 	qt.Assert(t, a.Gap && a.Promised == l.Epoch+640, qt.IsTrue)
 }
@@ -985,14 +985,14 @@
 func TestMembersFollowAnOwnerNoLongerThanTheirLease(t *testing.T) {
 	w := newWorld(t, 3, 3)
 	w.run(4 * time.Second)
-	_, own := w.ms["m0"].board.Own(0)
+	_, own := w.ms["m0"].board.OwnedEpoch(0)
 	qt.Assert(t, own, qt.IsTrue)
 	e, b := w.ms["m0"].board.Epoch(0), w.ms["m1"].board
-	qt.Assert(t, b.Follows(0, e), qt.IsTrue)
-	qt.Assert(t, b.Follows(0, e-1) || b.Follows(0, e+1), qt.IsFalse)
+	qt.Assert(t, b.LeaseGranted(0, e), qt.IsTrue)
+	qt.Assert(t, b.LeaseGranted(0, e-1) || b.LeaseGranted(0, e+1), qt.IsFalse)
 	w.isolate("m0", true)
 	w.run(w.now + time.Second)
-	qt.Assert(t, b.Follows(0, e), qt.IsFalse)
+	qt.Assert(t, b.LeaseGranted(0, e), qt.IsFalse)
 }
 
 // A successor may be told of members that are all gone, and of others later.
@@ -1003,10 +1003,10 @@
 	w.told = []string{"m0"}
 	n := w.add("n1", false)
 	w.run(w.now + 4*time.Second)
-	qt.Assert(t, n.board.Blank(), qt.IsTrue)
-	n.board.Reseed([]*meshpb.Member{{Addr: "m3", Control: "m3"}})
+	qt.Assert(t, n.board.IsLearner(), qt.IsTrue)
+	n.board.SetExtraSeeds([]*meshpb.Member{{Addr: "m3", Control: "m3"}})
 	w.run(w.now + 2*time.Second)
-	qt.Assert(t, n.board.Blank(), qt.IsFalse)
+	qt.Assert(t, n.board.IsLearner(), qt.IsFalse)
 	qt.Assert(t, len(n.board.Membership().Members), qt.Equals, 5)
 }
 
@@ -1020,7 +1020,7 @@
 		w.ms["m4"].start()
 		w.run(w.now + 4*time.Second)
 		qt.Assert(t, len(w.ms["m0"].board.Membership().Members), qt.Equals, 5, qt.Commentf("seed %d", seed))
-		qt.Assert(t, w.ms["m4"].board.Blank(), qt.IsFalse)
+		qt.Assert(t, w.ms["m4"].board.IsLearner(), qt.IsFalse)
 	}
 }
 
@@ -1036,7 +1036,7 @@
 	w.ms["m0"].kill()
 	w.run(w.now + 3*time.Second)
 	qt.Assert(t, w.owners(), qt.Equals, simShards)
-	for i, l := range w.ms["m1"].board.Lines() {
+	for i, l := range w.ms["m1"].board.ShardStatuses() {
 		if l.Owned {
 			qt.Check(t, w.ms["m2"].board.Epoch(i), qt.Equals, l.Epoch)
 		}
@@ -1057,25 +1057,25 @@
 	w.ms["m3"].start()
 	w.run(w.now + 5*time.Second)
 	qt.Assert(t, len(w.ms["m0"].board.Membership().Members), qt.Equals, 5)
-	qt.Assert(t, w.ms["m3"].board.Blank(), qt.IsTrue)
+	qt.Assert(t, w.ms["m3"].board.IsLearner(), qt.IsTrue)
 }
 
 // What comes under another membership counts for nothing.
 func TestCallsUnderAnotherMembershipAreRefused(t *testing.T) {
 	w := newWorld(t, 6, 3)
 	w.run(5 * time.Second)
-	b, from := w.ms["m1"].board, w.ms["m0"].board.Me()
-	l := b.Lines()[0]
+	b, from := w.ms["m1"].board, w.ms["m0"].board.Self()
+	l := b.ShardStatuses()[0]
 	for _, v := range []uint64{0, b.Membership().Version - 1, b.Membership().Version + 1} {
-		h := &meshpb.SenderHeader{From: from, To: b.Me().Id, Membership: v}
+		h := &meshpb.SenderHeader{From: from, To: b.Self().Id, Membership: v}
 		acks, promises := 0, 0
-		b.OnCopy(&meshpb.ReplicateRequest{Header: h, EpochChanges: []*meshpb.EpochChange{{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version}}}, func(r *meshpb.ReplicateResponse) { acks += len(r.GetAcks()) })
-		b.OnAsk(&meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Epoch: l.Epoch + 640}}}, func(r *meshpb.RequestVotesResponse) { promises += len(r.GetReplies()) })
-		g := b.OnLease(&meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Epoch: l.Epoch, Version: l.Version}}})
+		b.HandleReplicate(&meshpb.ReplicateRequest{Header: h, EpochChanges: []*meshpb.EpochChange{{Epoch: l.Epoch + 640, FromEpoch: l.Epoch, FromVersion: l.Version}}}, func(r *meshpb.ReplicateResponse) { acks += len(r.GetAcks()) })
+		b.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Epoch: l.Epoch + 640}}}, func(r *meshpb.RequestVotesResponse) { promises += len(r.GetReplies()) })
+		g := b.HandleRenewLeases(&meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Epoch: l.Epoch, Version: l.Version}}})
 		w.run(w.now + 20*time.Millisecond)
 		qt.Check(t, acks+promises+len(g.Granted), qt.Equals, 0, qt.Commentf("version %d", v))
 	}
-	qt.Assert(t, b.Lines()[0].Epoch, qt.Equals, l.Epoch)
+	qt.Assert(t, b.ShardStatuses()[0].Epoch, qt.Equals, l.Epoch)
 }
 
 // Two that ask at once, each sure that it was named, ask for different epochs, so
@@ -1090,7 +1090,7 @@
 		g.ms["m0"].kill()
 		for _, a := range []string{"m1", "m2"} {
 			b := g.ms[a].board
-			b.OnHand(&meshpb.TransferOwnershipRequest{Header: &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: b.Me().Id, Membership: 1}, Watermarks: []*meshpb.Watermark{{Epoch: e}}, Successor: b.Me().Id})
+			b.HandleTransferOwnership(&meshpb.TransferOwnershipRequest{Header: &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: b.Self().Id, Membership: 1}, Watermarks: []*meshpb.Watermark{{Epoch: e}}, Successor: b.Self().Id})
 		}
 		g.run(g.now + 4*time.Second)
 		var epochs []uint64
--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -87,8 +87,8 @@
 	for _, name := range []string{"member", "torn-snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			board, _ := startStored(t, storedFolder{name: name, addr: "m0"})
-			qt.Check(t, board.Me().Id, qt.Equals, "founder-m0")
-			qt.Check(t, board.Blank(), qt.IsFalse)
+			qt.Check(t, board.Self().Id, qt.Equals, "founder-m0")
+			qt.Check(t, board.IsLearner(), qt.IsFalse)
 			members := board.Membership()
 			qt.Check(t, members.Version, qt.Equals, uint64(3))
 			qt.Check(t, members.Size, qt.Equals, uint32(5))
@@ -100,13 +100,13 @@
 			qt.Check(t, members.Members[1].Zone, qt.Equals, "zone-m1")
 			for shard, want := range []struct{ epoch, promised uint64 }{{6, 6}, {7, 7}, {9, 9}, {0, 4}} {
 				qt.Check(t, board.Epoch(shard), qt.Equals, want.epoch, qt.Commentf("shard %d", shard))
-				qt.Check(t, board.Promised(shard), qt.Equals, want.promised, qt.Commentf("shard %d", shard))
+				qt.Check(t, board.PromisedEpoch(shard), qt.Equals, want.promised, qt.Commentf("shard %d", shard))
 			}
 			for shard, want := range []uint64{18, 14, 3, 0} {
-				qt.Check(t, board.Lines()[shard].Version, qt.Equals, want, qt.Commentf("shard %d", shard))
+				qt.Check(t, board.ShardStatuses()[shard].Version, qt.Equals, want, qt.Commentf("shard %d", shard))
 			}
-			checkStoredTable(t, board.Table(0).(*coordination.Table))
-			checkRaised(t, board.Table(1).(*coordination.Table))
+			checkStoredTable(t, board.StateMachine(0).(*coordination.Table))
+			checkRaised(t, board.StateMachine(1).(*coordination.Table))
 		})
 	}
 }
@@ -196,9 +196,9 @@
 	return records
 }
 
-func openStored(t *testing.T, dir string) (*wal.Book, [][]byte) {
+func openStored(t *testing.T, dir string) (*wal.Log, [][]byte) {
 	t.Helper()
-	disk, err := wal.Folder(dir)
+	disk, err := wal.OpenDirectory(dir)
 	qt.Assert(t, err, qt.IsNil)
 	book, records, err := wal.Open(disk)
 	qt.Assert(t, err, qt.IsNil)
@@ -228,7 +228,7 @@
 // storedBook passes on what a board keeps, one record at a time, and remembers
 // the last snapshot. Without a book beneath it takes all.
 type storedBook struct {
-	below    *wal.Book
+	below    *wal.Log
 	snapshot [][]byte
 }
 
@@ -254,12 +254,16 @@
 // silentWire sends nothing.
 type silentWire struct{}
 
-func (silentWire) Lease(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse))    {}
-func (silentWire) Copy(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse))       {}
-func (silentWire) Ask(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse))          {}
-func (silentWire) Hand(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse))       {}
-func (silentWire) Enroll(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {}
-func (silentWire) Join(string, *meshpb.JoinRequest, func(*meshpb.JoinResponse))               {}
+func (silentWire) Lease(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
+}
+func (silentWire) Copy(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {}
+func (silentWire) Ask(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
+}
+func (silentWire) Hand(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
+}
+func (silentWire) Enroll(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {
+}
+func (silentWire) Join(string, *meshpb.JoinRequest, func(*meshpb.JoinResponse)) {}
 
 func storedSeed(addr string) *meshpb.Member {
 	return &meshpb.Member{Addr: addr, Control: addr + "-control", Zone: "zone-" + addr}
@@ -280,7 +284,7 @@
 }
 
 // newStoredBoard starts a board on a clock that the caller moves.
-func newStoredBoard(t *testing.T, addr string, below *wal.Book, first bool, records [][]byte, clock *time.Duration, seeds ...string) (*replication.Board, *storedBook) {
+func newStoredBoard(t *testing.T, addr string, below *wal.Log, first bool, records [][]byte, clock *time.Duration, seeds ...string) (*replication.Replica, *storedBook) {
 	t.Helper()
 	if len(seeds) == 0 {
 		seeds = []string{"m0", "m1", "m2"}
@@ -288,26 +292,26 @@
 	*clock = storedStart
 	book := &storedBook{below: below}
 	board, err := replication.New(replication.Options{
-		Me: storedSeed(addr), Seeds: storedSeeds(seeds...), First: first, Shards: simShards,
-		Lease: 900 * time.Millisecond, Beat: 250 * time.Millisecond, CallWait: 900 * time.Millisecond, Unreached: 2 * time.Second, LogBytes: 1 << 20,
-		NewTable: func() replication.Table { return coordination.NewTable(20 * time.Second) },
-		NewID:    func() string { return "new-id" },
-		Now:      func() time.Duration { return *clock },
-		Rand:     func(int) int { return 0 },
+		Self: storedSeed(addr), Seeds: storedSeeds(seeds...), Bootstrap: first, Shards: simShards,
+		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 1 << 20,
+		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) },
+		NewID:           func() string { return "new-id" },
+		Now:             func() time.Duration { return *clock },
+		Rand:            func(int) int { return 0 },
 	}, silentWire{}, book, records)
 	qt.Assert(t, err, qt.IsNil)
 	return board, book
 }
 
 // startStored starts a board from a committed folder.
-func startStored(t *testing.T, folder storedFolder) (*replication.Board, *time.Duration) {
+func startStored(t *testing.T, folder storedFolder) (*replication.Replica, *time.Duration) {
 	t.Helper()
 	clock := new(time.Duration)
 	board, _ := newStoredBoard(t, folder.addr, nil, false, readRecords(t, folder.name), clock)
 	return board, clock
 }
 
-func tickUntil(t *testing.T, board *replication.Board, clock *time.Duration, reached func() bool) {
+func tickUntil(t *testing.T, board *replication.Replica, clock *time.Duration, reached func() bool) {
 	t.Helper()
 	for range 200 {
 		if reached() {
@@ -320,7 +324,7 @@
 }
 
 // life runs a board on a folder from one start to the next.
-func life(t *testing.T, dir, addr string, first bool, run func(board *replication.Board, clock *time.Duration), seeds ...string) {
+func life(t *testing.T, dir, addr string, first bool, run func(board *replication.Replica, clock *time.Duration), seeds ...string) {
 	t.Helper()
 	book, records := openStored(t, dir)
 	defer book.Close()
@@ -334,11 +338,11 @@
 }
 
 // copyTo sends a copy to a board, which must take all that is in it.
-func copyTo(t *testing.T, board *replication.Board, from string, request *meshpb.ReplicateRequest) {
+func copyTo(t *testing.T, board *replication.Replica, from string, request *meshpb.ReplicateRequest) {
 	t.Helper()
-	request.Header = storedHead(from, board.Me().Id, board.Membership().Version)
+	request.Header = storedHead(from, board.Self().Id, board.Membership().Version)
 	var answer *meshpb.ReplicateResponse
-	board.OnCopy(request, func(r *meshpb.ReplicateResponse) { answer = r })
+	board.HandleReplicate(request, func(r *meshpb.ReplicateResponse) { answer = r })
 	qt.Assert(t, answer, qt.IsNotNil)
 	qt.Assert(t, answer.Acks, qt.Not(qt.HasLen), 0)
 	for _, ack := range answer.Acks {
@@ -346,19 +350,19 @@
 	}
 }
 
-func promiseTo(t *testing.T, board *replication.Board, from string, shard uint32, epoch uint64) {
+func promiseTo(t *testing.T, board *replication.Replica, from string, shard uint32, epoch uint64) {
 	t.Helper()
 	var answer *meshpb.RequestVotesResponse
-	request := &meshpb.RequestVotesRequest{Header: storedHead(from, board.Me().Id, board.Membership().Version), Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}
-	board.OnAsk(request, func(r *meshpb.RequestVotesResponse) { answer = r })
+	request := &meshpb.RequestVotesRequest{Header: storedHead(from, board.Self().Id, board.Membership().Version), Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}
+	board.HandleRequestVotes(request, func(r *meshpb.RequestVotesResponse) { answer = r })
 	qt.Assert(t, answer.GetReplies(), qt.HasLen, 1)
 	qt.Assert(t, answer.Replies[0].Granted, qt.IsTrue)
 }
 
-func enrollAt(t *testing.T, board *replication.Board, membership *meshpb.Membership) {
+func enrollAt(t *testing.T, board *replication.Replica, membership *meshpb.Membership) {
 	t.Helper()
 	var answer *meshpb.AcceptMembershipResponse
-	board.OnEnroll(&meshpb.AcceptMembershipRequest{Membership: membership, From: membership.Members[1]}, func(r *meshpb.AcceptMembershipResponse) { answer = r })
+	board.HandleAcceptMembership(&meshpb.AcceptMembershipRequest{Membership: membership, From: membership.Members[1]}, func(r *meshpb.AcceptMembershipResponse) { answer = r })
 	qt.Assert(t, answer.GetOk(), qt.IsTrue)
 }
 
@@ -383,13 +387,13 @@
 // wholeState has each kind of content.
 func wholeState(shard uint32, epoch, version uint64) *meshpb.ShardState {
 	return &meshpb.ShardState{Shard: shard, Epoch: epoch, Version: version, LastFencingToken: 32,
-		Locks:   []*meshpb.Lock{{Name: "lock", Owner: "holder", FencingToken: 31, TtlMs: 40000, AgeMs: 1500}, {Name: "freed", Owner: "holder", FencingToken: 32, TtlMs: 5000}},
+		Locks:    []*meshpb.Lock{{Name: "lock", Owner: "holder", FencingToken: 31, TtlMs: 40000, AgeMs: 1500}, {Name: "freed", Owner: "holder", FencingToken: 32, TtlMs: 5000}},
 		Counters: []*meshpb.Counter{{Name: "number", High: 128}},
 		Groups: []*meshpb.KeyGroup{{Name: "group.", Revision: 21, Floor: 19,
-			Puts:   []*meshpb.Put{{Name: "group.cell", Payload: "payload", Revision: 21}},
+			Puts:    []*meshpb.Put{{Name: "group.cell", Payload: "payload", Revision: 21}},
 			History: []*meshpb.Put{{Name: "group.cell", Payload: "earlier", Revision: 20, AgeMs: 900}, {Name: "group.cell", Payload: "payload", Revision: 21, AgeMs: 800}}}},
-		Blobs:         []*meshpb.Blob{{Name: "blob", Data: []byte("\x00\xffdata"), Version: 41}},
-		Pins:          []*meshpb.Pin{{Key: "session", Service: "service", Endpoint: "endpoint", From: "before", Why: "why", AgeMs: 700, Config: 1, Moves: 2}},
+		Blobs:            []*meshpb.Blob{{Name: "blob", Data: []byte("\x00\xffdata"), Version: 41}},
+		Pins:             []*meshpb.Pin{{Key: "session", Service: "service", Endpoint: "endpoint", From: "before", Why: "why", AgeMs: 700, Config: 1, Moves: 2}},
 		AcceptedVersions: []uint64{50, 51}, AcceptedDigests: append(orderSum(50), orderSum(51)...), AcceptedFloor: 49,
 	}
 }
@@ -416,7 +420,7 @@
 }
 
 func writeFirstLife(t *testing.T, dir string) {
-	life(t, dir, "m0", true, func(board *replication.Board, _ *time.Duration) {
+	life(t, dir, "m0", true, func(board *replication.Replica, _ *time.Duration) {
 		enrollAt(t, board, storedMembership(2))
 		copyTo(t, board, "m1", &meshpb.ReplicateRequest{States: []*meshpb.ShardState{wholeState(0, 5, 10), {Shard: 1, Epoch: 5, Version: 10}}})
 		copyTo(t, board, "m1", &meshpb.ReplicateRequest{Entries: entriesOf(1, 5, 10,
@@ -428,7 +432,7 @@
 }
 
 func writeSecondLife(t *testing.T, dir string) {
-	life(t, dir, "m0", false, func(board *replication.Board, _ *time.Duration) {
+	life(t, dir, "m0", false, func(board *replication.Replica, _ *time.Duration) {
 		enrollAt(t, board, storedMembership(3))
 		copyTo(t, board, "m1", &meshpb.ReplicateRequest{Entries: entriesOf(0, 5, 10,
 			&meshpb.Change{Lock: &meshpb.Lock{Name: "later lock", Owner: "later holder", FencingToken: 33, TtlMs: 30000}},
@@ -468,8 +472,8 @@
 // writeEmptied is a member whose folder was lost: it starts under another id,
 // outside the membership, and learns from the others.
 func writeEmptied(t *testing.T, dir string) {
-	life(t, dir, "m0", false, func(board *replication.Board, _ *time.Duration) {
-		qt.Assert(t, board.Blank(), qt.IsTrue)
+	life(t, dir, "m0", false, func(board *replication.Replica, _ *time.Duration) {
+		qt.Assert(t, board.IsLearner(), qt.IsTrue)
 		enrollAt(t, board, storedMembership(3))
 		copyTo(t, board, "m1", &meshpb.ReplicateRequest{States: []*meshpb.ShardState{wholeState(0, 5, 10)}, Entries: entriesOf(0, 5, 10, putOf("group.cell", "newer", 22))})
 		copyTo(t, board, "m2", &meshpb.ReplicateRequest{EpochChanges: []*meshpb.EpochChange{{Shard: 0, Epoch: 6, FromEpoch: 5, FromVersion: 11}}})
@@ -478,24 +482,24 @@
 
 // writeFirstStart is a process of the first start that was no member yet.
 func writeFirstStart(t *testing.T, dir string) {
-	life(t, dir, "m7", true, func(board *replication.Board, _ *time.Duration) {
-		qt.Assert(t, board.Blank(), qt.IsTrue)
+	life(t, dir, "m7", true, func(board *replication.Replica, _ *time.Duration) {
+		qt.Assert(t, board.IsLearner(), qt.IsTrue)
 	})
 }
 
 // writePendingMembership ends a lone member once it has agreed to a second one.
 func writePendingMembership(t *testing.T, dir string) {
-	life(t, dir, "m0", true, func(board *replication.Board, clock *time.Duration) {
+	life(t, dir, "m0", true, func(board *replication.Replica, clock *time.Duration) {
 		places := false
 		tickUntil(t, board, clock, func() bool {
-			board.Do(0, func(replication.Table, time.Duration) *meshpb.Change {
+			board.Execute(0, func(replication.StateMachine, time.Duration) *meshpb.Change {
 				return &meshpb.Change{Blob: &meshpb.Blob{Name: "places", Version: 3}}
 			}, func(err error) { places = err == nil })
 			return places
 		})
 		tickUntil(t, board, clock, func() bool {
-			board.OnJoin(&meshpb.JoinRequest{From: &meshpb.Member{Id: "learner", Addr: "m5"}, CaughtUp: 1})
-			return board.Table(0).Blob("roll") != nil
+			board.HandleJoin(&meshpb.JoinRequest{From: &meshpb.Member{Id: "learner", Addr: "m5"}, CaughtUp: 1})
+			return board.StateMachine(0).Blob("roll") != nil
 		})
 		qt.Assert(t, board.Membership().Version, qt.Equals, uint64(1))
 	}, "m0")
--- a/internal/replication/turns.go
+++ b/internal/replication/turns.go
@@ -8,7 +8,7 @@
 
 // Tick drives leases, takeovers and handovers. It is called a few times in
 // each beat.
-func (b *Board) Tick() {
+func (b *Replica) Tick() {
 	now := b.now()
 	b.turned()
 	if b.diskBad && !b.diskBusy && now >= b.diskTry {
@@ -23,7 +23,7 @@
 	if alone {
 		b.alone = now
 	}
-	if b.urgent || now-b.lastBeat >= b.o.Beat || alone && now-b.lastBeat >= b.o.Beat/5 {
+	if b.urgent || now-b.lastBeat >= b.o.HeartbeatInterval || alone && now-b.lastBeat >= b.o.HeartbeatInterval/5 {
 		b.lastBeat = now
 		b.beat()
 		b.noteReached()
@@ -33,23 +33,23 @@
 		case owner:
 			b.relet(s)
 			b.release(s)
-			if now-s.since > 2*b.o.Lease && !s.serving {
+			if now-s.since > 2*b.o.LeaseDuration && !s.serving {
 				b.depose(s, s.epoch, "no majority took its copies")
 				continue
 			}
-			if now > max(s.lease, s.since)+4*b.o.Lease && s.serving {
+			if now > max(s.lease, s.since)+4*b.o.LeaseDuration && s.serving {
 				b.depose(s, s.epoch, "no majority holds it")
 				continue
 			}
 			b.maybeHand(s)
 		case handing:
 			b.release(s)
-			if now-s.since > b.o.Lease {
+			if now-s.since > b.o.LeaseDuration {
 				s.role = owner
 				s.since = now
 			}
 		case asking:
-			if now-s.since > b.o.Lease || s.pre && now-s.since > b.o.Lease/3 {
+			if now-s.since > b.o.LeaseDuration || s.pre && now-s.since > b.o.LeaseDuration/3 {
 				b.depose(s, s.asked, "asked in vain")
 			}
 		}
@@ -60,7 +60,7 @@
 	b.manage()
 }
 
-func (b *Board) beat() {
+func (b *Replica) beat() {
 	var ms []*meshpb.Watermark
 	for _, s := range b.shards {
 		if s.role == owner && s.serving {
@@ -77,7 +77,7 @@
 		at := b.now()
 		p.beaten = at
 		q := &meshpb.RenewLeasesRequest{Header: b.head(p), Watermarks: ms, Healthy: b.ready(b.me.Id)}
-		b.wire.Lease(p.m, q, func(r *meshpb.RenewLeasesResponse) {
+		b.wire.RenewLeases(p.m, q, func(r *meshpb.RenewLeasesResponse) {
 			p.holding = false
 			if r == nil {
 				return
@@ -110,16 +110,16 @@
 
 // fresh tells that copies that went to p of late, and came back, stand for the
 // beat: they renewed all that a beat would.
-func (b *Board) fresh(p *peer) bool {
+func (b *Replica) fresh(p *peer) bool {
 	now := b.now()
-	if now-p.beaten >= copyBeats*b.o.Beat || now-p.heard >= b.o.Beat {
+	if now-p.beaten >= copyBeats*b.o.HeartbeatInterval || now-p.heard >= b.o.HeartbeatInterval {
 		return false
 	}
 	n := 0
 	for _, s := range b.shards {
 		if s.role == owner && s.serving {
 			n++
-			if now-p.grants[s.ix] >= b.o.Beat {
+			if now-p.grants[s.ix] >= b.o.HeartbeatInterval {
 				return false
 			}
 		}
@@ -127,16 +127,16 @@
 	return n > 0
 }
 
-func (b *Board) met(p *peer, sound, leaving bool) {
+func (b *Replica) met(p *peer, sound, leaving bool) {
 	now := b.now()
-	if sound && (!p.sound || now-p.heard > b.o.Lease) {
+	if sound && (!p.sound || now-p.heard > b.o.LeaseDuration) {
 		p.soundAt = now
 	}
 	p.heard, p.ever, p.leaving = now, true, leaving
 	p.sound = sound
 }
 
-func (b *Board) OnLease(q *meshpb.RenewLeasesRequest) *meshpb.RenewLeasesResponse {
+func (b *Replica) HandleRenewLeases(q *meshpb.RenewLeasesRequest) *meshpb.RenewLeasesResponse {
 	r := &meshpb.RenewLeasesResponse{Membership: b.membership.Version, Healthy: b.ready(b.me.Id), Member: b.member(), Id: b.me.Id, Leaving: b.leaving}
 	if q.Header.To != b.me.Id {
 		return r
@@ -172,7 +172,7 @@
 				b.settles[s.ix] = max(b.settles[s.ix], m.Committed)
 			}
 		case m.Epoch > s.promised:
-			s.rumour, s.rumourTo = from, b.now()+b.o.Lease
+			s.rumour, s.rumourTo = from, b.now()+b.o.LeaseDuration
 			s.asked = max(s.asked, m.Epoch)
 		case m.Epoch < s.promised:
 			r.Superseded = append(r.Superseded, &meshpb.Watermark{Shard: m.Shard, Epoch: s.promised})
@@ -182,7 +182,7 @@
 }
 
 // Owner names the member that this one believes to own the shard.
-func (b *Board) Owner(i int) (*meshpb.Member, bool) {
+func (b *Replica) Owner(i int) (*meshpb.Member, bool) {
 	s := b.shards[i]
 	if s.role == owner || s.role == handing {
 		return b.me, true
@@ -204,14 +204,14 @@
 	return nil, false
 }
 
-func (b *Board) Own(i int) (uint64, bool) {
+func (b *Replica) OwnedEpoch(i int) (uint64, bool) {
 	s := b.shards[i]
 	return s.epoch, s.role == owner && s.serving && b.now() < s.lease
 }
 
 // order gives the place of a member in the line for a shard: shard 0 goes to
 // the lowest index, the others start at a member each.
-func (b *Board) order(i int, id string) int {
+func (b *Replica) order(i int, id string) int {
 	n := len(b.membership.Members)
 	x := b.index(id)
 	if x < 0 || n == 0 {
@@ -235,7 +235,7 @@
 // shard 0 is kept free of other shards: it is the one that tells all nodes.
 const lightMaster = 5
 
-func (b *Board) first1(i int) string {
+func (b *Replica) first1(i int) string {
 	best, at := "", 1<<30
 	for _, m := range b.membership.Members {
 		if o := b.order(i, m.Id); o < at && b.ready(m.Id) {
@@ -245,7 +245,7 @@
 	return best
 }
 
-func (b *Board) reach() int {
+func (b *Replica) reach() int {
 	n := 0
 	for _, m := range b.membership.Members {
 		if b.alive(m.Id) {
@@ -255,7 +255,7 @@
 	return n
 }
 
-func (b *Board) askAll() {
+func (b *Replica) askAll() {
 	now := b.now()
 	if !b.ready(b.me.Id) || b.reach() < b.majority() {
 		return
@@ -269,13 +269,13 @@
 			continue
 		}
 		// Who owned it before a restart need not wait: all others promised to it.
-		again := s.promisedBy == b.me.Id && now-b.started < 2*b.o.Lease
+		again := s.promisedBy == b.me.Id && now-b.started < 2*b.o.LeaseDuration
 		if f := b.first1(s.ix); f != b.me.Id && !again {
-			d := time.Duration(b.order(s.ix, b.me.Id)+1) * b.o.Beat
-			if now < max(s.leasedUntil, s.retryAt, b.started)+2*b.o.Lease+d {
+			d := time.Duration(b.order(s.ix, b.me.Id)+1) * b.o.HeartbeatInterval
+			if now < max(s.leasedUntil, s.retryAt, b.started)+2*b.o.LeaseDuration+d {
 				continue
 			}
-		} else if !again && now-b.started < b.o.Beat && b.order(s.ix, b.me.Id) > 0 {
+		} else if !again && now-b.started < b.o.HeartbeatInterval && b.order(s.ix, b.me.Id) > 0 {
 			// Those before in the order may just not have been heard yet.
 			continue
 		}
@@ -287,7 +287,7 @@
 // sound asks first whether the promises would be given: one that comes back
 // after a cut would else raise its own and so unseat an owner that all others
 // keep to.
-func (b *Board) sound(ss []*shard) {
+func (b *Replica) sound(ss []*shard) {
 	if len(ss) == 0 {
 		return
 	}
@@ -296,7 +296,7 @@
 		s.role, s.pre, s.since = asking, true, b.now()
 		s.asked = b.nextEpoch(s)
 		s.oks = map[string]bool{b.me.Id: true}
-		s.soundBy, s.soundUntil = b.me.Id, b.now()+b.o.Beat/2
+		s.soundBy, s.soundUntil = b.me.Id, b.now()+b.o.HeartbeatInterval/2
 		as = append(as, s.ask())
 	}
 	for _, p := range b.line {
@@ -309,7 +309,7 @@
 }
 
 // askSounded asks in one for all whose sounding has just come to its end.
-func (b *Board) askSounded() {
+func (b *Replica) askSounded() {
 	ss := b.sounded
 	b.sounded = nil
 	b.ask(ss)
@@ -319,11 +319,11 @@
 // never ask for the same one, and the one that is left obeys the other.
 const epochRanks = 64
 
-func (b *Board) nextEpoch(s *shard) uint64 {
+func (b *Replica) nextEpoch(s *shard) uint64 {
 	return (max(s.promised, s.asked, s.epoch)/epochRanks+1)*epochRanks + uint64(b.index(b.me.Id)%epochRanks)
 }
 
-func (b *Board) ask(ss []*shard) {
+func (b *Replica) ask(ss []*shard) {
 	if len(ss) == 0 {
 		return
 	}
@@ -359,26 +359,26 @@
 
 // askAgain repeats what is still asked to the members that have not promised: a
 // handover's word may have reached them after the question.
-func (b *Board) askAgain() {
+func (b *Replica) askAgain() {
 	now := b.now()
 	for _, p := range b.line {
 		var asks []*meshpb.VoteRequest
 		for _, s := range b.shards {
-			if s.role == asking && !s.oks[p.m.Id] && now-s.since > b.o.Beat/2 {
+			if s.role == asking && !s.oks[p.m.Id] && now-s.since > b.o.HeartbeatInterval/2 {
 				asks = append(asks, s.ask())
 			}
 		}
-		if len(asks) > 0 && now-p.askedAt > b.o.Beat/2 {
+		if len(asks) > 0 && now-p.askedAt > b.o.HeartbeatInterval/2 {
 			b.askPeer(p, asks)
 		}
 	}
 }
 
-func (b *Board) askPeer(p *peer, asks []*meshpb.VoteRequest) {
+func (b *Replica) askPeer(p *peer, asks []*meshpb.VoteRequest) {
 	p.askedAt = b.now()
 	q := &meshpb.RequestVotesRequest{Header: b.head(p), Votes: asks}
 	membership := b.membership.Version
-	b.wire.Ask(p.m, q, func(r *meshpb.RequestVotesResponse) {
+	b.wire.RequestVotes(p.m, q, func(r *meshpb.RequestVotesResponse) {
 		if r == nil || !r.Member {
 			return
 		}
@@ -407,7 +407,7 @@
 	})
 }
 
-func (b *Board) OnAsk(q *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
+func (b *Replica) HandleRequestVotes(q *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
 	r := &meshpb.RequestVotesResponse{Membership: b.membership.Version, Member: b.member() && q.Header.To == b.me.Id}
 	if !r.Member || q.Header.Membership != b.membership.Version || !inMembership(b.membership, q.Header.From.Id) {
 		b.sawMembership(q.Header.From, q.Header.Membership)
@@ -449,13 +449,13 @@
 		}
 		if a.PreVote {
 			if x.Granted = now >= s.soundUntil || s.soundBy == from; x.Granted {
-				s.soundBy, s.soundUntil = from, now+b.o.Beat/2
+				s.soundBy, s.soundUntil = from, now+b.o.HeartbeatInterval/2
 			}
 			continue
 		}
 		b.depose(s, a.Epoch, "promised to another")
 		s.promised, s.promisedBy = a.Epoch, from
-		s.leasedUntil = max(s.leasedUntil, now+b.o.Lease/2)
+		s.leasedUntil = max(s.leasedUntil, now+b.o.LeaseDuration/2)
 		b.vow(s, a, x)
 		*left++
 		b.save(&meshpb.Record{Vote: &meshpb.Vote{Shard: a.Shard, Epoch: a.Epoch, Candidate: from}}, fin)
@@ -464,7 +464,7 @@
 }
 
 // vow fills in the promise, with the copy's content if it is newer than the asker's.
-func (b *Board) vow(s *shard, a *meshpb.VoteRequest, x *meshpb.VoteReply) {
+func (b *Replica) vow(s *shard, a *meshpb.VoteRequest, x *meshpb.VoteReply) {
 	x.Granted, x.Promised = true, a.Epoch
 	x.HaveEpoch, x.HaveVersion = s.epoch, s.version
 	if s.epoch > a.HaveEpoch || s.epoch == a.HaveEpoch && s.version > a.HaveVersion {
@@ -472,7 +472,7 @@
 	}
 }
 
-func (b *Board) promised(s *shard, e uint64, id string) {
+func (b *Replica) promised(s *shard, e uint64, id string) {
 	if s.role != asking || s.asked != e {
 		return
 	}
@@ -512,7 +512,7 @@
 		s.begin, s.base = st.Version, st.Version
 		b.install(s, st, e, done)
 	}
-	s.table.Lead()
+	s.table.BecomeOwner()
 	for _, p := range b.line {
 		b.push(p)
 	}
@@ -520,12 +520,12 @@
 
 // Handing over: the owner stops taking calls, lets the successor catch up, and
 // names it to all.
-func (b *Board) maybeHand(s *shard) {
+func (b *Replica) maybeHand(s *shard) {
 	now := b.now()
 	if !s.serving {
 		return
 	}
-	if b.leaving || b.diskBad || b.stalled() && now-s.begun > 2*b.o.Lease {
+	if b.leaving || b.diskBad || b.stalled() && now-s.begun > 2*b.o.LeaseDuration {
 		for k := 0; k < len(b.membership.Members); k++ {
 			for _, m := range b.membership.Members {
 				if m.Id != b.me.Id && b.order(s.ix, m.Id) == k && b.ready(m.Id) {
@@ -540,11 +540,11 @@
 		return
 	}
 	f := b.first1(s.ix)
-	if f == "" || f == b.me.Id || now-s.since < 4*b.o.Lease {
+	if f == "" || f == b.me.Id || now-s.since < 4*b.o.LeaseDuration {
 		return
 	}
 	p := b.peers[f]
-	if now-p.soundAt < 3*b.o.Lease || p.known[s.ix] != s.epoch || p.acked[s.ix]+64 < s.version {
+	if now-p.soundAt < 3*b.o.LeaseDuration || p.known[s.ix] != s.epoch || p.acked[s.ix]+64 < s.version {
 		return
 	}
 	for _, x := range b.shards {
@@ -555,7 +555,7 @@
 	b.hand(s, f)
 }
 
-func (b *Board) hand(s *shard, to string) {
+func (b *Replica) hand(s *shard, to string) {
 	s.role, s.succ, s.since = handing, to, b.now()
 	if p := b.peers[to]; p != nil {
 		b.push(p)
@@ -563,7 +563,7 @@
 	b.finishHand(s)
 }
 
-func (b *Board) finishHand(s *shard) {
+func (b *Replica) finishHand(s *shard) {
 	p := b.peers[s.succ]
 	if p == nil || s.commit < s.version || p.known[s.ix] != s.epoch || p.acked[s.ix] < s.version {
 		return
@@ -576,14 +576,14 @@
 	q := &meshpb.TransferOwnershipRequest{Watermarks: []*meshpb.Watermark{{Shard: uint32(s.ix), Epoch: s.epoch}}, Successor: s.succ}
 	succ := s.succ
 	b.depose(s, s.epoch, "handed over")
-	s.leasedUntil, s.retryAt = 0, b.now()+2*b.o.Lease
+	s.leasedUntil, s.retryAt = 0, b.now()+2*b.o.LeaseDuration
 	for _, x := range b.line {
 		q := &meshpb.TransferOwnershipRequest{Watermarks: q.Watermarks, Successor: succ, Header: b.head(x)}
-		b.wire.Hand(x.m, q, func(*meshpb.TransferOwnershipResponse) {})
+		b.wire.TransferOwnership(x.m, q, func(*meshpb.TransferOwnershipResponse) {})
 	}
 }
 
-func (b *Board) OnHand(q *meshpb.TransferOwnershipRequest) *meshpb.TransferOwnershipResponse {
+func (b *Replica) HandleTransferOwnership(q *meshpb.TransferOwnershipRequest) *meshpb.TransferOwnershipResponse {
 	if q.Header.To != b.me.Id || q.Header.Membership != b.membership.Version || !b.member() {
 		return &meshpb.TransferOwnershipResponse{}
 	}
@@ -599,7 +599,7 @@
 				ss = append(ss, s)
 			}
 		} else {
-			s.retryAt = b.now() + b.o.Lease
+			s.retryAt = b.now() + b.o.LeaseDuration
 		}
 	}
 	b.ask(ss)
@@ -608,11 +608,11 @@
 
 // Leave starts handing over all that this member owns. Where a learner waits for
 // a place, it is given this member's before Done.
-func (b *Board) Leave() { b.leaving = true; b.urgent = true }
+func (b *Replica) Leave() { b.leaving = true; b.urgent = true }
 
 // Done tells that a leaving member owns nothing any more and, if a learner could
 // take its place, that this has happened.
-func (b *Board) Done() bool {
+func (b *Replica) LeaveComplete() bool {
 	for _, s := range b.shards {
 		if s.role == owner || s.role == handing {
 			return false
--- a/internal/replication/worlds_test.go
+++ b/internal/replication/worlds_test.go
@@ -226,7 +226,7 @@
 			continue
 		}
 		up++
-		if m.board.Blank() {
+		if m.board.IsLearner() {
 			return m.addr + " is no member"
 		}
 		if n := len(m.board.Membership().Members); n != g.p.Members {
@@ -247,7 +247,7 @@
 	var epoch, committed [simShards]uint64
 	for _, m := range g.all() {
 		if m.up {
-			for i, l := range m.board.Lines() {
+			for i, l := range m.board.ShardStatuses() {
 				if l.Owned && l.LeaseMs > 0 {
 					epoch[i], committed[i] = l.Epoch, l.Committed
 				}
@@ -256,7 +256,7 @@
 	}
 	for _, m := range g.all() {
 		if m.up {
-			for i, l := range m.board.Lines() {
+			for i, l := range m.board.ShardStatuses() {
 				if l.Epoch != epoch[i] || l.Version+40 < committed[i] {
 					return fmt.Sprintf("%s has shard %d at epoch %d, version %d, its owner at %d, %d", m.addr, i, l.Epoch, l.Version, epoch[i], committed[i])
 				}
@@ -274,7 +274,7 @@
 		owned := false
 		for _, m := range g.all() {
 			if m.up && !m.frozen {
-				_, own := m.board.Own(i)
+				_, own := m.board.OwnedEpoch(i)
 				owned = owned || own
 			}
 		}
@@ -294,7 +294,7 @@
 	var free []*machine
 	for _, m := range g.all() {
 		if m.up && !g.taken[m.addr] {
-			if _, own := m.board.Own(0); own && s.Leader {
+			if _, own := m.board.OwnedEpoch(0); own && s.Leader {
 				return m
 			}
 			free = append(free, m)
@@ -429,7 +429,7 @@
 	m.do(life, m.board.Leave)
 	var look func()
 	look = func() {
-		if m.life == life && g.now < by && !m.board.Done() {
+		if m.life == life && g.now < by && !m.board.LeaveComplete() {
 			g.at(50*time.Millisecond, look)
 			return
 		}
--- a/internal/wal/book.go
+++ b/internal/wal/book.go
@@ -32,8 +32,8 @@
 
 // Book is a log in numbered segments with a snapshot beside each. One writer
 // goroutine takes all jobs in order and syncs them in groups.
-type Book struct {
-	dk  Disk
+type Log struct {
+	dk  Directory
 	mu  sync.Mutex
 	cnd *sync.Cond
 	q   []job
@@ -94,7 +94,7 @@
 // Open reads what the disk holds: the newest whole snapshot, then each later
 // segment up to its first torn record. Nothing may be appended before the
 // first Checkpoint.
-func Open(dk Disk) (*Book, [][]byte, error) {
+func Open(dk Directory) (*Log, [][]byte, error) {
 	ns, err := dk.List()
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
@@ -137,32 +137,32 @@
 		rs, _ := frames(b)
 		out = append(out, rs...)
 	}
-	k := &Book{dk: dk, gen: top, fin: make(chan struct{}), bad: Error.New("no checkpoint yet")}
+	k := &Log{dk: dk, gen: top, fin: make(chan struct{}), bad: Error.New("no checkpoint yet")}
 	k.cnd = sync.NewCond(&k.mu)
 	go k.run()
 	return k, out, nil
 }
 
 // Append calls done from the writer once the record is synced or has failed.
-func (k *Book) Append(rec []byte, done func(error)) { k.push(job{rec: rec, done: done}) }
+func (k *Log) Append(rec []byte, done func(error)) { k.push(job{rec: rec, done: done}) }
 
 // Checkpoint starts a new segment whose beginning state is page. It also mends
 // a book whose disk had failed.
-func (k *Book) Checkpoint(page [][]byte, done func(error)) {
+func (k *Log) Checkpoint(page [][]byte, done func(error)) {
 	if page == nil {
 		page = [][]byte{}
 	}
 	k.push(job{page: page, done: done})
 }
 
-func (k *Book) push(j job) {
+func (k *Log) push(j job) {
 	k.mu.Lock()
 	k.q = append(k.q, j)
 	k.mu.Unlock()
 	k.cnd.Signal()
 }
 
-func (k *Book) Close() {
+func (k *Log) Close() {
 	k.mu.Lock()
 	k.end = true
 	k.mu.Unlock()
@@ -170,7 +170,7 @@
 	<-k.fin
 }
 
-func (k *Book) run() {
+func (k *Log) run() {
 	defer close(k.fin)
 	for {
 		k.mu.Lock()
@@ -208,7 +208,7 @@
 	}
 }
 
-func (k *Book) write(js []job) error {
+func (k *Log) write(js []job) error {
 	if k.bad != nil {
 		return k.bad
 	}
@@ -233,7 +233,7 @@
 
 // turn makes the segment and the snapshot before it syncs the folder, once for
 // both names. Until then nothing goes into the segment and all older files stay.
-func (k *Book) turn(page [][]byte) error {
+func (k *Log) turn(page [][]byte) error {
 	if k.cur != nil {
 		k.cur.Close()
 		k.cur = nil
@@ -253,7 +253,7 @@
 	return nil
 }
 
-func (k *Book) snapshot(page [][]byte) error {
+func (k *Log) snapshot(page [][]byte) error {
 	b, err := frameAll(append(slices.Clip(page), closing))
 	if err != nil {
 		return err
@@ -275,12 +275,12 @@
 		k.dk.Remove(tmp)
 		return err
 	}
-	return k.dk.SyncFolder()
+	return k.dk.Sync()
 }
 
 // tidy removes what the newest snapshot stands for. What is left, or comes back
 // after a loss of power, goes with the next turn.
-func (k *Book) tidy() {
+func (k *Log) tidy() {
 	ns, err := k.dk.List()
 	if err != nil {
 		return
--- a/internal/wal/book_test.go
+++ b/internal/wal/book_test.go
@@ -116,7 +116,7 @@
 	return out, nil
 }
 
-func (d *memDisk) SyncFolder() error {
+func (d *memDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.take(); err != nil {
@@ -140,13 +140,13 @@
 	return n
 }
 
-func wait(k *Book, rec string) error {
+func wait(k *Log, rec string) error {
 	c := make(chan error, 1)
 	k.Append([]byte(rec), func(err error) { c <- err })
 	return <-c
 }
 
-func turn(k *Book, recs []string) error {
+func turn(k *Log, recs []string) error {
 	var p [][]byte
 	for _, r := range recs {
 		p = append(p, []byte(r))
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -194,7 +194,7 @@
 	return out, nil
 }
 
-func (d *pageDisk) SyncFolder() error {
+func (d *pageDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.take(); err != nil {
@@ -298,7 +298,7 @@
 	return &keeper{append([]int(nil), p.mem...), append([]int(nil), p.safe...), p.top}
 }
 
-func (p *keeper) add(k *Book, n int) error {
+func (p *keeper) add(k *Log, n int) error {
 	errs := make(chan error, n)
 	var js []job
 	for range n {
@@ -319,7 +319,7 @@
 	return nil
 }
 
-func (p *keeper) turn(k *Book) error {
+func (p *keeper) turn(k *Log) error {
 	var page []string
 	for _, x := range p.mem {
 		page = append(page, strconv.Itoa(x))
@@ -332,7 +332,7 @@
 }
 
 // open starts on what the disk holds and says what is wrong with it.
-func (p *keeper) open(d *pageDisk) (*Book, string) {
+func (p *keeper) open(d *pageDisk) (*Log, string) {
 	k, recs, err := Open(d)
 	if err != nil {
 		return nil, err.Error()
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -12,18 +12,18 @@
 	Close() error
 }
 
-type Disk interface {
+type Directory interface {
 	Create(name string) (File, error)
 	Read(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
-	SyncFolder() error
+	Sync() error
 }
 
 type folder struct{ dir string }
 
-func Folder(dir string) (Disk, error) {
+func OpenDirectory(dir string) (Directory, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -54,7 +54,7 @@
 	return out, nil
 }
 
-func (f folder) SyncFolder() error {
+func (f folder) Sync() error {
 	d, err := os.Open(f.dir)
 	if err != nil {
 		return err
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-func openFolder(t *testing.T, dir string) (*Book, [][]byte) {
+func openFolder(t *testing.T, dir string) (*Log, [][]byte) {
 	t.Helper()
-	disk, err := Folder(dir)
+	disk, err := OpenDirectory(dir)
 	qt.Assert(t, err, qt.IsNil)
 	book, records, err := Open(disk)
 	qt.Assert(t, err, qt.IsNil)
