--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -137,7 +137,7 @@
 	}
 	name := fmt.Sprint("node-", i)
 	life := strconv.FormatUint(rand.Uint64(), 16)
-	h.ag = &clustercontroller.Agent{Lines: b.lines, Seeds: b.seeds, Life: life, Name: name, Quiet: 2400 * time.Millisecond, Now: b.now, Note: func(string, ...any) {}}
+	h.ag = &clustercontroller.Agent{Clients: b.lines, Seeds: b.seeds, Incarnation: life, Name: name, RegisterAfter: 2400 * time.Millisecond, Now: b.now, Logf: func(string, ...any) {}}
 	h.ag.OnView = func(v *meshpb.View) {
 		h.ep.Store(v.Epoch)
 		h.ends.Store(int64(len(v.Endpoints)))
@@ -364,7 +364,7 @@
 		return err
 	}
 	state := func(h *hollow, st string) {
-		h.ag.Set(func(n *meshpb.NodeState) {
+		h.ag.UpdateState(func(n *meshpb.NodeState) {
 			n.Endpoint.State = st
 		})
 	}
@@ -391,7 +391,7 @@
 	lives := map[string]bool{}
 	for i := range tenth {
 		h := b.nodes[i]
-		h.ag.Set(func(n *meshpb.NodeState) {
+		h.ag.UpdateState(func(n *meshpb.NodeState) {
 			n.Endpoint.Id = "j-" + strconv.FormatUint(rand.Uint64(), 16)
 			n.Endpoint.State = "ready"
 			lives[n.Endpoint.Id] = true
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -94,13 +94,13 @@
 }
 
 // bundle gives what this member's copy of shard 0 holds of what the master names.
-func (c *coreNode) bundle(k *meshpb.StoredVersions) clustercontroller.Bundle {
+func (c *coreNode) bundle(k *meshpb.StoredVersions) clustercontroller.StoredPayloads {
 	type pair struct{ conf, view *meshpb.Blob }
 	p, _ := replication.Call(c.loop, func() pair {
 		t := c.board.StateMachine(0)
 		return pair{t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)}
 	})
-	var b clustercontroller.Bundle
+	var b clustercontroller.StoredPayloads
 	if p.conf.GetVersion() == k.ConfigVersion && k.ConfigVersion > 0 && xxhash.Sum64(p.conf.Data) == k.ConfigDigest {
 		x := &meshpb.Config{}
 		if proto.Unmarshal(p.conf.Data, x) == nil {
@@ -134,7 +134,7 @@
 		return
 	}
 	if !own {
-		c.master.Loop.Post(c.master.Step)
+		c.master.Mailbox.Post(c.master.StepDown)
 		return
 	}
 	t := c.board.StateMachine(0)
@@ -143,9 +143,9 @@
 	u, r := users(t), c.board.Membership()
 	view := keptView(t.Blob(viewBlob))
 	k := kept(t, view.Epoch)
-	c.master.Loop.Post(func() {
-		c.master.SetKept(k)
-		c.master.Lead(epoch, view, u, conf, r)
+	c.master.Mailbox.Post(func() {
+		c.master.SetStoredVersions(k)
+		c.master.BecomeMaster(epoch, view, u, conf, r)
 	})
 }
 
@@ -158,18 +158,18 @@
 	if b := t.Blob(controlapi.ConfigBlob); b != nil && b.Version > c.conf {
 		conf := controlapi.ReadConfig(t)
 		c.conf = conf.Version
-		c.master.Loop.Post(func() { c.master.SetConfig(conf) })
+		c.master.Mailbox.Post(func() { c.master.SetConfig(conf) })
 	}
 }
 
 // SetState keeps a user state beside the others in shard 0; the master caps the
 // node's state with it from the next view on.
 func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
-	if !clustercontroller.UserState(q.State) {
+	if !clustercontroller.ValidUserState(q.State) {
 		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	held := c.board.HoldsMasterLease()
-	known, _ := replication.Call(c.master.Loop, func() bool { return c.master.Knows(q.Node) })
+	known, _ := replication.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(q.Node) })
 	if !held {
 		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.masterAddr()}, nil
 	}
@@ -192,7 +192,7 @@
 	if err != nil || u == nil {
 		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
 	}
-	c.master.Loop.Post(func() { c.master.SetUsers(u, q.Node) })
+	c.master.Mailbox.Post(func() { c.master.SetUserStates(u, q.Node) })
 	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
@@ -207,8 +207,8 @@
 }
 
 func (c *coreNode) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	r, _ := replication.Call(c.master.Loop, func() *meshpb.RegisterNodeResponse {
-		l, is := c.master.Hello(q.Node)
+	r, _ := replication.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
+		l, is := c.master.RegisterNode(q.Node)
 		return &meshpb.RegisterNodeResponse{Master: is, LastEndpoint: l}
 	})
 	r.Membership, _ = replication.Call(c.loop, func() *meshpb.Membership { return c.board.Membership() })
@@ -252,7 +252,7 @@
 	if !c.await(ctx, func() (done, never bool) { return c.board.LeaseGranted(0, epoch), c.board.PromisedEpoch(0) > epoch }) {
 		return nil, errNotMine
 	}
-	b := sync.OnceValue(func() clustercontroller.Bundle {
+	b := sync.OnceValue(func() clustercontroller.StoredPayloads {
 		// The copy may be about to come.
 		c.await(ctx, func() (bool, bool) { return holds(c.board.StateMachine(0), q.Stored), false })
 		return c.bundle(q.Stored)
@@ -269,7 +269,7 @@
 	period := min(max(settings.Secs(c.o.Terms.Bounds.DrainS)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
 	duty := func() bool {
-		is, _ := replication.Call(c.master.Loop, c.master.Leading)
+		is, _ := replication.Call(c.master.Mailbox, c.master.IsMaster)
 		return is && c.board.HoldsMasterLease()
 	}
 	for ctx.Err() == nil {
@@ -279,7 +279,7 @@
 			es, err := r.Read(ctx, duty)
 			switch {
 			case err == nil:
-				c.master.Loop.Post(func() { c.master.SetListed(es) })
+				c.master.Mailbox.Post(func() { c.master.SetListedEndpoints(es) })
 				w, back = period-time.Since(t0), 100*time.Millisecond
 			default:
 				c.note("directory")("the platform's list was not read: %v", err)
@@ -293,8 +293,8 @@
 	}
 }
 
-func hotOptions(h settings.Hot) clustercontroller.HotOptions {
-	return clustercontroller.HotOptions{Share: h.Share, Most: h.Most, Width: h.Width, Fall: settings.Secs(h.FallS)}
+func hotOptions(h settings.Hot) clustercontroller.HotKeyOptions {
+	return clustercontroller.HotKeyOptions{SlotShare: h.Share, MaxKeys: h.Most, MaxWidth: h.Width, NarrowAfter: settings.Secs(h.FallS)}
 }
 
 func runCore(p *process) error {
@@ -319,11 +319,11 @@
 	loop := replication.NewMailbox()
 	c := &coreNode{process: p, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
 	c.master = clustercontroller.NewMaster(clustercontroller.Options{
-		Interval: 250 * time.Millisecond, PerNode: 4 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond, Linger: 2 * time.Second, LingerPer: 36 * time.Millisecond, LingerMost: 10 * time.Second,
-		Grace: 800 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2,
-		Hot: hotOptions(o.Hot),
-		Me:  o.InnerAddr(), Now: p.now, Note: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
-		Leased: func() bool { return c.board.HoldsMasterLease() }, Reached: func(a string) bool { return c.board.InContact(a) }, Bundle: c.bundle,
+		ViewInterval: 250 * time.Millisecond, SendTimePerNode: 4 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond, PollLinger: 2 * time.Second, PollLingerPerNode: 36 * time.Millisecond, MaxPollLinger: 10 * time.Second,
+		PollGrace: 800 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2,
+		HotKeys:  hotOptions(o.Hot),
+		SelfAddr: o.InnerAddr(), Now: p.now, Logf: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
+		HoldsLease: func() bool { return c.board.HoldsMasterLease() }, InContact: func(a string) bool { return c.board.InContact(a) }, ReadStored: c.bundle,
 	}, replication.NewMailbox(), lines, c)
 	hist := settings.Secs(o.Terms.Bounds.HistoryS)
 	c.board, err = replication.New(replication.Options{
@@ -337,7 +337,7 @@
 		},
 		NewID: newID, Now: p.now, Rand: mrand.IntN, Logf: p.note("exchange"),
 		OnOwnershipChange: c.onOwner, OnCommit: c.onCommit, OnEntryProgress: c.onStep,
-		OnMembershipChange: func(r *meshpb.Membership) { c.master.Loop.Post(func() { c.master.SetMembership(r) }) },
+		OnMembershipChange: func(r *meshpb.Membership) { c.master.Mailbox.Post(func() { c.master.SetMembership(r) }) },
 	}, replication.PeerClient{Mailbox: loop, Clients: lines, CallTimeout: 600 * time.Millisecond, ReplicateTimeout: 1500 * time.Millisecond}, replication.WALStorage{Mailbox: loop, Log: book}, recs)
 	if err != nil {
 		return err
@@ -357,7 +357,7 @@
 	api.Acked = func(version uint64) { p.trace(changetrace.Config, "acknowledged", c.board.MasterEpoch(), version) }
 	cs := &http.Server{Handler: api, IdleTimeout: time.Minute, ReadHeaderTimeout: 5 * time.Second}
 	go cs.Serve(ctl)
-	go c.master.Loop.Run(tick, c.master.Tick)
+	go c.master.Mailbox.Run(tick, c.master.Tick)
 	go loop.Run(tick, c.board.Tick)
 	go p.reseed(func() bool { out, _ := replication.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
 		loop.Post(func() { c.board.SetExtraSeeds(members(o)) })
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -58,7 +58,7 @@
 		defer t.Stop()
 		for range t.C {
 			bs := pools.Blames()
-			ag.Set(func(n *meshpb.NodeState) { n.FailureReports = bs })
+			ag.UpdateState(func(n *meshpb.NodeState) { n.FailureReports = bs })
 		}
 	}()
 
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -55,7 +55,7 @@
 	a.mu.Lock()
 	first := a.last[q.Key[0]]
 	a.mu.Unlock()
-	todo := a.ag.Cores()
+	todo := a.ag.CoreAddresses()
 	if first != "" {
 		todo = append([]string{first}, todo...)
 	}
@@ -84,7 +84,7 @@
 func (p *process) newCords(lines *rpc.Clients, ag *clustercontroller.Agent) *affinity.Cords {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Secs(p.o.Pins.IdleS)
-	return affinity.New(affinity.Options{Ask: a.ask, Now: time.Now, Config: ag.Config, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Pins.Most,
+	return affinity.New(affinity.Options{Ask: a.ask, Now: time.Now, Config: ag.ConfigVersion, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Pins.Most,
 		Trace: func(what, key string) { p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
 }
 
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -93,11 +93,11 @@
 	var plan atomic.Pointer[routeconfig.Table]
 	st := p.newStation(pools, &meshpb.NodeState{Inbound: o.Network.Listen.Inbound, Service: o.Self.ServiceName})
 	ag := st.ag
-	sub := endpointagent.New(endpointagent.Options{Service: o.Self.ServiceName, Beat: settings.Secs(o.Platform.BeatS), Missed: 3, Queue: 1.5,
-		Note: p.note("subscriber"), Changed: func(l endpointagent.Life) {
-			ag.Set(func(n *meshpb.NodeState) {
+	sub := endpointagent.New(endpointagent.Options{Service: o.Self.ServiceName, HeartbeatInterval: settings.Secs(o.Platform.BeatS), MissedHeartbeats: 3, QueuePerSlot: 1.5,
+		Logf: p.note("subscriber"), OnChange: func(l endpointagent.Status) {
+			ag.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
-					Slots: uint32(l.Slots), State: l.State, WarmupMs: uint64(l.Cold / time.Millisecond), SoftwareVersion: l.Release, Healthy: l.Sound, FailurePercent: uint32(l.Ill)}
+					Slots: uint32(l.Slots), State: l.State, WarmupMs: uint64(l.Warmup / time.Millisecond), SoftwareVersion: l.SoftwareVersion, Healthy: l.Healthy, FailurePercent: uint32(l.FailurePercent)}
 			})
 		}})
 
@@ -146,7 +146,7 @@
 		if !closed && e > linger-500*time.Millisecond {
 			closed = true
 			sub.Stop()
-			ag.Set(func(n *meshpb.NodeState) { n.State = "stopping" })
+			ag.UpdateState(func(n *meshpb.NodeState) { n.State = "stopping" })
 			in.Leave()
 		}
 		if e > grace-lastCalls {
@@ -200,12 +200,12 @@
 
 // meet asks the endpoint who it is when this process has started beside one
 // that runs already, rather than wait for its next beat.
-func meet(o settings.Options, ag *clustercontroller.Agent, sub *endpointagent.Desk, plan *atomic.Pointer[routeconfig.Table], line http.RoundTripper) {
+func meet(o settings.Options, ag *clustercontroller.Agent, sub *endpointagent.Agent, plan *atomic.Pointer[routeconfig.Table], line http.RoundTripper) {
 	hc := &http.Client{Transport: line, Timeout: 400 * time.Millisecond}
 	end := time.Now().Add(settings.Secs(o.Platform.BeatS))
-	for tries := 0; tries < 3 && time.Now().Before(end) && !sub.Life().Known; {
+	for tries := 0; tries < 3 && time.Now().Before(end) && !sub.Status().Known; {
 		time.Sleep(20 * time.Millisecond)
-		t, last := plan.Load(), ag.Last()
+		t, last := plan.Load(), ag.LastEndpoint()
 		if t == nil || last.GetId() == "" || last.Service != o.Self.ServiceName {
 			continue
 		}
@@ -221,6 +221,6 @@
 		if p.Header.Get("X-Instance-Id") != last.Id {
 			return
 		}
-		sub.Found(last.Id, int(last.Slots))
+		sub.RecordProbe(last.Id, int(last.Slots))
 	}
 }
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -31,16 +31,16 @@
 func (p *process) newStation(pools *proxy.Pools, n *meshpb.NodeState) station {
 	o, bd := p.o, p.o.Terms.Bounds
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
-	ag := &clustercontroller.Agent{Lines: lines, Seeds: o.SeedInner(), Life: newID(), Name: o.Self.NodeName, Quiet: 2400 * time.Millisecond,
-		Now: p.now, Note: p.note("supervisor"), Trace: p.trace}
-	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Life, o.InnerAddr(), o.Self.ZoneName, "up"
+	ag := &clustercontroller.Agent{Clients: lines, Seeds: o.SeedInner(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
+		Now: p.now, Logf: p.note("supervisor"), Trace: p.trace}
+	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Incarnation, o.InnerAddr(), o.Self.ZoneName, "up"
 	ag.Start(n)
 	tickets := p.newTickets()
 	ag.OnView = func(v *meshpb.View) {
 		pools.Set(v)
 		tickets.View(v)
 	}
-	go p.reseed(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.Reseed(o.SeedInner()) })
+	go p.reseed(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.SetSeeds(o.SeedInner()) })
 	pools.SlowStart(settings.Secs(o.Hot.SlowS))
 	return station{p, pools, ag, p.newCords(lines, ag), tickets,
 		proxy.NewBudget(bd.RetryRatio, bd.RetrySlack, settings.Secs(bd.RetryWindowS), pools.Nodes, p.now), proxy.NewKeyMeter(time.Now)}
@@ -64,12 +64,12 @@
 		if same {
 			continue
 		}
-		tell := s.ag.Murmur
+		tell := s.ag.UpdateStateWithoutWake
 		now := map[uint64]float64{}
 		for _, k := range ks {
 			now[k.Key] = k.PerS
 			if k.PerS > 1.5*was[k.Key] {
-				tell = s.ag.Set
+				tell = s.ag.UpdateState
 			}
 		}
 		was = now
@@ -83,7 +83,7 @@
 	rpc.Handle(mux, meshpb.NewNodeServer(s.ag))
 	far, heavy := s.pools.Weights()
 	rpc.Handle(mux, meshpb.NewDiagnosticsServer(teller{process: s.process, flows: flows, far: far, heavy: heavy, cords: s.cords,
-		config: s.ag.Config, tickets: s.tickets, near: near}))
+		config: s.ag.ConfigVersion, tickets: s.tickets, near: near}))
 	is := &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute}
 	go is.Serve(l)
 }
--- a/cmd/corkcove/tools.go
+++ b/cmd/corkcove/tools.go
@@ -175,7 +175,7 @@
 }
 
 func (t *tool) setState(node, state string) error {
-	if !clustercontroller.UserState(state) {
+	if !clustercontroller.ValidUserState(state) {
 		return fmt.Errorf("%q is no state: give up, maintenance, retired or down", state)
 	}
 	todo := append([]string{}, t.cores...)
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -77,14 +77,14 @@
 		}
 		return true
 	})
-	replication.Call(c.master.Loop, func() bool {
-		r.Master = c.master.Leading() && c.board.HoldsMasterLease()
+	replication.Call(c.master.Mailbox, func() bool {
+		r.Master = c.master.IsMaster() && c.board.HoldsMasterLease()
 		v := c.master.View()
 		r.Epoch, r.View = v.Epoch, v.Version
-		r.Config = c.master.Config()
+		r.Config = c.master.ConfigVersion()
 		if r.Master {
-			r.Nodes = c.master.Nodes()
-			r.Hot, r.HotCounts = c.master.Hot()
+			r.Nodes = c.master.NodeStatuses()
+			r.Hot, r.HotCounts = c.master.HotKeys()
 			for _, e := range v.Endpoints {
 				if e.Node == "" {
 					r.Listed++
--- a/internal/clustercontroller/agent.go
+++ b/internal/clustercontroller/agent.go
@@ -15,15 +15,15 @@
 // Agent is a node's side: it answers polls, takes views and configurations
 // whose epoch and version rise, and says hello while no master polls it.
 type Agent struct {
-	Lines  *rpc.Clients
-	Seeds  []string
-	Life   string
-	Name   string
-	Quiet  time.Duration
-	Now    func() time.Duration
-	Note   func(f string, a ...any)
-	Trace  func(kind, what string, epoch, version uint64)
-	OnView func(*meshpb.View)
+	Clients       *rpc.Clients
+	Seeds         []string
+	Incarnation   string
+	Name          string
+	RegisterAfter time.Duration
+	Now           func() time.Duration
+	Logf          func(f string, a ...any)
+	Trace         func(kind, what string, epoch, version uint64)
+	OnView        func(*meshpb.View)
 	// OnConfig applies a whole configuration, OnPatch changes to the one in
 	// force; an error leaves the old one.
 	OnConfig func(version uint64, data []byte) error
@@ -51,7 +51,7 @@
 }
 
 // Set changes the node's own account and answers the lingering poll.
-func (a *Agent) Set(f func(*meshpb.NodeState)) {
+func (a *Agent) UpdateState(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := proto.Clone(a.node).(*meshpb.NodeState)
@@ -67,7 +67,7 @@
 
 // Murmur changes what the node's next answer to a poll says, without answering
 // the lingering one.
-func (a *Agent) Murmur(f func(*meshpb.NodeState)) {
+func (a *Agent) UpdateStateWithoutWake(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := proto.Clone(a.node).(*meshpb.NodeState)
@@ -222,7 +222,7 @@
 		err = a.OnConfig(version, data)
 	}
 	if err != nil {
-		a.Note("configuration %d from epoch %d can't be applied: %v", version, epoch, err)
+		a.Logf("configuration %d from epoch %d can't be applied: %v", version, epoch, err)
 		return false
 	}
 	a.mu.Lock()
@@ -241,14 +241,14 @@
 }
 
 // Last is the endpoint that the master knew beside this node before it started.
-func (a *Agent) Last() *meshpb.Endpoint {
+func (a *Agent) LastEndpoint() *meshpb.Endpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
 }
 
 // Config is the version of the configuration in force here.
-func (a *Agent) Config() uint64 {
+func (a *Agent) ConfigVersion() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.conf
@@ -261,7 +261,7 @@
 }
 
 // Cores are the addresses at which this node would look for the core.
-func (a *Agent) Cores() []string {
+func (a *Agent) CoreAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := map[string]bool{}
@@ -283,7 +283,7 @@
 }
 
 // Reseed changes the core nodes that this one was told of.
-func (a *Agent) Reseed(seeds []string) {
+func (a *Agent) SetSeeds(seeds []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Seeds = seeds
@@ -295,11 +295,11 @@
 	wait := gap
 	for {
 		a.mu.Lock()
-		quiet := a.Now()-a.polled > a.Quiet
+		quiet := a.Now()-a.polled > a.RegisterAfter
 		a.mu.Unlock()
 		if quiet {
 			if a.hello(ctx) {
-				wait = max(a.Quiet/3, gap)
+				wait = max(a.RegisterAfter/3, gap)
 			} else {
 				wait = min(wait*5/4, 5*gap)
 			}
@@ -329,7 +329,7 @@
 	a.mu.Lock()
 	n := a.node
 	a.mu.Unlock()
-	todo := a.Cores()
+	todo := a.CoreAddresses()
 	first := 0
 	if a.View().GetMaster() != "" {
 		first = 1
@@ -343,7 +343,7 @@
 			continue
 		}
 		asked[c] = true
-		r, err := rpc.Call(helloWait, a.Lines.Control(c).RegisterNode, &meshpb.RegisterNodeRequest{Node: n})
+		r, err := rpc.Call(helloWait, a.Clients.Control(c).RegisterNode, &meshpb.RegisterNodeRequest{Node: n})
 		if err != nil {
 			continue
 		}
--- a/internal/clustercontroller/delta_test.go
+++ b/internal/clustercontroller/delta_test.go
@@ -73,8 +73,8 @@
 func TestNodesGetOnlyWhatChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStage(t, 12)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		e := &eavesdrop{Node: s.ns[0]}
 		a := s.ns[0].agent
 		var doc routeconfig.Doc
@@ -94,7 +94,7 @@
 		s.m.lines.PutNode("a0", e)
 		last := &meshpb.Config{Version: 3, Packed: rpc.Pack(config(3, 400, 2))}
 		s.do(func() {
-			s.m.Lead(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
+			s.m.BecomeMaster(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
 		})
 		s.hello()
 		pass(3 * time.Second)
@@ -108,9 +108,9 @@
 			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Write()), Patches: append(last.Patches, &meshpb.ConfigPatch{BaseVersion: old.Version, Version: now.Version, Patch: rpc.Pack(now.Since(old))})}
 			if i == 4 {
 				// Another master, which has never led, knows the way from the control state.
-				s.do(s.m.Step)
+				s.do(s.m.StepDown)
 				s.m.conf, s.m.packed, s.m.steps = 0, nil, nil
-				s.do(func() { s.m.Lead(2, s.st.v, map[string]string{}, last, &meshpb.Membership{Version: 1}) })
+				s.do(func() { s.m.BecomeMaster(2, s.st.v, map[string]string{}, last, &meshpb.Membership{Version: 1}) })
 			} else {
 				s.do(func() { s.m.SetConfig(last) })
 			}
@@ -125,7 +125,7 @@
 
 		pass(2 * time.Second)
 		n := len(e.views)
-		s.ns[3].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+		s.ns[3].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		pass(time.Second)
 		qt.Assert(t, len(e.views), qt.Equals, n+1)
 		qt.Assert(t, e.views[n].BaseVersion > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
@@ -136,7 +136,7 @@
 		e.mu.Unlock()
 		// An answer that got lost leaves the master with an older version; the node
 		// then says which one it holds, and gets the difference from that.
-		s.ns[5].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+		s.ns[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 		pass(1600 * time.Millisecond)
 		for older := false; !older; pass(time.Millisecond) {
 			s.do(func() {
@@ -159,7 +159,7 @@
 		e.drop = true
 		e.mu.Unlock()
 		for i := range keepViews + 4 {
-			s.ns[4+i%8].agent.Set(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+			s.ns[4+i%8].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 			pass(600 * time.Millisecond)
 		}
 		e.mu.Lock()
--- a/internal/clustercontroller/hot.go
+++ b/internal/clustercontroller/hot.go
@@ -12,15 +12,15 @@
 )
 
 // HotOptions bound the keys whose reads are spread over several endpoints.
-type HotOptions struct {
+type HotKeyOptions struct {
 	// Share is the part of one endpoint's slots that a key's reads may fill
 	// before they go to another endpoint too.
-	Share float64
-	Most  int
-	Width int
+	SlotShare float64
+	MaxKeys   int
+	MaxWidth  int
 	// Fall is how long the reads must have been fewer before a width falls by a
 	// step.
-	Fall time.Duration
+	NarrowAfter time.Duration
 }
 
 // cool is the part of what the next smaller width can take below which the
@@ -35,8 +35,8 @@
 
 // HotKeys sets over how many endpoints each key's reads go: more at once where
 // the sum of all nodes' reads asks for it, fewer by steps.
-type HotKeys struct {
-	o                 HotOptions
+type HotKeyTracker struct {
+	o                 HotKeyOptions
 	by                map[uint64]*width
 	widened, narrowed uint64
 	refused           uint64
@@ -44,14 +44,16 @@
 
 // Load takes over what the last view had; its widths stand until their reads
 // have stayed out for a while.
-func (h *HotKeys) Load(ks []*meshpb.HotKey, now time.Duration) {
+func (h *HotKeyTracker) Restore(ks []*meshpb.HotKey, now time.Duration) {
 	h.by = map[uint64]*width{}
 	for _, k := range ks {
 		h.by[k.Key] = &width{HotKey: k, calm: now}
 	}
 }
 
-func NewHotKeys(o HotOptions) *HotKeys { return &HotKeys{o: o, by: map[uint64]*width{}} }
+func NewHotKeyTracker(o HotKeyOptions) *HotKeyTracker {
+	return &HotKeyTracker{o: o, by: map[uint64]*width{}}
+}
 
 type demand struct {
 	*meshpb.KeyRate
@@ -61,7 +63,7 @@
 
 // Judge gives the hot keys now, from what the nodes read and the endpoints there
 // are; steps tells each change.
-func (h *HotKeys) Judge(reads iter.Seq[[]*meshpb.KeyRate], es []*meshpb.Endpoint, now time.Duration, wall int64) (out []*meshpb.HotKey, steps []string) {
+func (h *HotKeyTracker) Update(reads iter.Seq[[]*meshpb.KeyRate], es []*meshpb.Endpoint, now time.Duration, wall int64) (out []*meshpb.HotKey, steps []string) {
 	sum := map[uint64]*demand{}
 	for ks := range reads {
 		for _, k := range ks {
@@ -97,9 +99,9 @@
 			delete(h.by, d.Key)
 			continue
 		}
-		per := h.o.Share * float64(s.slots) / float64(s.n)
+		per := h.o.SlotShare * float64(s.slots) / float64(s.n)
 		need := d.work / 1000
-		want := max(min(int(math.Ceil(need/per)), h.o.Width, s.n), 1)
+		want := max(min(int(math.Ceil(need/per)), h.o.MaxWidth, s.n), 1)
 		set := func(w *width, to int) string {
 			y := why(d, need, per)
 			s := fmt.Sprintf("key %016x of %s: width %d -> %d (%s)", d.Key, d.Service, w.Width, to, y)
@@ -112,7 +114,7 @@
 		w := h.by[d.Key]
 		switch {
 		case w == nil && want < 2:
-		case w == nil && len(h.by) >= h.o.Most:
+		case w == nil && len(h.by) >= h.o.MaxKeys:
 			h.refused++
 		case w == nil:
 			h.widened++
@@ -122,7 +124,7 @@
 			steps = append(steps, set(w, want))
 		case need > cool*per*float64(w.Width-1):
 			w.calm = now
-		case now-w.calm >= h.o.Fall:
+		case now-w.calm >= h.o.NarrowAfter:
 			to := max(int(w.Width)/2, want)
 			h.narrowed++
 			steps = append(steps, set(w, to))
@@ -136,7 +138,7 @@
 }
 
 // order puts the keys that ask for most first, so that these get the places.
-func (h *HotKeys) order(sum map[uint64]*demand) []*demand {
+func (h *HotKeyTracker) order(sum map[uint64]*demand) []*demand {
 	out := make([]*demand, 0, len(sum))
 	for _, d := range sum {
 		out = append(out, d)
--- a/internal/clustercontroller/hot_test.go
+++ b/internal/clustercontroller/hot_test.go
@@ -12,7 +12,7 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-var hotRules = HotOptions{Share: 0.5, Most: 2, Width: 6, Fall: 4 * time.Second}
+var hotRules = HotKeyOptions{SlotShare: 0.5, MaxKeys: 2, MaxWidth: 6, NarrowAfter: 4 * time.Second}
 
 func endpointsOf(n int) (es []*meshpb.Endpoint) {
 	for i := range n {
@@ -30,10 +30,10 @@
 }
 
 func TestKeyHotOnlyInSumIsSeenAndFallsSlowly(t *testing.T) {
-	h := NewHotKeys(hotRules)
+	h := NewHotKeyTracker(hotRules)
 	es := endpointsOf(10)
 	at := func(s float64, told [][]*meshpb.KeyRate) []*meshpb.HotKey {
-		out, _ := h.Judge(slices.Values(told), es, time.Duration(s*float64(time.Second)), 0)
+		out, _ := h.Update(slices.Values(told), es, time.Duration(s*float64(time.Second)), 0)
 		return out
 	}
 	// 2 a second fill 0.08 slots at one node; 281 nodes' reads fill 22.5.
@@ -57,34 +57,34 @@
 }
 
 func TestHotKeysAreBoundedAndTheHeaviestGetThePlaces(t *testing.T) {
-	h := NewHotKeys(hotRules)
+	h := NewHotKeyTracker(hotRules)
 	all := append(append(told(50, 1, 10), told(50, 2, 30)...), told(50, 3, 20)...)
-	out, _ := h.Judge(slices.Values(all), endpointsOf(3), 0, 0)
+	out, _ := h.Update(slices.Values(all), endpointsOf(3), 0, 0)
 	qt.Assert(t, out, qt.HasLen, 2)
 	qt.Assert(t, []uint64{out[0].Key, out[1].Key}, qt.DeepEquals, []uint64{2, 3})
 	qt.Assert(t, out[0].Width, qt.Equals, uint32(3), qt.Commentf("no wider than the service"))
 	qt.Assert(t, h.refused, qt.Equals, uint64(1))
-	out, _ = h.Judge(slices.Values(all), nil, time.Second, 0)
+	out, _ = h.Update(slices.Values(all), nil, time.Second, 0)
 	qt.Assert(t, out, qt.HasLen, 0, qt.Commentf("its service is gone"))
 }
 
 func TestNewMasterStartsFromTheLastViewsWidths(t *testing.T) {
-	h := NewHotKeys(hotRules)
+	h := NewHotKeyTracker(hotRules)
 	es := endpointsOf(10)
-	was, _ := h.Judge(slices.Values(told(100, 7, 4)), es, 0, 0)
+	was, _ := h.Update(slices.Values(told(100, 7, 4)), es, 0, 0)
 	view := &meshpb.View{Epoch: 1, Version: 3, HotKeys: was}
 	b, err := proto.Marshal(view.Since(&meshpb.View{Epoch: 1, Version: 2}))
 	qt.Assert(t, err, qt.IsNil)
 	d := &meshpb.View{}
 	qt.Assert(t, proto.Unmarshal(b, d), qt.IsNil)
 	kept := d.Onto(&meshpb.View{Epoch: 1, Version: 2, HotKeys: told7(1)})
-	n := NewHotKeys(hotRules)
-	n.Load(kept.HotKeys, 10*time.Second)
+	n := NewHotKeyTracker(hotRules)
+	n.Restore(kept.HotKeys, 10*time.Second)
 	// Nobody has told it anything yet.
-	out, steps := n.Judge(slices.Values[[][]*meshpb.KeyRate](nil), es, 11*time.Second, 0)
+	out, steps := n.Update(slices.Values[[][]*meshpb.KeyRate](nil), es, 11*time.Second, 0)
 	qt.Assert(t, steps, qt.HasLen, 0)
 	qt.Assert(t, sameWidths(out, was), qt.IsTrue)
-	out, steps = n.Judge(slices.Values(told(100, 7, 4)), es, 13*time.Second, 0)
+	out, steps = n.Update(slices.Values(told(100, 7, 4)), es, 13*time.Second, 0)
 	qt.Assert(t, steps, qt.HasLen, 0)
 	qt.Assert(t, sameWidths(out, was), qt.IsTrue)
 	qt.Assert(t, view.Lean().HotKeys, qt.HasLen, 1)
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -14,48 +14,50 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-type Store interface {
+type ViewStore interface {
 	SaveView(ctx context.Context, v *meshpb.View) error
 }
 
 type Options struct {
-	Interval time.Duration
+	ViewInterval time.Duration
 	// PerNode lengthens the interval with the number of nodes to tell.
-	PerNode    time.Duration
-	Settle     time.Duration
-	Transition time.Duration
-	Linger     time.Duration
+	SendTimePerNode time.Duration
+	SettleTime      time.Duration
+	TakeoverDelay   time.Duration
+	PollLinger      time.Duration
 	// LingerPer lengthens a poll with the number of nodes, up to LingerMost.
-	LingerPer  time.Duration
-	LingerMost time.Duration
-	Grace      time.Duration
-	Silent     time.Duration
-	Window     time.Duration
-	Crashes    int
-	Fails      int
-	Hot        HotOptions
-	Me         string
-	Now        func() time.Duration
+	PollLingerPerNode time.Duration
+	MaxPollLinger     time.Duration
+	PollGrace         time.Duration
+	UnreachableAfter  time.Duration
+	CrashWindow       time.Duration
+	CrashLimit        int
+	PollFailureLimit  int
+	HotKeys           HotKeyOptions
+	SelfAddr          string
+	Now               func() time.Duration
 	// Held tells whether shard 0 is held right now; a master that is not sure
 	// of it says nothing to anybody.
-	Leased func() bool
+	HoldsLease func() bool
 	// Reached tells whether another member is in touch; one that is not brings
 	// nothing to any node.
-	Reached func(addr string) bool
+	InContact func(addr string) bool
 	// Bundle gives what this member holds of what is kept.
-	Bundle func(*meshpb.StoredVersions) Bundle
-	Note   func(f string, a ...any)
-	Trace  func(what string, epoch, version uint64)
+	ReadStored func(*meshpb.StoredVersions) StoredPayloads
+	Logf       func(f string, a ...any)
+	Trace      func(what string, epoch, version uint64)
 }
 
-func (o Options) rules() rules { return rules{o.Window, o.Crashes, o.Fails, o.Silent} }
+func (o Options) rules() rules {
+	return rules{o.CrashWindow, o.CrashLimit, o.PollFailureLimit, o.UnreachableAfter}
+}
 
 // Master runs on its own mailbox; all its fields belong to that goroutine.
 type Master struct {
-	o     Options
-	Loop  *replication.Mailbox
-	lines *rpc.Clients
-	store Store
+	o       Options
+	Mailbox *replication.Mailbox
+	lines   *rpc.Clients
+	store   ViewStore
 
 	leading    bool
 	paused     bool
@@ -70,7 +72,7 @@
 	ills   verdicts
 	judged time.Duration
 	heated time.Duration
-	hots   *HotKeys
+	hots   *HotKeyTracker
 	hot    []*meshpb.HotKey
 	view   *meshpb.View
 	inner  []*meshpb.Endpoint
@@ -113,14 +115,14 @@
 	again time.Duration
 }
 
-func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st Store) *Master {
-	return &Master{o: o, Loop: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeys(o.Hot),
+func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
+	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeyTracker(o.HotKeys),
 		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
 
 func (m *Master) note(f string, a ...any) {
-	if m.o.Note != nil {
-		m.o.Note(f, a...)
+	if m.o.Logf != nil {
+		m.o.Logf(f, a...)
 	}
 }
 
@@ -132,7 +134,7 @@
 
 // Lead makes this process the master under the epoch of shard 0, which also
 // keeps the last view that was published.
-func (m *Master) Lead(epoch uint64, kept *meshpb.View, users map[string]string, conf *meshpb.Config, membership *meshpb.Membership) {
+func (m *Master) BecomeMaster(epoch uint64, kept *meshpb.View, users map[string]string, conf *meshpb.Config, membership *meshpb.Membership) {
 	now := m.o.Now()
 	if kept.GetVersion() > m.view.Version {
 		m.view = kept
@@ -146,7 +148,7 @@
 	m.sends, m.views, m.packs = map[string]*courier{}, nil, nil
 	m.listed = nil
 	m.hot = v.HotKeys
-	m.hots.Load(v.HotKeys, now)
+	m.hots.Restore(v.HotKeys, now)
 	for _, e := range v.Endpoints {
 		if e.Node == "" {
 			m.listed = append(m.listed, e)
@@ -194,9 +196,9 @@
 }
 
 // SetKept names what shard 0 keeps; it is called before Lead.
-func (m *Master) SetKept(k *meshpb.StoredVersions) { m.kept = k }
+func (m *Master) SetStoredVersions(k *meshpb.StoredVersions) { m.kept = k }
 
-func (m *Master) Step() {
+func (m *Master) StepDown() {
 	if !m.leading {
 		return
 	}
@@ -209,13 +211,13 @@
 	}
 }
 
-func (m *Master) Leading() bool { return m.leading }
+func (m *Master) IsMaster() bool { return m.leading }
 
 func (m *Master) SetMembership(r *meshpb.Membership) { m.membership = r }
 
 // SetUsers takes all user states; the node just set to up starts with a clean
 // history.
-func (m *Master) SetUsers(u map[string]string, node string) {
+func (m *Master) SetUserStates(u map[string]string, node string) {
 	if h := m.hs[node]; h != nil && u[node] == "" {
 		h.setOut, h.unproven, h.crashes = false, false, nil
 	}
@@ -226,7 +228,7 @@
 
 // SetListed takes a whole reading of the platform's list; until the next one
 // it stays in force.
-func (m *Master) SetListed(es []*meshpb.Endpoint) {
+func (m *Master) SetListedEndpoints(es []*meshpb.Endpoint) {
 	if !m.leading {
 		return
 	}
@@ -234,10 +236,10 @@
 	m.touch()
 }
 
-func (m *Master) Knows(node string) bool { return m.hs[node] != nil }
+func (m *Master) KnowsNode(node string) bool { return m.hs[node] != nil }
 
 // Nodes tells what the master knows of each node, and why a state was lowered.
-func (m *Master) Nodes() []*meshpb.NodeStatus {
+func (m *Master) NodeStatuses() []*meshpb.NodeStatus {
 	var out []*meshpb.NodeStatus
 	for n, h := range m.hs {
 		e := h.state.GetEndpoint()
@@ -295,12 +297,12 @@
 }
 
 // Config is the version of the configuration in force.
-func (m *Master) Config() uint64 { return m.conf }
+func (m *Master) ConfigVersion() uint64 { return m.conf }
 
 func (m *Master) View() *meshpb.View { return m.view }
 
 // Hello makes a node known; it gives back the endpoint that the node had last.
-func (m *Master) Hello(n *meshpb.NodeState) (*meshpb.Endpoint, bool) {
+func (m *Master) RegisterNode(n *meshpb.NodeState) (*meshpb.Endpoint, bool) {
 	if !m.leading || !m.sure() {
 		return nil, false
 	}
@@ -334,7 +336,7 @@
 			continue
 		}
 		i++
-		after := time.Duration(i) * m.o.PerNode
+		after := time.Duration(i) * m.o.SendTimePerNode
 		req := &meshpb.RelayRequest{Poll: &meshpb.PollRequest{Epoch: ep, NextPollMs: uint64(min(m.spread(), next) / time.Millisecond)}, Stored: m.kept}
 		m.send("poll", req, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr, LastEndpoint: h.last}, func(a *meshpb.RelayAck) {
 			if m.epoch != ep || !m.leading || m.hs[name] != h || m.polls[name] != nil {
@@ -353,13 +355,13 @@
 // linger is how long a poll stays at a node: with many nodes longer, so that a
 // quiet mesh costs the master little.
 func (m *Master) linger() time.Duration {
-	return max(m.o.Linger, min(time.Duration(len(m.hs))*m.o.LingerPer, m.o.LingerMost))
+	return max(m.o.PollLinger, min(time.Duration(len(m.hs))*m.o.PollLingerPerNode, m.o.MaxPollLinger))
 }
 
 // sure stops all polls while the lease of shard 0 is not certain, so that the
 // nodes look for another master, and takes them up again after.
 func (m *Master) sure() bool {
-	ok := m.o.Leased == nil || m.o.Leased()
+	ok := m.o.HoldsLease == nil || m.o.HoldsLease()
 	if m.leading && !ok && !m.paused {
 		m.note("the lease of shard 0 is not certain; silent")
 		m.paused = true
@@ -410,7 +412,7 @@
 			if seq == 0 {
 				linger = 0
 			}
-			cx, cancel := context.WithTimeout(ctx, linger+m.o.Grace+late)
+			cx, cancel := context.WithTimeout(ctx, linger+m.o.PollGrace+late)
 			r, err := c.Poll(cx, &meshpb.PollRequest{Epoch: ep, Incarnation: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, LastEndpoint: last})
 			cancel()
 			if ctx.Err() != nil {
@@ -418,7 +420,7 @@
 			}
 			bad := err != nil || r.GetNode() == nil || r.Stale
 			done := make(chan struct{})
-			m.Loop.Post(func() {
+			m.Mailbox.Post(func() {
 				defer close(done)
 				if ctx.Err() != nil || !m.leading || m.epoch != ep {
 					return
@@ -449,7 +451,7 @@
 			}
 			if bad {
 				select {
-				case <-time.After(m.o.Grace / 2):
+				case <-time.After(m.o.PollGrace / 2):
 				case <-ctx.Done():
 				}
 			}
@@ -478,7 +480,7 @@
 		m.note("node %s: silent after %d polls", name, h.fails)
 		delete(m.sends, name)
 	}
-	if !h.reached && m.o.Now()-h.seen > 10*m.o.Linger {
+	if !h.reached && m.o.Now()-h.seen > 10*m.o.PollLinger {
 		if stop := m.polls[name]; stop != nil {
 			stop()
 			delete(m.polls, name)
@@ -494,7 +496,7 @@
 		return
 	}
 	m.dirty = true
-	time.AfterFunc(gatherFor, func() { m.Loop.Post(m.put) })
+	time.AfterFunc(gatherFor, func() { m.Mailbox.Post(m.put) })
 }
 
 func (m *Master) put() {
@@ -523,7 +525,7 @@
 // one and the states have settled.
 func (m *Master) Tick() {
 	now := m.o.Now()
-	if !m.leading || !m.sure() || m.making || now-m.since < max(m.o.Transition, 2*m.cast()) {
+	if !m.leading || !m.sure() || m.making || now-m.since < max(m.o.TakeoverDelay, 2*m.cast()) {
 		return
 	}
 	if m.rejoining && now-m.since > rejoin {
@@ -536,12 +538,12 @@
 	for n, h := range m.hs {
 		m.follow(n, h)
 	}
-	if len(m.ills) > 0 && now-m.judged > m.o.Interval {
+	if len(m.ills) > 0 && now-m.judged > m.o.ViewInterval {
 		m.judged = now
 		m.touch()
 	}
 	m.widen(now)
-	if now-m.made < max(m.o.Interval, m.cast()) || now-m.changed < m.o.Settle {
+	if now-m.made < max(m.o.ViewInterval, m.cast()) || now-m.changed < m.o.SettleTime {
 		return
 	}
 	if m.dirty {
@@ -550,7 +552,7 @@
 	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && sameWidths(m.hot, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.hs) {
 		return
 	}
-	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.Me, HotKeys: m.hot}
+	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.SelfAddr, HotKeys: m.hot}
 	for n, h := range m.hs {
 		v.NodeAddresses = append(v.NodeAddresses, n+" "+h.state.GetAddr())
 	}
@@ -561,7 +563,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
 		err := m.store.SaveView(ctx, v)
-		m.Loop.Post(func() {
+		m.Mailbox.Post(func() {
 			if m.epoch != ep || !m.leading {
 				return
 			}
@@ -577,11 +579,11 @@
 
 // widen looks at the keys that nodes read most, once in an interval.
 func (m *Master) widen(now time.Duration) {
-	if now-m.heated < m.o.Interval {
+	if now-m.heated < m.o.ViewInterval {
 		return
 	}
 	m.heated = now
-	hot, steps := m.hots.Judge(m.reads, m.inner, now, time.Now().UnixMicro())
+	hot, steps := m.hots.Update(m.reads, m.inner, now, time.Now().UnixMicro())
 	for _, s := range steps {
 		m.note("%s", s)
 	}
@@ -600,7 +602,7 @@
 }
 
 // Hot gives the hot keys and how many widths were raised and lowered.
-func (m *Master) Hot() ([]*meshpb.HotKey, *meshpb.HotCounts) {
+func (m *Master) HotKeys() ([]*meshpb.HotKey, *meshpb.HotCounts) {
 	return m.hot, &meshpb.HotCounts{Widened: m.hots.widened, Narrowed: m.hots.narrowed, Refused: m.hots.refused}
 }
 
@@ -648,7 +650,7 @@
 
 // spread is how long a small core machine takes to call all nodes once. After a
 // takeover polls go first, then configurations, then the view.
-func (m *Master) spread() time.Duration { return time.Duration(len(m.hs)) * m.o.PerNode }
+func (m *Master) spread() time.Duration { return time.Duration(len(m.hs)) * m.o.SendTimePerNode }
 
 // cast is how long it takes to bring the same to all nodes through relays.
 func (m *Master) cast() time.Duration {
@@ -724,7 +726,7 @@
 		return
 	}
 	unheard := c.life == ""
-	wait := m.o.Grace/2 + 3*m.cast()
+	wait := m.o.PollGrace/2 + 3*m.cast()
 	if len(m.steps) > 0 && !c.whole {
 		wait = m.cast()
 	}
--- a/internal/clustercontroller/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -24,7 +24,7 @@
 var caps = map[string]int{Down: 0, Maintenance: 0, Retired: 1, Draining: 1, Up: 2}
 
 // UserState tells whether an operator may set s.
-func UserState(s string) bool { return s == Up || s == Maintenance || s == Retired || s == Down }
+func ValidUserState(s string) bool { return s == Up || s == Maintenance || s == Retired || s == Down }
 
 // history is what the master remembers of one node beside its last report.
 type history struct {
--- a/internal/clustercontroller/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -21,11 +21,11 @@
 
 // Bundle is what a member holds of what the master names as kept: a configuration
 // as it is delivered and a view as it is published, nil where it holds another.
-type Bundle struct{ Config, View []byte }
+type StoredPayloads struct{ Config, View []byte }
 
 // Relay brings a request of the master's to several nodes and gathers what they
 // say. It keeps nothing: order and epochs are the nodes' to check.
-func Relay(ctx context.Context, lines *rpc.Clients, q *meshpb.RelayRequest, x func() Bundle) *meshpb.RelayResponse {
+func Relay(ctx context.Context, lines *rpc.Clients, q *meshpb.RelayRequest, x func() StoredPayloads) *meshpb.RelayResponse {
 	acks := make(chan *meshpb.RelayAck, len(q.Targets))
 	sem := make(chan bool, relayOnce)
 	go func() {
@@ -66,7 +66,7 @@
 	}
 }
 
-func relayed(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, x func() Bundle) *meshpb.RelayAck {
+func relayed(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, x func() StoredPayloads) *meshpb.RelayAck {
 	a := &meshpb.RelayAck{Name: to.Name}
 	var err error
 	switch {
@@ -92,7 +92,7 @@
 
 // fill gives a node that has just started what it lacks, and notes that it has
 // it now.
-func fill(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, s *meshpb.NodeState, bundle func() Bundle) {
+func fill(n meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, s *meshpb.NodeState, bundle func() StoredPayloads) {
 	k := q.Stored
 	if s == nil || k == nil || s.ConfigVersion > 0 && s.ViewVersion > 0 {
 		return
@@ -132,7 +132,7 @@
 func (m *Master) send(key string, req *meshpb.RelayRequest, to *meshpb.RelayTarget, done func(*meshpb.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
-		time.AfterFunc(gatherFor, func() { m.Loop.Post(m.flush) })
+		time.AfterFunc(gatherFor, func() { m.Mailbox.Post(m.flush) })
 	}
 	p := m.parcels[key]
 	if p == nil {
@@ -151,7 +151,7 @@
 	var out []string
 	now := m.o.Now()
 	for _, x := range m.membership.GetMembers() {
-		if x.Addr != m.o.Me && now >= m.shunned[x.Addr] && (m.o.Reached == nil || m.o.Reached(x.Addr)) && len(out) < mostRelays {
+		if x.Addr != m.o.SelfAddr && now >= m.shunned[x.Addr] && (m.o.InContact == nil || m.o.InContact(x.Addr)) && len(out) < mostRelays {
 			out = append(out, x.Addr)
 		}
 	}
@@ -190,19 +190,19 @@
 	}
 }
 
-func (m *Master) bundle(k *meshpb.StoredVersions) Bundle {
-	if k == nil || m.o.Bundle == nil {
-		return Bundle{}
+func (m *Master) bundle(k *meshpb.StoredVersions) StoredPayloads {
+	if k == nil || m.o.ReadStored == nil {
+		return StoredPayloads{}
 	}
-	return m.o.Bundle(k)
+	return m.o.ReadStored(k)
 }
 
 func (m *Master) direct(p *parcel, to *meshpb.RelayTarget) {
 	n := m.lines.Node(to.Addr)
 	done := p.done[to.Name]
 	go func() {
-		a := relayed(n, to, p.req, func() Bundle { return m.bundle(p.req.Stored) })
-		m.Loop.Post(func() { done(a) })
+		a := relayed(n, to, p.req, func() StoredPayloads { return m.bundle(p.req.Stored) })
+		m.Mailbox.Post(func() { done(a) })
 	}()
 }
 
@@ -213,7 +213,7 @@
 	q := &meshpb.RelayRequest{Targets: to, View: p.req.View, Config: p.req.Config, Poll: p.req.Poll, Stored: p.req.Stored}
 	go func() {
 		r, err := rpc.Call(relayWait, c.Relay, q)
-		m.Loop.Post(func() {
+		m.Mailbox.Post(func() {
 			got := map[string]bool{}
 			for _, a := range r.GetAcks() {
 				if d := p.done[a.Name]; d != nil && !got[a.Name] {
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -25,7 +25,7 @@
 	down   bool
 	hellos int
 	master string
-	bundle Bundle
+	bundle StoredPayloads
 }
 
 func (r *relayer) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
@@ -38,7 +38,7 @@
 		<-ctx.Done()
 		return nil, errCut
 	}
-	return Relay(ctx, r.lines, q, func() Bundle { return r.bundle }), nil
+	return Relay(ctx, r.lines, q, func() StoredPayloads { return r.bundle }), nil
 }
 
 func (r *relayer) RegisterNode(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
@@ -94,9 +94,9 @@
 func TestTakeoverReachesAllNodesThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, rs, membership := crowd(t, 120, 5)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(2, keptOf(120), map[string]string{}, conf(5, "d"), membership) })
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
+		s.do(func() { s.m.BecomeMaster(2, keptOf(120), map[string]string{}, conf(5, "d"), membership) })
 		pass(600 * time.Millisecond)
 		s.all(t, 5)
 		total := 0
@@ -121,11 +121,11 @@
 func TestMemberOutOfTouchIsNoRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, rs, membership := crowd(t, 60, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		rs[0].down = true
-		s.m.o.Reached = func(a string) bool { return a != "core0" }
-		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
+		s.m.o.InContact = func(a string) bool { return a != "core0" }
+		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
 		pass(time.Second)
 		s.all(t, 5)
 		s.do(func() { s.m.SetConfig(conf(6, "e")) })
@@ -138,11 +138,11 @@
 func TestRelayThatIsSilentOrCutOffIsGoneRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, rs, membership := crowd(t, 60, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		rs[0].down = true
 		rs[1].lines = rpc.NewClients(&http.Client{Transport: deadEnd{}})
-		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
+		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
 		pass(4 * time.Second)
 		s.all(t, 5)
 		was := rs[0].asked
@@ -156,12 +156,12 @@
 func TestNothingIsSentOrRelayedWithoutTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, rs, membership := crowd(t, 40, 2)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		held := true
 		s.do(func() {
-			s.m.o.Leased = func() bool { return held }
-			s.m.Lead(2, keptOf(40), map[string]string{}, conf(5, "d"), membership)
+			s.m.o.HoldsLease = func() bool { return held }
+			s.m.BecomeMaster(2, keptOf(40), map[string]string{}, conf(5, "d"), membership)
 		})
 		pass(time.Second)
 		s.all(t, 5)
@@ -182,9 +182,9 @@
 func TestDeadNodesDoNotHoldUpTheOthersOfTheirRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, membership := crowd(t, 60, 2)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
+		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
 		pass(time.Second)
 		for i := range 12 {
 			s.ns[5*i].set(true)
@@ -210,7 +210,7 @@
 		t0 := time.Now()
 		lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 		var rs []*relayer
-		a := &Agent{Name: "n", Life: "l", Quiet: time.Second, Now: func() time.Duration { return time.Since(t0) }, Note: func(string, ...any) {}, Lines: lines}
+		a := &Agent{Name: "n", Incarnation: "l", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(t0) }, Logf: func(string, ...any) {}, Clients: lines}
 		for i := range 9 {
 			r := &relayer{master: "c7"}
 			if i == 7 {
@@ -230,7 +230,7 @@
 		quiet := func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.Now()-a.polled > a.Quiet
+			return a.Now()-a.polled > a.RegisterAfter
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "l", Seq: 1, LingerMs: 10000})
@@ -253,14 +253,14 @@
 func TestNodesWithoutAViewGetTheLastOneAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, membership := crowd(t, 60, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		v := keptOf(60)
 		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: Up, Node: "n0", Inbound: "i0"}}
 		has := s.ns[7].agent
 		qt.Assert(t, has.take(&meshpb.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
-		s.m.o.Transition = 5 * time.Second
-		s.do(func() { s.m.Lead(2, v, map[string]string{}, conf(5, "d"), membership) })
+		s.m.o.TakeoverDelay = 5 * time.Second
+		s.do(func() { s.m.BecomeMaster(2, v, map[string]string{}, conf(5, "d"), membership) })
 		pass(400 * time.Millisecond)
 		for i, f := range s.ns {
 			want := uint64(9)
@@ -268,7 +268,7 @@
 				want = 8
 			}
 			qt.Check(t, f.agent.View().GetVersion(), qt.Equals, want, qt.Commentf("node %d", i))
-			qt.Check(t, f.agent.Config(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
+			qt.Check(t, f.agent.ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
 		}
 		pass(6 * time.Second)
 		for _, f := range s.ns {
@@ -285,22 +285,22 @@
 func TestEndpointsStayWhileTheirNodesFindThemAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, roll := crowd(t, 30, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		v := keptOf(30)
 		for i, f := range s.ns {
 			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
-			f.agent.Set(func(n *meshpb.NodeState) { n.Endpoint = nil })
+			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint = nil })
 		}
-		s.do(func() { s.m.Lead(2, v, map[string]string{}, conf(5, "d"), roll) })
+		s.do(func() { s.m.BecomeMaster(2, v, map[string]string{}, conf(5, "d"), roll) })
 		pass(time.Second)
 		qt.Assert(t, s.count(0), qt.Equals, 30)
 		for i, f := range s.ns[:20] {
-			f.agent.Set(func(n *meshpb.NodeState) {
+			f.agent.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}
 			})
 		}
-		s.ns[20].agent.Set(func(n *meshpb.NodeState) {
+		s.ns[20].agent.UpdateState(func(n *meshpb.NodeState) {
 			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Healthy: true, Slots: 4}
 		})
 		pass(500 * time.Millisecond)
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -134,11 +134,11 @@
 	now := func() time.Duration { return time.Since(t0) }
 	s := &stage{st: &saved{}, last: make([][]*meshpb.Endpoint, n)}
 	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
-	s.m = NewMaster(Options{Interval: 250 * time.Millisecond, Settle: 60 * time.Millisecond, Transition: 150 * time.Millisecond,
-		Linger: time.Second, Grace: 500 * time.Millisecond, Silent: 700 * time.Millisecond, Window: time.Minute, Crashes: 6, Fails: 2, Me: "m", Now: now}, replication.NewMailbox(), lines, s.st)
+	s.m = NewMaster(Options{ViewInterval: 250 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond,
+		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, replication.NewMailbox(), lines, s.st)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
-		a := &Agent{Name: fmt.Sprint("n", i), Life: "l", Quiet: time.Second, Now: now, Note: func(string, ...any) {}, Lines: lines}
+		a := &Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Logf: func(string, ...any) {}, Clients: lines}
 		a.OnView = func(v *meshpb.View) {
 			f.mu.Lock()
 			f.views = append(f.views, v.Version)
@@ -161,7 +161,7 @@
 		lines.PutNode(fmt.Sprint("a", i), f)
 		s.ns = append(s.ns, f)
 	}
-	go s.m.Loop.Run(50*time.Millisecond, s.m.Tick)
+	go s.m.Mailbox.Run(50*time.Millisecond, s.m.Tick)
 	return s
 }
 
@@ -170,13 +170,13 @@
 }
 
 func (s *stage) do(f func()) {
-	replication.Call(s.m.Loop, func() bool { f(); return true })
+	replication.Call(s.m.Mailbox, func() bool { f(); return true })
 	synctest.Wait()
 }
 
 func (s *stage) hello() {
 	for _, n := range s.ns {
-		s.do(func() { s.m.Hello(n.agent.node) })
+		s.do(func() { s.m.RegisterNode(n.agent.node) })
 	}
 }
 
@@ -191,20 +191,20 @@
 func TestChangesWithinTheSettleTimeMakeOneView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStage(t, 4)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
+		s.do(func() { s.m.BecomeMaster(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(2 * time.Second)
 		qt.Assert(t, s.count(0), qt.Equals, 4)
 		qt.Assert(t, s.ns[0].confs, qt.DeepEquals, []uint64{3})
 		before := s.st.v.Version
 		for _, f := range s.ns[1:] {
-			f.agent.Set(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		}
 		pass(time.Second)
 		qt.Assert(t, s.st.v.Version, qt.Equals, before+1)
-		s.do(func() { s.m.SetUsers(map[string]string{"n0": Down}, "n0") })
+		s.do(func() { s.m.SetUserStates(map[string]string{"n0": Down}, "n0") })
 		pass(time.Second)
 		qt.Assert(t, s.count(0), qt.Equals, 3)
 	})
@@ -213,16 +213,16 @@
 func TestMasterBackInOfficePollsAfreshAndKeepsItsNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStage(t, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
-		s.do(func() { s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
+		s.do(func() { s.m.BecomeMaster(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(2 * time.Second)
 		for _, f := range s.ns {
 			f.set(true)
 		}
 		pass(6 * time.Second)
-		s.do(s.m.Step)
+		s.do(s.m.StepDown)
 		for _, f := range s.ns {
 			f.set(false)
 		}
@@ -230,7 +230,7 @@
 		s.ns[0].mu.Lock()
 		s.sizes = nil
 		s.ns[0].mu.Unlock()
-		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
+		s.do(func() { s.m.BecomeMaster(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
 		s.hello()
 		pass(1500 * time.Millisecond)
 		for i, f := range s.ns {
@@ -246,10 +246,10 @@
 func TestColdMasterFindsItsNodesInTheKeptView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStage(t, 3)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		kept := &meshpb.View{Epoch: 1, Version: 9, NodeAddresses: []string{"n0 a0", "n1 a1", "n2 a2"}}
-		s.do(func() { s.m.Lead(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
+		s.do(func() { s.m.BecomeMaster(2, kept, map[string]string{}, conf(5, "d"), &meshpb.Membership{Version: 1}) })
 		pass(600 * time.Millisecond)
 		qt.Assert(t, s.st.v.Version > 9, qt.IsTrue)
 		qt.Assert(t, s.count(1), qt.Equals, 3)
@@ -259,7 +259,7 @@
 
 func TestNodesRefuseALowerEpochAndAnOlderVersion(t *testing.T) {
 	got := 0
-	a := &Agent{Name: "n", Life: "l", Now: func() time.Duration { return 0 }, Note: func(string, ...any) {},
+	a := &Agent{Name: "n", Incarnation: "l", Now: func() time.Duration { return 0 }, Logf: func(string, ...any) {},
 		OnView: func(*meshpb.View) { got++ }, OnConfig: func(uint64, []byte) error { return nil }}
 	a.Start(&meshpb.NodeState{Name: "n"})
 	c := context.Background()
@@ -285,12 +285,12 @@
 func TestMasterWithoutItsHoldLetsItsNodesGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStage(t, 2)
-		defer s.m.Loop.Close()
-		defer s.do(s.m.Step)
+		defer s.m.Mailbox.Close()
+		defer s.do(s.m.StepDown)
 		held := true
 		s.do(func() {
-			s.m.o.Leased = func() bool { return held }
-			s.m.Lead(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1})
+			s.m.o.HoldsLease = func() bool { return held }
+			s.m.BecomeMaster(1, nil, map[string]string{}, conf(3, "c"), &meshpb.Membership{Version: 1})
 		})
 		s.hello()
 		pass(2 * time.Second)
@@ -298,14 +298,14 @@
 			a := s.ns[i].agent
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.Now()-a.polled > a.Quiet
+			return a.Now()-a.polled > a.RegisterAfter
 		}
 		qt.Assert(t, quiet(0), qt.IsFalse)
 		s.do(func() { held = false })
 		pass(100 * time.Millisecond)
 		qt.Assert(t, quiet(0) && quiet(1), qt.IsTrue, qt.Commentf("nodes must look for another master at once"))
 		s.do(func() {
-			_, ok := s.m.Hello(s.ns[0].agent.node)
+			_, ok := s.m.RegisterNode(s.ns[0].agent.node)
 			qt.Check(t, ok, qt.IsFalse)
 			s.m.SetConfig(conf(9, "never"))
 		})
--- a/internal/controlapi/beats.go
+++ b/internal/controlapi/beats.go
@@ -9,7 +9,7 @@
 // Beats is the interface for the endpoint beside a node.
 type Beats struct {
 	Table
-	sub *endpointagent.Desk
+	sub *endpointagent.Agent
 }
 
 type beatReq struct {
@@ -23,7 +23,7 @@
 	CallSeq     uint64  `json:"callSeq"`
 }
 
-func NewBeats(s *endpointagent.Desk) *Beats {
+func NewBeats(s *endpointagent.Agent) *Beats {
 	b := &Beats{sub: s}
 	b.add("PUT /-/endpoints/{}", handle(nil, b.beat))
 	b.add("DELETE /-/endpoints/{}", handle(nil, b.leave))
@@ -37,12 +37,12 @@
 	if q.SlotCount < 1 {
 		return verdict{out: malformed, why: "slotCount must be 1 at least"}
 	}
-	b.sub.Beat(endpointagent.Beat{ID: c.id, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, Release: q.Version,
-		Slots: q.SlotCount, State: q.State, Cold: time.Duration(q.ColdLeftS * float64(time.Second)), Seq: q.CallSeq})
+	b.sub.RecordHeartbeat(endpointagent.Heartbeat{ID: c.id, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, SoftwareVersion: q.Version,
+		Slots: q.SlotCount, State: q.State, Warmup: time.Duration(q.ColdLeftS * float64(time.Second)), Seq: q.CallSeq})
 	return verdict{body: none{}}
 }
 
 func (b *Beats) leave(c call, _ none) verdict {
-	b.sub.Leave(c.id)
+	b.sub.Deregister(c.id)
 	return verdict{body: none{}}
 }
--- a/internal/endpointagent/subscriber.go
+++ b/internal/endpointagent/subscriber.go
@@ -13,71 +13,71 @@
 
 var Error = errs.Class("subscriber")
 
-type Reason string
+type RejectReason string
 
 const (
-	None     Reason = ""
-	NoLife   Reason = "no-life"
-	Other    Reason = "other-life"
-	Leaving  Reason = "draining"
-	Unsound  Reason = "unsound"
-	Full     Reason = "full"
-	Late     Reason = "late"
-	Stopping Reason = "stopping"
-	Quit     Reason = "gave-up"
+	NotRejected              RejectReason = ""
+	RejectedNoEndpoint       RejectReason = "no-life"
+	RejectedOtherIncarnation RejectReason = "other-life"
+	RejectedDraining         RejectReason = "draining"
+	RejectedUnhealthy        RejectReason = "unsound"
+	RejectedQueueFull        RejectReason = "full"
+	RejectedLate             RejectReason = "late"
+	RejectedStopping         RejectReason = "stopping"
+	RejectedCanceled         RejectReason = "gave-up"
 )
 
-type Beat struct {
-	ID      string
-	Service string
-	Addr    string
-	Zone    string
-	Release string
-	Slots   int
-	State   string
-	Cold    time.Duration
-	Seq     uint64
+type Heartbeat struct {
+	ID              string
+	Service         string
+	Addr            string
+	Zone            string
+	SoftwareVersion string
+	Slots           int
+	State           string
+	Warmup          time.Duration
+	Seq             uint64
 }
 
 // Life is what other nodes are told about the endpoint.
-type Life struct {
-	Beat
-	Sound bool
-	Known bool
+type Status struct {
+	Heartbeat
+	Healthy bool
+	Known   bool
 	// Ill is the share of its requests that it failed of late, in percent; 0
 	// while it does well enough.
-	Ill int
+	FailurePercent int
 }
 
 type Load struct {
-	Running int
-	Queued  int
-	Slots   int
-	Work    time.Duration
+	Running     int
+	Queued      int
+	Slots       int
+	ServiceTime time.Duration
 }
 
 type Options struct {
-	Service string
-	Beat    time.Duration
-	Missed  float64
-	Queue   float64
-	Now     func() time.Time
-	Note    func(f string, a ...any)
-	Changed func(Life)
+	Service           string
+	HeartbeatInterval time.Duration
+	MissedHeartbeats  float64
+	QueuePerSlot      float64
+	Now               func() time.Time
+	Logf              func(f string, a ...any)
+	OnChange          func(Status)
 }
 
 // Place orders the queue: what can still be answered in time goes first, then
 // by rank and deadline.
-type Place struct {
-	Late bool
-	Rank int
-	Due  time.Time
+type Priority struct {
+	Late     bool
+	Rank     int
+	Deadline time.Time
 	// Hot marks a read of a key that draws a crowd: it stands behind others of
 	// its rank, and leaves a share of the slots to them.
 	Hot bool
 }
 
-func (p Place) before(o Place) bool {
+func (p Priority) before(o Priority) bool {
 	if p.Late != o.Late {
 		return o.Late
 	}
@@ -87,19 +87,19 @@
 	if p.Hot != o.Hot {
 		return o.Hot
 	}
-	return p.Due.Before(o.Due)
+	return p.Deadline.Before(o.Deadline)
 }
 
 type seat struct {
-	Place
-	ch chan Reason
+	Priority
+	ch chan RejectReason
 	ix int
 }
 
 type line []*seat
 
 func (l line) Len() int           { return len(l) }
-func (l line) Less(i, j int) bool { return l[i].before(l[j].Place) }
+func (l line) Less(i, j int) bool { return l[i].before(l[j].Priority) }
 func (l line) Swap(i, j int)      { l[i], l[j] = l[j], l[i]; l[i].ix, l[j].ix = i, j }
 func (l *line) Push(x any)        { s := x.(*seat); s.ix = len(*l); *l = append(*l, s) }
 func (l *line) Pop() any {
@@ -111,10 +111,10 @@
 }
 
 // Desk is guarded by one short lock; nothing blocks while it is held.
-type Desk struct {
+type Agent struct {
 	o      Options
 	mu     sync.Mutex
-	life   Life
+	life   Status
 	dead   map[string]uint64
 	last   time.Time
 	coldTo time.Time
@@ -136,7 +136,7 @@
 )
 
 // hotMost is how many slots reads of hot keys may hold now.
-func (d *Desk) hotMost(now time.Time) int {
+func (d *Agent) hotMost(now time.Time) int {
 	n := max(d.life.Slots, 1)
 	if now.Sub(d.other) > sparedFor || n == 1 {
 		return n
@@ -144,26 +144,26 @@
 	return n - max(n/spared, 1)
 }
 
-func New(o Options) *Desk {
+func New(o Options) *Agent {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	return &Desk{o: o, dead: map[string]uint64{}}
+	return &Agent{o: o, dead: map[string]uint64{}}
 }
 
-func (d *Desk) changed(was Life) func() {
+func (d *Agent) changed(was Status) func() {
 	l := d.life
-	if l.ID == was.ID && l.State == was.State && l.Sound == was.Sound && l.Slots == was.Slots && l.Known == was.Known && l.Ill == was.Ill &&
-		(l.Cold > 0) == (was.Cold > 0) {
+	if l.ID == was.ID && l.State == was.State && l.Healthy == was.Healthy && l.Slots == was.Slots && l.Known == was.Known && l.FailurePercent == was.FailurePercent &&
+		(l.Warmup > 0) == (was.Warmup > 0) {
 		return func() {}
 	}
-	d.o.Note("endpoint %s: %s sound=%v slots=%d cold=%v (was %s %s sound=%v)", l.ID, l.State, l.Sound, l.Slots, l.Cold, was.ID, was.State, was.Sound)
-	return func() { d.o.Changed(l) }
+	d.o.Logf("endpoint %s: %s sound=%v slots=%d cold=%v (was %s %s sound=%v)", l.ID, l.State, l.Healthy, l.Slots, l.Warmup, was.ID, was.State, was.Healthy)
+	return func() { d.o.OnChange(l) }
 }
 
 // Beat takes an endpoint's own word. False means that the call was late or of
 // a life that has ended.
-func (d *Desk) Beat(b Beat) bool {
+func (d *Agent) RecordHeartbeat(b Heartbeat) bool {
 	d.mu.Lock()
 	was := d.life
 	if n, ok := d.dead[b.ID]; ok && b.Seq <= n || b.ID == was.ID && was.Known && b.Seq != 0 && b.Seq <= was.Seq {
@@ -176,7 +176,7 @@
 			d.mu.Unlock()
 			return false
 		}
-		d.flush(Other)
+		d.flush(RejectedOtherIncarnation)
 		d.run, d.hot = 0, 0
 	}
 	if was.ID == b.ID && was.State == "draining" && b.State == "ready" {
@@ -185,14 +185,14 @@
 	if was.ID != b.ID {
 		d.ills = illness{}
 	}
-	d.life = Life{Beat: b, Sound: true, Known: true, Ill: d.ills.ill}
+	d.life = Status{Heartbeat: b, Healthy: true, Known: true, FailurePercent: d.ills.ill}
 	d.last = d.o.Now()
-	d.coldTo = d.last.Add(b.Cold)
-	if was.ID != b.ID || !was.Sound {
+	d.coldTo = d.last.Add(b.Warmup)
+	if was.ID != b.ID || !was.Healthy {
 		d.fails = 0
 	}
 	if b.State != "ready" {
-		d.flush(Leaving)
+		d.flush(RejectedDraining)
 	}
 	d.fill()
 	f := d.changed(was)
@@ -201,13 +201,13 @@
 	return true
 }
 
-func (d *Desk) Leave(id string) {
+func (d *Agent) Deregister(id string) {
 	d.mu.Lock()
 	was := d.life
 	d.dead[id] = 1 << 62
 	if d.life.ID == id {
 		d.life.State = "gone"
-		d.flush(Leaving)
+		d.flush(RejectedDraining)
 	}
 	f := d.changed(was)
 	d.mu.Unlock()
@@ -215,55 +215,55 @@
 }
 
 // Found notes an endpoint that answered a probe before its first beat.
-func (d *Desk) Found(id string, slots int) {
+func (d *Agent) RecordProbe(id string, slots int) {
 	d.mu.Lock()
 	was := d.life
 	if was.Known || id == "" || d.dead[id] > 0 {
 		d.mu.Unlock()
 		return
 	}
-	d.life = Life{Beat: Beat{ID: id, Service: d.o.Service, Slots: slots, State: "ready"}, Sound: true, Known: true}
+	d.life = Status{Heartbeat: Heartbeat{ID: id, Service: d.o.Service, Slots: slots, State: "ready"}, Healthy: true, Known: true}
 	d.last = d.o.Now()
 	f := d.changed(was)
 	d.mu.Unlock()
 	f()
 }
 
-func (d *Desk) Stop() {
+func (d *Agent) Stop() {
 	d.mu.Lock()
 	d.stop = true
-	d.flush(Stopping)
+	d.flush(RejectedStopping)
 	d.mu.Unlock()
 }
 
 // Tick marks an endpoint whose beats stay out.
-func (d *Desk) Tick() {
+func (d *Agent) Tick() {
 	d.mu.Lock()
 	was := d.life
 	now := d.o.Now()
-	if d.life.Known && d.life.Sound && now.Sub(d.last) > time.Duration(d.o.Missed*float64(d.o.Beat)) {
-		d.life.Sound = false
-		d.flush(Unsound)
+	if d.life.Known && d.life.Healthy && now.Sub(d.last) > time.Duration(d.o.MissedHeartbeats*float64(d.o.HeartbeatInterval)) {
+		d.life.Healthy = false
+		d.flush(RejectedUnhealthy)
 	}
-	if d.life.Cold > 0 && now.After(d.coldTo) {
-		d.life.Cold = 0
+	if d.life.Warmup > 0 && now.After(d.coldTo) {
+		d.life.Warmup = 0
 	}
 	d.ills.fade(now)
-	d.life.Ill = d.ills.ill
+	d.life.FailurePercent = d.ills.ill
 	f := d.changed(was)
 	d.mu.Unlock()
 	f()
 }
 
 // Refused notes that the endpoint's address took no connection.
-func (d *Desk) Refused(id string) {
+func (d *Agent) RecordConnectionRefused(id string) {
 	d.mu.Lock()
 	was := d.life
 	if d.life.ID == id {
 		d.fails++
-		if d.fails >= 2 && d.life.Sound {
-			d.life.Sound = false
-			d.flush(Unsound)
+		if d.fails >= 2 && d.life.Healthy {
+			d.life.Healthy = false
+			d.flush(RejectedUnhealthy)
 		}
 	}
 	f := d.changed(was)
@@ -272,7 +272,7 @@
 }
 
 // Answered notes that the endpoint answered something.
-func (d *Desk) Answered(id string, took time.Duration) {
+func (d *Agent) RecordResponse(id string, took time.Duration) {
 	d.mu.Lock()
 	was := d.life
 	if d.life.ID == id {
@@ -291,55 +291,55 @@
 }
 
 // Judged notes whether the endpoint did what it was asked.
-func (d *Desk) Judged(id string, good bool) {
+func (d *Agent) RecordOutcome(id string, good bool) {
 	d.mu.Lock()
 	was := d.life
 	if d.life.ID == id {
 		d.ills.note(good, d.o.Now())
-		d.life.Ill = d.ills.ill
+		d.life.FailurePercent = d.ills.ill
 	}
 	f := d.changed(was)
 	d.mu.Unlock()
 	f()
 }
 
-func (d *Desk) Life() Life {
+func (d *Agent) Status() Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.life
 }
 
-func (d *Desk) Load() Load {
+func (d *Agent) Load() Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Load{d.run, len(d.wait), max(d.life.Slots, 1), d.work}
 }
 
-func (d *Desk) flush(r Reason) {
+func (d *Agent) flush(r RejectReason) {
 	for len(d.wait) > 0 {
 		heap.Pop(&d.wait).(*seat).ch <- r
 	}
 }
 
-func (d *Desk) open(id string) Reason {
+func (d *Agent) open(id string) RejectReason {
 	switch {
 	case d.stop:
-		return Stopping
+		return RejectedStopping
 	case !d.life.Known:
-		return NoLife
+		return RejectedNoEndpoint
 	case d.life.ID != id:
-		return Other
+		return RejectedOtherIncarnation
 	case d.life.State != "ready":
-		return Leaving
-	case !d.life.Sound:
-		return Unsound
+		return RejectedDraining
+	case !d.life.Healthy:
+		return RejectedUnhealthy
 	}
-	return None
+	return NotRejected
 }
 
 // fill gives free slots to those who wait; hot reads that may have no more of
 // them let others pass.
-func (d *Desk) fill() {
+func (d *Agent) fill() {
 	var passed []*seat
 	for len(d.wait) > 0 && d.run < d.life.Slots {
 		s := heap.Pop(&d.wait).(*seat)
@@ -348,7 +348,7 @@
 			continue
 		}
 		d.take(s.Hot)
-		s.ch <- None
+		s.ch <- NotRejected
 	}
 	for _, s := range passed {
 		heap.Push(&d.wait, s)
@@ -356,7 +356,7 @@
 }
 
 // onlyHot tells that none but hot reads wait.
-func (d *Desk) onlyHot() bool {
+func (d *Agent) onlyHot() bool {
 	for _, s := range d.wait {
 		if !s.Hot {
 			return false
@@ -365,7 +365,7 @@
 	return true
 }
 
-func (d *Desk) take(hot bool) {
+func (d *Agent) take(hot bool) {
 	d.run++
 	if hot {
 		d.hot++
@@ -375,9 +375,9 @@
 // Admit waits for a slot by rank and deadline, or turns away at once where the
 // wait would be longer than most. With None the caller holds a slot of the
 // life id and must call the release it gets.
-func (d *Desk) Admit(ctx context.Context, id string, at Place, most time.Duration) (func(), Reason) {
+func (d *Agent) Admit(ctx context.Context, id string, at Priority, most time.Duration) (func(), RejectReason) {
 	d.mu.Lock()
-	if r := d.open(id); r != None {
+	if r := d.open(id); r != NotRejected {
 		d.mu.Unlock()
 		return nil, r
 	}
@@ -388,33 +388,33 @@
 	if d.run < d.life.Slots && (len(d.wait) == 0 || !at.Hot && d.onlyHot()) && !(at.Hot && d.hot >= d.hotMost(now)) {
 		d.take(at.Hot)
 		d.mu.Unlock()
-		return d.releaser(id, at.Hot), None
+		return d.releaser(id, at.Hot), NotRejected
 	}
 	ahead := 1
 	for _, s := range d.wait {
-		if !at.before(s.Place) {
+		if !at.before(s.Priority) {
 			ahead++
 		}
 	}
 	est := d.work * time.Duration(ahead) / time.Duration(max(d.life.Slots, 1))
-	if est > most || len(d.wait) >= int(d.o.Queue*float64(d.life.Slots))+2 {
+	if est > most || len(d.wait) >= int(d.o.QueuePerSlot*float64(d.life.Slots))+2 {
 		d.mu.Unlock()
-		return nil, Full
+		return nil, RejectedQueueFull
 	}
-	s := &seat{Place: at, ch: make(chan Reason, 1)}
+	s := &seat{Priority: at, ch: make(chan RejectReason, 1)}
 	heap.Push(&d.wait, s)
 	d.mu.Unlock()
-	t := time.NewTimer(at.Due.Sub(now))
+	t := time.NewTimer(at.Deadline.Sub(now))
 	defer t.Stop()
-	r := Quit
+	r := RejectedCanceled
 	select {
 	case r := <-s.ch:
-		if r == None {
-			return d.releaser(id, at.Hot), None
+		if r == NotRejected {
+			return d.releaser(id, at.Hot), NotRejected
 		}
 		return nil, r
 	case <-t.C:
-		r = Late
+		r = RejectedLate
 	case <-ctx.Done():
 	}
 	d.mu.Lock()
@@ -424,13 +424,13 @@
 		return nil, r
 	}
 	d.mu.Unlock()
-	if x := <-s.ch; x == None {
+	if x := <-s.ch; x == NotRejected {
 		d.releaser(id, at.Hot)()
 	}
 	return nil, r
 }
 
-func (d *Desk) releaser(id string, hot bool) func() {
+func (d *Agent) releaser(id string, hot bool) func() {
 	return func() {
 		d.mu.Lock()
 		if d.life.ID == id && d.run > 0 {
@@ -438,7 +438,7 @@
 			if hot {
 				d.hot--
 			}
-			if d.open(id) == None {
+			if d.open(id) == NotRejected {
 				d.fill()
 			}
 		}
--- a/internal/endpointagent/subscriber_test.go
+++ b/internal/endpointagent/subscriber_test.go
@@ -30,12 +30,12 @@
 	rec(make([]int, len(lens)), nil)
 }
 
-func desk(now func() time.Time) *Desk {
-	return New(Options{Service: "s", Beat: time.Second, Missed: 3, Queue: 1, Now: now, Note: func(string, ...any) {}, Changed: func(Life) {}})
+func desk(now func() time.Time) *Agent {
+	return New(Options{Service: "s", HeartbeatInterval: time.Second, MissedHeartbeats: 3, QueuePerSlot: 1, Now: now, Logf: func(string, ...any) {}, OnChange: func(Status) {}})
 }
 
-func beat(id, state string, seq uint64) Beat {
-	return Beat{ID: id, Service: "s", Slots: 1, State: state, Seq: seq}
+func beat(id, state string, seq uint64) Heartbeat {
+	return Heartbeat{ID: id, Service: "s", Slots: 1, State: state, Seq: seq}
 }
 
 // Two requests, a drain and a new life, in every order: at most one request
@@ -47,12 +47,12 @@
 		n++
 		synctest.Test(t, func(t *testing.T) {
 			d := desk(time.Now)
-			d.Beat(beat("a", "ready", 1))
+			d.RecordHeartbeat(beat("a", "ready", 1))
 			running, drained := 0, false
 			life := "a"
 			type req struct {
 				free func()
-				why  Reason
+				why  RejectReason
 				back chan struct{}
 			}
 			rs := [2]req{}
@@ -66,32 +66,32 @@
 					r.back = make(chan struct{})
 					late := drained
 					go func() {
-						r.free, r.why = d.Admit(ctx, "a", Place{Rank: who, Due: time.Now().Add(time.Hour)}, time.Hour)
+						r.free, r.why = d.Admit(ctx, "a", Priority{Rank: who, Deadline: time.Now().Add(time.Hour)}, time.Hour)
 						close(r.back)
 					}()
 					synctest.Wait()
 					if late {
 						<-r.back
-						qt.Check(t, r.why, qt.Not(qt.Equals), None, qt.Commentf("%v: let in after the drain", order))
+						qt.Check(t, r.why, qt.Not(qt.Equals), NotRejected, qt.Commentf("%v: let in after the drain", order))
 					}
 				case who < 2:
 					r := &rs[who]
 					select {
 					case <-r.back:
-						if r.why == None {
+						if r.why == NotRejected {
 							r.free()
-							r.why = Quit
+							r.why = RejectedCanceled
 							synctest.Wait()
 						}
 					default:
 					}
 				case step[2] == 0:
-					d.Beat(beat("a", "draining", 2))
+					d.RecordHeartbeat(beat("a", "draining", 2))
 					drained = true
 				case step[2] == 1:
-					d.Leave("a")
+					d.Deregister("a")
 				default:
-					qt.Check(t, d.Beat(beat("b", "ready", 1)), qt.IsTrue)
+					qt.Check(t, d.RecordHeartbeat(beat("b", "ready", 1)), qt.IsTrue)
 					life = "b"
 				}
 				step[who]++
@@ -103,7 +103,7 @@
 					}
 					select {
 					case <-rs[i].back:
-						if rs[i].why == None {
+						if rs[i].why == NotRejected {
 							running++
 						}
 					default:
@@ -112,11 +112,11 @@
 				}
 				qt.Check(t, running <= 1, qt.IsTrue, qt.Commentf("%v: %d in one slot", order, running))
 			}
-			qt.Check(t, d.Life().ID, qt.Equals, life)
-			qt.Check(t, d.Beat(beat("a", "ready", 9)), qt.IsFalse, qt.Commentf("an ended life came back"))
-			qt.Check(t, d.Life().ID, qt.Equals, "b")
-			free, why := d.Admit(ctx, "b", Place{Due: time.Now().Add(time.Hour)}, time.Hour)
-			qt.Check(t, why, qt.Equals, None)
+			qt.Check(t, d.Status().ID, qt.Equals, life)
+			qt.Check(t, d.RecordHeartbeat(beat("a", "ready", 9)), qt.IsFalse, qt.Commentf("an ended life came back"))
+			qt.Check(t, d.Status().ID, qt.Equals, "b")
+			free, why := d.Admit(ctx, "b", Priority{Deadline: time.Now().Add(time.Hour)}, time.Hour)
+			qt.Check(t, why, qt.Equals, NotRejected)
 			free()
 		})
 	})
@@ -128,11 +128,11 @@
 		d := desk(time.Now)
 		b := beat("a", "ready", 1)
 		b.Slots = 4
-		d.Beat(b)
+		d.RecordHeartbeat(b)
 		var held []func()
 		for i := 0; i < 4; i++ {
-			f, why := d.Admit(context.Background(), "a", Place{Due: time.Now().Add(time.Minute)}, time.Minute)
-			qt.Assert(t, why, qt.Equals, None)
+			f, why := d.Admit(context.Background(), "a", Priority{Deadline: time.Now().Add(time.Minute)}, time.Minute)
+			qt.Assert(t, why, qt.Equals, NotRejected)
 			held = append(held, f)
 		}
 		got := make(chan string, 8)
@@ -142,7 +142,7 @@
 			due  time.Duration
 		}{{false, 2, 10}, {false, 1, 30}, {true, 0, 5}, {false, 1, 20}, {false, 0, 40}} {
 			go func() {
-				f, why := d.Admit(context.Background(), "a", Place{Late: x.late, Rank: x.rank, Due: time.Now().Add(x.due * time.Second)}, time.Minute)
+				f, why := d.Admit(context.Background(), "a", Priority{Late: x.late, Rank: x.rank, Deadline: time.Now().Add(x.due * time.Second)}, time.Minute)
 				got <- fmt.Sprintf("%d %d %s", x.rank, int(x.due), why)
 				if f != nil {
 					f()
@@ -161,34 +161,34 @@
 func TestSilentEndpointIsUnsoundUntilItsNextBeat(t *testing.T) {
 	now := time.Unix(0, 0)
 	d := desk(func() time.Time { return now })
-	d.Beat(beat("a", "ready", 1))
+	d.RecordHeartbeat(beat("a", "ready", 1))
 	now = now.Add(3500 * time.Millisecond)
 	d.Tick()
-	_, why := d.Admit(context.Background(), "a", Place{Due: now.Add(time.Second)}, time.Second)
-	qt.Check(t, why, qt.Equals, Unsound)
-	qt.Check(t, d.Beat(beat("a", "ready", 1)), qt.IsFalse)
-	qt.Check(t, d.Beat(beat("a", "ready", 2)), qt.IsTrue)
-	f, why := d.Admit(context.Background(), "a", Place{Due: now.Add(time.Second)}, time.Second)
-	qt.Check(t, why, qt.Equals, None)
+	_, why := d.Admit(context.Background(), "a", Priority{Deadline: now.Add(time.Second)}, time.Second)
+	qt.Check(t, why, qt.Equals, RejectedUnhealthy)
+	qt.Check(t, d.RecordHeartbeat(beat("a", "ready", 1)), qt.IsFalse)
+	qt.Check(t, d.RecordHeartbeat(beat("a", "ready", 2)), qt.IsTrue)
+	f, why := d.Admit(context.Background(), "a", Priority{Deadline: now.Add(time.Second)}, time.Second)
+	qt.Check(t, why, qt.Equals, NotRejected)
 	f()
 }
 
 func TestHotReadsLeaveSlotsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Options{Beat: time.Hour, Missed: 3, Queue: 1, Note: func(string, ...any) {}, Changed: func(Life) {}})
-		d.Beat(Beat{ID: "a", Slots: 8, State: "ready", Seq: 1})
-		at := func(hot bool) Place { return Place{Due: time.Now().Add(time.Minute), Hot: hot} }
+		d := New(Options{HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(Status) {}})
+		d.RecordHeartbeat(Heartbeat{ID: "a", Slots: 8, State: "ready", Seq: 1})
+		at := func(hot bool) Priority { return Priority{Deadline: time.Now().Add(time.Minute), Hot: hot} }
 		free, why := d.Admit(context.Background(), "a", at(false), 0)
-		qt.Assert(t, why, qt.Equals, None)
+		qt.Assert(t, why, qt.Equals, NotRejected)
 		free()
 		var frees []func()
 		for range 6 {
 			f, why := d.Admit(context.Background(), "a", at(true), 0)
-			qt.Assert(t, why, qt.Equals, None)
+			qt.Assert(t, why, qt.Equals, NotRejected)
 			frees = append(frees, f)
 		}
 		// One more waits, and others pass it.
-		got := make(chan Reason, 1)
+		got := make(chan RejectReason, 1)
 		go func() {
 			f, why := d.Admit(context.Background(), "a", at(true), time.Minute)
 			got <- why
@@ -198,7 +198,7 @@
 		qt.Assert(t, len(got), qt.Equals, 0)
 		for range 2 {
 			f, why := d.Admit(context.Background(), "a", at(false), 0)
-			qt.Assert(t, why, qt.Equals, None)
+			qt.Assert(t, why, qt.Equals, NotRejected)
 			frees = append(frees, f)
 		}
 		frees[7]()
@@ -206,7 +206,7 @@
 		qt.Assert(t, len(got), qt.Equals, 0, qt.Commentf("that slot is not for hot reads"))
 		frees[0]()
 		synctest.Wait()
-		qt.Assert(t, <-got, qt.Equals, None)
+		qt.Assert(t, <-got, qt.Equals, NotRejected)
 		for _, f := range frees[1:7] {
 			f()
 		}
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -149,7 +149,7 @@
 	Tickets *requestlog.Recorder
 	Plan    atomic.Pointer[routeconfig.Table]
 	End     *Endpoint
-	Desk    *endpointagent.Desk
+	Desk    *endpointagent.Agent
 	Keys    *proxy.KeyMeter
 	zone    string
 }
@@ -167,17 +167,17 @@
 	seq    uint64
 	ids    atomic.Int64
 	states map[string]string
-	hots   *clustercontroller.HotKeys
+	hots   *clustercontroller.HotKeyTracker
 	hot    []*meshpb.HotKey
-	ho     clustercontroller.HotOptions
+	ho     clustercontroller.HotKeyOptions
 }
 
 // Watch lets the mesh set widths for hot keys every quarter of a second, as a
 // master does, from what the nodes say each half second; it ends with the
 // context. Widths gives each view's to seen.
-func (m *Mesh) Watch(ctx context.Context, o clustercontroller.HotOptions, seen func([]*meshpb.HotKey)) {
+func (m *Mesh) Watch(ctx context.Context, o clustercontroller.HotKeyOptions, seen func([]*meshpb.HotKey)) {
 	m.mu.Lock()
-	m.ho, m.hots = o, clustercontroller.NewHotKeys(o)
+	m.ho, m.hots = o, clustercontroller.NewHotKeyTracker(o)
 	m.mu.Unlock()
 	said := map[string][]*meshpb.KeyRate{}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -188,7 +188,7 @@
 				said[n.Name], _ = n.Keys.Rates()
 			}
 		}
-		hot, steps := m.hots.Judge(maps.Values(said), m.view.Endpoints, time.Since(m.t0), time.Now().UnixMicro())
+		hot, steps := m.hots.Update(maps.Values(said), m.view.Endpoints, time.Since(m.t0), time.Now().UnixMicro())
 		m.hot = hot
 		m.mu.Unlock()
 		if len(steps) > 0 {
@@ -204,8 +204,8 @@
 func (m *Mesh) TakeOver() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hots = clustercontroller.NewHotKeys(m.ho)
-	m.hots.Load(m.view.HotKeys, time.Since(m.t0))
+	m.hots = clustercontroller.NewHotKeyTracker(m.ho)
+	m.hots.Restore(m.view.HotKeys, time.Since(m.t0))
 }
 
 // Hot gives the view's hot keys.
@@ -249,8 +249,8 @@
 func (m *Mesh) Add(e *Endpoint) *Node {
 	n := &Node{Name: "node-" + e.ID, End: e, zone: e.Zone}
 	go e.serve(m.Wires.Listen("app-" + e.ID))
-	n.Desk = endpointagent.New(endpointagent.Options{Service: e.Service, Beat: time.Hour, Missed: 3, Queue: 1.5, Note: func(string, ...any) {}, Changed: func(endpointagent.Life) {}})
-	n.Desk.Beat(endpointagent.Beat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
+	n.Desk = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+	n.Desk.RecordHeartbeat(endpointagent.Heartbeat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
 	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Desk: n.Desk, Line: proxy.NewAppLine(m.Wires.Line(), m.Wires.Line()), Peek: 64 << 10})
 	go (&http.Server{Handler: in}).Serve(m.Wires.Listen("in-" + e.ID))
 	n.Pools = proxy.NewPools(e.Zone, 2.2, 5).SlowStart(time.Second)
--- a/internal/meshtest/hot_test.go
+++ b/internal/meshtest/hot_test.go
@@ -74,9 +74,9 @@
 		m := New(es...)
 		m.Push(crowdRules(t, keyed))
 		ctx, stop := context.WithCancel(context.Background())
-		o := clustercontroller.HotOptions{Share: 0.4, Most: 16, Width: 8, Fall: 3 * time.Second}
+		o := clustercontroller.HotKeyOptions{SlotShare: 0.4, MaxKeys: 16, MaxWidth: 8, NarrowAfter: 3 * time.Second}
 		if !spread {
-			o.Most = 0
+			o.MaxKeys = 0
 		}
 		go m.Watch(ctx, o, func(hs []*meshpb.HotKey) {
 			w := 1
--- a/internal/meshtest/session_test.go
+++ b/internal/meshtest/session_test.go
@@ -176,7 +176,7 @@
 			m.Push(doc(t, 2, "buy", 3, alone))
 			at = time.Now()
 			n := m.Nodes[1]
-			n.Desk.Leave("e1")
+			n.Desk.Deregister("e1")
 			time.Sleep(120 * time.Millisecond)
 			m.Publish(map[string]string{"e1": "draining"})
 			time.Sleep(2 * time.Second)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -167,7 +167,7 @@
 	bud  *Budget
 	due  atomic.Bool
 	f    fault
-	subs []*endpointagent.Desk
+	subs []*endpointagent.Agent
 	l    *http.Transport
 }
 
@@ -198,8 +198,8 @@
 		default:
 			e.Inbound = in
 			go s.serve(id, s.h.listen(app))
-			d := endpointagent.New(endpointagent.Options{Service: "s", Beat: time.Hour, Missed: 3, Queue: 1, Note: func(string, ...any) {}, Changed: func(endpointagent.Life) {}})
-			d.Beat(endpointagent.Beat{ID: id, Slots: 4, State: "ready", Seq: 1})
+			d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+			d.RecordHeartbeat(endpointagent.Heartbeat{ID: id, Slots: 4, State: "ready", Seq: 1})
 			s.subs = append(s.subs, d)
 			go (&http.Server{Handler: NewInbound(InboundOptions{AppAddr: app, Desk: d, Line: NewAppLine(s.h.line(), s.h.line()), Peek: 64 << 10})}).Serve(s.h.listen(in))
 		}
@@ -382,7 +382,7 @@
 						defer s.close()
 						s.due.Store(true)
 						if s.subs != nil {
-							s.subs[0].Beat(endpointagent.Beat{ID: "e0", Slots: 4, State: "draining", Seq: 2})
+							s.subs[0].RecordHeartbeat(endpointagent.Heartbeat{ID: "e0", Slots: 4, State: "draining", Seq: 2})
 						}
 						for i := range 4 {
 							id := fmt.Sprint("r", i)
@@ -623,7 +623,7 @@
 		defer s.close()
 		s.due.Store(true)
 		for i, d := range s.subs[1:] {
-			d.Beat(endpointagent.Beat{ID: fmt.Sprint("e", i+1), Slots: 4, State: "draining", Seq: 2})
+			d.RecordHeartbeat(endpointagent.Heartbeat{ID: fmt.Sprint("e", i+1), Slots: 4, State: "draining", Seq: 2})
 		}
 		ran := 0
 		for i := range 8 {
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -19,7 +19,7 @@
 	// LinkMbps is what this machine's link takes, 0 if not known.
 	LinkMbps float64
 	Pacer    *Pacer
-	Desk     *endpointagent.Desk
+	Desk     *endpointagent.Agent
 	Line     *AppLine
 	Note     func(f string, a ...any)
 	Peek     int
@@ -112,7 +112,7 @@
 func (n *Inbound) loadText() string {
 	l := n.o.Desk.Load()
 	link := n.link()
-	return fmt.Sprintf("%d,%d,%d,%d,%d", l.Running, l.Queued, l.Slots, l.Work/time.Millisecond, min(link, 100))
+	return fmt.Sprintf("%d,%d,%d,%d,%d", l.Running, l.Queued, l.Slots, l.ServiceTime/time.Millisecond, min(link, 100))
 }
 
 func (n *Inbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -157,8 +157,8 @@
 	if h := v.r.Header.Get(hdrHeavy); h != "" && v.n.o.Pacer.behind(time.Now()) > fullLink[h] {
 		return v.say(sayBounced, "link")
 	}
-	free, why := v.n.o.Desk.Admit(v.ctx, v.life, endpointagent.Place{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Due: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
-	if why != endpointagent.None {
+	free, why := v.n.o.Desk.Admit(v.ctx, v.life, endpointagent.Priority{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Deadline: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
+	if why != endpointagent.NotRejected {
 		return v.say(sayBounced, string(why))
 	}
 	v.free = sync.OnceFunc(free)
@@ -200,7 +200,7 @@
 		}
 		return v.say(sayLate, "deadline")
 	case s == saidDialFailed:
-		n.o.Desk.Refused(v.life)
+		n.o.Desk.RecordConnectionRefused(v.life)
 		return v.say(sayRefused, "dial")
 	case s == saidNothingSent:
 		return v.say(sayRefused, "unsent")
@@ -210,7 +210,7 @@
 }
 
 // note tells the desk whether the endpoint did what was asked of it.
-func (v *visit) note(good bool) { v.n.o.Desk.Judged(v.life, good) }
+func (v *visit) note(good bool) { v.n.o.Desk.RecordOutcome(v.life, good) }
 
 // holdMost bounds the answers that a node holds whole for its link, so that the
 // endpoint's slot is free before they are on their way.
@@ -235,7 +235,7 @@
 	}
 	v.note(p.StatusCode < 500)
 	if whole {
-		n.o.Desk.Answered(v.life, time.Since(t0))
+		n.o.Desk.RecordResponse(v.life, time.Since(t0))
 		v.free()
 	} else {
 		writeBy(v.w, v.due)
@@ -245,7 +245,7 @@
 	begin(v.w, v.r.Method, p, b, whole)
 	finish(v.w, p, b, whole, n.o.Pacer, v.due)
 	if !whole {
-		n.o.Desk.Answered(v.life, time.Since(t0))
+		n.o.Desk.RecordResponse(v.life, time.Since(t0))
 	}
 	return true
 }
--- a/internal/proxy/switchboard_test.go
+++ b/internal/proxy/switchboard_test.go
@@ -133,7 +133,7 @@
 type mesh struct {
 	h    *hall
 	out  *Outbound
-	subs []*endpointagent.Desk
+	subs []*endpointagent.Agent
 	eps  []*endpoint
 	bud  *Budget
 }
@@ -166,8 +166,8 @@
 			io.WriteString(w, whole(r.Header.Get(hdrID), "seal", e.id))
 		}
 		go e.serve(m.h.listen(fmt.Sprint("app", i)))
-		d := endpointagent.New(endpointagent.Options{Service: "s", Beat: time.Hour, Missed: 3, Queue: 1, Note: func(string, ...any) {}, Changed: func(endpointagent.Life) {}})
-		d.Beat(endpointagent.Beat{ID: e.id, Slots: 2, State: "ready", Seq: 1})
+		d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+		d.RecordHeartbeat(endpointagent.Heartbeat{ID: e.id, Slots: 2, State: "ready", Seq: 1})
 		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Desk: d, Line: NewAppLine(m.h.line(), m.h.line()), Peek: 64 << 10})
 		go (&http.Server{Handler: in}).Serve(m.h.listen(fmt.Sprint("in", i)))
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: e.id, Service: "s", Inbound: fmt.Sprint("in", i), Zone: "z", Slots: 2, State: "up"})
@@ -270,8 +270,8 @@
 func TestBouncesReachNoEndpointAndCostNoBudget(t *testing.T) {
 	m := newMesh(t, 3)
 	m.bud.slack = 0
-	m.subs[0].Beat(endpointagent.Beat{ID: "e0", Slots: 2, State: "draining", Seq: 2})
-	m.subs[1].Beat(endpointagent.Beat{ID: "other", Slots: 2, State: "ready", Seq: 2})
+	m.subs[0].RecordHeartbeat(endpointagent.Heartbeat{ID: "e0", Slots: 2, State: "draining", Seq: 2})
+	m.subs[1].RecordHeartbeat(endpointagent.Heartbeat{ID: "other", Slots: 2, State: "ready", Seq: 2})
 	for i := 0; i < 8; i++ {
 		c, b, _, err := m.ask(t, "POST", "/e/", fmt.Sprint("r", i), "b")
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -27,7 +27,7 @@
 	Retries *Retries
 	Seed    uint64
 	// Hot bounds the widths that a proposal's keys are given in the playing.
-	Hot clustercontroller.HotOptions
+	Hot clustercontroller.HotKeyOptions
 }
 
 // Retries are the settings of the retry budget.
@@ -138,7 +138,7 @@
 	rng    *rand.Rand
 	speeds map[string]float64
 	docs   map[uint64]*routeconfig.Table
-	hots   *clustercontroller.HotKeys
+	hots   *clustercontroller.HotKeyTracker
 	hot    []*meshpb.HotKey
 }
 
@@ -313,7 +313,7 @@
 // heat plays the master's part for hot keys: nodes tell their reads once a
 // second, and widths follow.
 func (w *world) heat(last int64) {
-	w.hots = clustercontroller.NewHotKeys(w.rules.Hot)
+	w.hots = clustercontroller.NewHotKeyTracker(w.rules.Hot)
 	start := w.now
 	said := map[string][]*meshpb.KeyRate{}
 	var judge func()
@@ -330,7 +330,7 @@
 				es, version = n.view.Endpoints, n.view.Version
 			}
 		}
-		hot, steps := w.hots.Judge(maps.Values(said), es, time.Duration(w.now-start)*time.Microsecond, w.now)
+		hot, steps := w.hots.Update(maps.Values(said), es, time.Duration(w.now-start)*time.Microsecond, w.now)
 		if w.hot = hot; len(steps) > 0 {
 			for _, n := range w.nodes {
 				if n.view != nil {
