--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -35,14 +35,14 @@
 		ls[i] = l
 	}
 	bd := o.Requirements.Bounds
-	pools := proxy.NewPools(o.Self.ZoneName, 2.2, 5).Prefer(o.Self.NodeName, nearOnes)
+	pools := proxy.NewBalancer(o.Self.ZoneName, 2.2, 5).PreferSubset(o.Self.NodeName, nearOnes)
 	var plan atomic.Pointer[routeconfig.Table]
 	st := p.newStation(pools, &meshpb.NodeState{})
 	ag := st.ag
-	app := proxy.NewAppLine(rpc.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
+	app := proxy.NewAppClient(rpc.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
 		rpc.Transport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
-	out := proxy.NewOutbound(proxy.OutboundOptions{Pools: pools, Plan: &plan, App: app,
-		Budget: st.budget, Cords: st.cords, Tickets: st.tickets, Keys: st.keys, Ready: ag.Ready, Note: p.note("outbound"), Peek: 256 << 10, Margin: 3 * time.Millisecond})
+	out := proxy.NewOutbound(proxy.OutboundOptions{Balancer: pools, Routes: &plan, AppClient: app,
+		RetryBudget: st.budget, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Logf: p.note("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
 	fr := newFront(ls[1], out)
 	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 	var leaving atomic.Bool
@@ -57,7 +57,7 @@
 		t := time.NewTicker(blamesEach)
 		defer t.Stop()
 		for range t.C {
-			bs := pools.Blames()
+			bs := pools.FailureReports()
 			ag.UpdateState(func(n *meshpb.NodeState) { n.FailureReports = bs })
 		}
 	}()
@@ -65,15 +65,15 @@
 	p.wait()
 	t0 := time.Now()
 	leaving.Store(true)
-	out.Leave()
+	out.Drain()
 	grace := settings.Seconds(bd.GraceSeconds)
 	linger := min(grace/2, 3*time.Second)
 	for {
 		e := time.Since(t0)
 		if e > grace-lastCalls {
-			out.Close()
+			out.StopAccepting()
 		}
-		if e > grace-350*time.Millisecond || e > linger && out.Running.Load() == 0 {
+		if e > grace-350*time.Millisecond || e > linger && out.InFlight.Load() == 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -81,10 +81,10 @@
 	return nil, errPin
 }
 
-func (p *process) newCords(lines *rpc.Clients, ag *clustercontroller.Agent) *affinity.Cords {
+func (p *process) newCords(lines *rpc.Clients, ag *clustercontroller.Agent) *affinity.Sessions {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Seconds(p.o.Affinity.IdleSeconds)
-	return affinity.New(affinity.Options{Ask: a.ask, Now: time.Now, Config: ag.ConfigVersion, Settle: 300 * time.Millisecond, Touch: idle / 8, Idle: idle, Most: p.o.Affinity.MaxSessions,
+	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.o.Affinity.MaxSessions,
 		Trace: func(what, key string) { p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
 }
 
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -89,7 +89,7 @@
 		ls[i] = l
 	}
 	bd := o.Requirements.Bounds
-	pools := proxy.NewPools(o.Self.ZoneName, 2.2, 5).Beside(o.Self.NodeName)
+	pools := proxy.NewBalancer(o.Self.ZoneName, 2.2, 5).SetLocalNode(o.Self.NodeName)
 	var plan atomic.Pointer[routeconfig.Table]
 	st := p.newStation(pools, &meshpb.NodeState{Inbound: o.Network.Listen.Inbound, Service: o.Self.ServiceName})
 	ag := st.ag
@@ -103,13 +103,13 @@
 
 	pacer := proxy.NewPacer(o.Self.Limits.LinkMbps)
 	app := rpc.Transport(300*time.Millisecond, 0, 4*time.Second, 64)
-	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: o.Self.AppAddr, LinkMbps: o.Self.Limits.LinkMbps, Pacer: pacer, Desk: sub,
-		Line: proxy.NewAppLine(app, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), Note: p.note("inbound"),
-		Peek: 64 << 10})
+	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: o.Self.AppAddr, LinkMbps: o.Self.Limits.LinkMbps, Pacer: pacer, Agent: sub,
+		AppClient: proxy.NewAppClient(app, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), Logf: p.note("inbound"),
+		BufferLimit: 64 << 10})
 	between := rpc.Transport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
 	between.ExpectContinueTimeout = time.Second
-	out := proxy.NewOutbound(proxy.OutboundOptions{Service: o.Self.ServiceName, Pools: pools, Plan: &plan, Line: between,
-		Budget: st.budget, Pacer: pacer, Cords: st.cords, Tickets: st.tickets, Keys: st.keys, Ready: ag.Ready, Note: p.note("outbound"), Peek: 256 << 10, Margin: 3 * time.Millisecond})
+	out := proxy.NewOutbound(proxy.OutboundOptions{Service: o.Self.ServiceName, Balancer: pools, Routes: &plan, Transport: between,
+		RetryBudget: st.budget, Pacer: pacer, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Logf: p.note("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
 	fr := newFront(ls[2], out)
 	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 
@@ -137,7 +137,7 @@
 	p.wait()
 	t0 := time.Now()
 	leaving.Store(true)
-	out.Leave()
+	out.Drain()
 	grace := settings.Seconds(bd.GraceSeconds)
 	linger := min(grace/2, 2500*time.Millisecond)
 	closed := false
@@ -147,12 +147,12 @@
 			closed = true
 			sub.Stop()
 			ag.UpdateState(func(n *meshpb.NodeState) { n.State = "stopping" })
-			in.Leave()
+			in.Drain()
 		}
 		if e > grace-lastCalls {
-			out.Close()
+			out.StopAccepting()
 		}
-		if e > grace-350*time.Millisecond || e > linger && in.Running.Load() == 0 && out.Running.Load() == 0 {
+		if e > grace-350*time.Millisecond || e > linger && in.InFlight.Load() == 0 && out.InFlight.Load() == 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -168,7 +168,7 @@
 		t := routeconfig.Compile(d)
 		cur = d
 		plan.Store(t)
-		tickets.Config(d.Version, d.Marshal)
+		tickets.RecordConfig(d.Version, d.Marshal)
 		then(t)
 	}
 	ag.OnConfig = func(_ uint64, data []byte) error {
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -18,9 +18,9 @@
 // station is what each node that carries traffic has beside its chain.
 type station struct {
 	*process
-	pools   *proxy.Pools
+	pools   *proxy.Balancer
 	ag      *clustercontroller.Agent
-	cords   *affinity.Cords
+	cords   *affinity.Sessions
 	tickets *requestlog.Recorder
 	budget  *proxy.Budget
 	keys    *proxy.KeyMeter
@@ -28,7 +28,7 @@
 
 // newStation starts the node's side of the control; n tells what only this
 // role says of itself.
-func (p *process) newStation(pools *proxy.Pools, n *meshpb.NodeState) station {
+func (p *process) newStation(pools *proxy.Balancer, n *meshpb.NodeState) station {
 	o, bd := p.o, p.o.Requirements.Bounds
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	ag := &clustercontroller.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
@@ -37,13 +37,13 @@
 	ag.Start(n)
 	tickets := p.newTickets()
 	ag.OnView = func(v *meshpb.View) {
-		pools.Set(v)
-		tickets.View(v)
+		pools.ApplyView(v)
+		tickets.RecordView(v)
 	}
 	go p.reseed(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.SetSeeds(o.SeedInternalAddrs()) })
 	pools.SlowStart(settings.Seconds(o.HotKeys.SlowStartSeconds))
 	return station{p, pools, ag, p.newCords(lines, ag), tickets,
-		proxy.NewBudget(bd.RetryRatio, bd.RetrySlack, settings.Seconds(bd.RetryWindowSeconds), pools.Nodes, p.now), proxy.NewKeyMeter(time.Now)}
+		proxy.NewBudget(bd.RetryRatio, bd.RetrySlack, settings.Seconds(bd.RetryWindowSeconds), pools.NodeCount, p.now), proxy.NewKeyMeter(time.Now)}
 }
 
 const keysEach = time.Second
@@ -78,7 +78,7 @@
 }
 
 // serve answers the master and the tools.
-func (s station) serve(l net.Listener, flows *proxy.Flows, near uint32) {
+func (s station) serve(l net.Listener, flows *proxy.FlowMeter, near uint32) {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewNodeServer(s.ag))
 	far, heavy := s.pools.Weights()
--- a/cmd/corkcove/tickets.go
+++ b/cmd/corkcove/tickets.go
@@ -25,5 +25,5 @@
 }
 
 func (t teller) Snapshots(_ context.Context, q *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
-	return t.tickets.Parts(q), nil
+	return t.tickets.Snapshots(q), nil
 }
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -16,10 +16,10 @@
 // teller answers the tools' questions of one process.
 type teller struct {
 	*process
-	flows   *proxy.Flows
+	flows   *proxy.FlowMeter
 	far     float64
 	heavy   float64
-	cords   *affinity.Cords
+	cords   *affinity.Sessions
 	config  func() uint64
 	tickets *requestlog.Recorder
 	near    uint32
--- a/internal/affinity/cord.go
+++ b/internal/affinity/cord.go
@@ -18,9 +18,9 @@
 
 // Why a session moved.
 const (
-	ByConfig = "CONFIG"
-	ByDrain  = "DRAIN"
-	ByEnd    = "ENDED"
+	ReasonConfig = "CONFIG"
+	ReasonDrain  = "DRAIN"
+	ReasonEnded  = "ENDED"
 )
 
 type State int
@@ -28,19 +28,19 @@
 const (
 	Pinned State = iota
 	// Loose: no core answered, so the session follows the hash for now.
-	Loose
+	Provisional
 	// Hold: the session must move, and the move is not recorded yet.
-	Lease
+	Pending
 )
 
 // Key is how a session is named in the control state and shown.
-func Key(source, value string) string {
+func SessionKey(source, value string) string {
 	h := sha256.Sum256([]byte(source + "\x00" + value))
 	return hex.EncodeToString(h[:12])
 }
 
 // Draw gives a session's place between 0 and 1, the same at every node.
-func Draw(key string) float64 { return float64(xxhash.Sum64String("draw "+key)>>11) / (1 << 53) }
+func Position(key string) float64 { return float64(xxhash.Sum64String("draw "+key)>>11) / (1 << 53) }
 
 // Candidate names the instance for a new session, by rendezvous hashing.
 func Candidate(key string, ids []string) string {
@@ -54,23 +54,23 @@
 }
 
 type Options struct {
-	Ask    func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error)
-	Now    func() time.Time
-	Config func() uint64
+	Pin           func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error)
+	Now           func() time.Time
+	ConfigVersion func() uint64
 	// Settle is how long an instance must have been out of the view before its
 	// sessions move, so that all nodes have heard of it.
-	Settle time.Duration
-	Touch  time.Duration
-	Idle   time.Duration
-	Most   int
-	Trace  func(what, key string)
+	SettleTime      time.Duration
+	RefreshInterval time.Duration
+	IdleTimeout     time.Duration
+	MaxSessions     int
+	Trace           func(what, key string)
 }
 
 // Seats tells of the endpoints that this node's view names.
-type Seats interface {
+type Endpoints interface {
 	// Sits tells whether the instance takes requests, and why not.
-	Sits(service, id string) (ok bool, why string)
-	Free(service string) []string
+	Accepts(service, id string) (ok bool, why string)
+	Available(service string) []string
 }
 
 type spot struct{ key, service string }
@@ -88,7 +88,7 @@
 
 const keepMoves = 1024
 
-type Cords struct {
+type Sessions struct {
 	o       Options
 	mu      sync.Mutex
 	plugs   map[spot]plug
@@ -97,14 +97,14 @@
 	dropped uint64
 }
 
-func New(o Options) *Cords {
+func New(o Options) *Sessions {
 	if o.Trace == nil {
 		o.Trace = func(string, string) {}
 	}
-	return &Cords{o: o, plugs: map[spot]plug{}, gone: map[string]time.Time{}}
+	return &Sessions{o: o, plugs: map[spot]plug{}, gone: map[string]time.Time{}}
 }
 
-func (c *Cords) known(key string, allowed []string) (spot, plug, bool) {
+func (c *Sessions) known(key string, allowed []string) (spot, plug, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var at spot
@@ -120,7 +120,7 @@
 
 // elsewhere finds a session of the key in a service that its binding may no
 // longer use.
-func (c *Cords) elsewhere(key string, allowed, before []string) (spot, plug, bool) {
+func (c *Sessions) elsewhere(key string, allowed, before []string) (spot, plug, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range before {
@@ -131,16 +131,16 @@
 	return spot{}, plug{}, false
 }
 
-func (c *Cords) set(at spot, endpoint string, pinned bool) {
+func (c *Sessions) set(at spot, endpoint string, pinned bool) {
 	now := c.o.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.plugs[at]
 	if !ok || p.endpoint != endpoint {
-		if !ok && len(c.plugs) >= c.o.Most {
+		if !ok && len(c.plugs) >= c.o.MaxSessions {
 			c.sweep(now)
 		}
-		p = plug{endpoint: endpoint, since: now, config: c.o.Config()}
+		p = plug{endpoint: endpoint, since: now, config: c.o.ConfigVersion()}
 	}
 	p.pinned, p.used, p.touched = pinned, now, now
 	c.plugs[at] = p
@@ -148,13 +148,13 @@
 
 // sweep forgets idle plugs, and if there are none the tenth used longest ago:
 // their pins stay in the control state.
-func (c *Cords) sweep(now time.Time) {
+func (c *Sessions) sweep(now time.Time) {
 	for s, p := range c.plugs {
-		if now.Sub(p.used) > c.o.Idle {
+		if now.Sub(p.used) > c.o.IdleTimeout {
 			delete(c.plugs, s)
 		}
 	}
-	if len(c.plugs) < c.o.Most {
+	if len(c.plugs) < c.o.MaxSessions {
 		return
 	}
 	ss := make([]spot, 0, len(c.plugs))
@@ -168,14 +168,14 @@
 	}
 }
 
-func (c *Cords) moved(at spot, to spot, from, dest, why string) {
+func (c *Sessions) moved(at spot, to spot, from, dest, why string) {
 	now := c.o.Now()
 	c.mu.Lock()
 	if len(c.moves) >= keepMoves {
 		c.moves = append([]*meshpb.SessionMove(nil), c.moves[keepMoves/4:]...)
 		c.dropped += keepMoves / 4
 	}
-	c.moves = append(c.moves, &meshpb.SessionMove{Key: at.key, Service: at.service, From: from, To: dest, ToService: to.service, Why: why, Config: c.o.Config(), AtUs: now.UnixMicro()})
+	c.moves = append(c.moves, &meshpb.SessionMove{Key: at.key, Service: at.service, From: from, To: dest, ToService: to.service, Why: why, Config: c.o.ConfigVersion(), AtUs: now.UnixMicro()})
 	c.mu.Unlock()
 	c.o.Trace("moved by "+why, at.key)
 }
@@ -185,9 +185,9 @@
 const unseenFor = 10
 
 // settled tells whether the instance has been out for long enough.
-func (c *Cords) settled(id string, sat bool) (left time.Duration) {
+func (c *Sessions) settled(id string, sat bool) (left time.Duration) {
 	now := c.o.Now()
-	settle := c.o.Settle
+	settle := c.o.SettleTime
 	if !sat {
 		settle *= unseenFor
 	}
@@ -204,70 +204,70 @@
 	return settle - now.Sub(t)
 }
 
-func (c *Cords) back(id string) {
+func (c *Sessions) back(id string) {
 	c.mu.Lock()
 	delete(c.gone, id)
 	c.mu.Unlock()
 }
 
 // Ask is a question about the session of one request.
-type Ask struct {
-	Key string
+type Query struct {
+	SessionKey string
 	// Allowed are the services that the binding may use now, Service the one
 	// that a new session would go to, Before those it used under other versions.
-	Allowed []string
-	Service string
-	Before  []string
+	AllowedServices []string
+	Service         string
+	EarlierServices []string
 }
 
-type Place struct {
+type Assignment struct {
 	Service  string
 	Endpoint string
 	State    State
 	// Wait is after what time it is worth to ask again.
-	Wait time.Duration
+	RetryAfter time.Duration
 }
 
 // Find gives the instance of a session.
-func (c *Cords) Find(ctx context.Context, q Ask, seats Seats) Place {
+func (c *Sessions) Find(ctx context.Context, q Query, seats Endpoints) Assignment {
 	from, why := "", ""
-	at, p, known := c.known(q.Key, q.Allowed)
+	at, p, known := c.known(q.SessionKey, q.AllowedServices)
 	left := spot{}
 	if !known {
-		if s, x, ok := c.elsewhere(q.Key, q.Allowed, q.Before); ok {
-			left, p, why = s, x, ByConfig
+		if s, x, ok := c.elsewhere(q.SessionKey, q.AllowedServices, q.EarlierServices); ok {
+			left, p, why = s, x, ReasonConfig
 		}
 	}
 	for range 3 {
 		if known {
-			ok, w := seats.Sits(at.service, p.endpoint)
+			ok, w := seats.Accepts(at.service, p.endpoint)
 			if ok {
 				c.back(p.endpoint)
 				c.use(ctx, at, p, q)
-				return Place{Service: at.service, Endpoint: p.endpoint}
+				return Assignment{Service: at.service, Endpoint: p.endpoint}
 			}
 			if d := c.settled(p.endpoint, p.sat); d > 0 {
-				return Place{State: Lease, Wait: d}
+				return Assignment{State: Pending, RetryAfter: d}
 			}
 			from, why = p.endpoint, w
 		}
 		service := q.Service
-		if known && slices.Contains(q.Allowed, at.service) && len(seats.Free(at.service)) > 0 {
+		if known && slices.Contains(q.AllowedServices, at.service) && len(seats.Available(at.service)) > 0 {
 			service = at.service
 		}
-		want := Candidate(q.Key, seats.Free(service))
+		want := Candidate(q.SessionKey, seats.Available(service))
 		if want == "" {
-			return Place{State: Lease, Wait: c.o.Settle}
+			return Assignment{State: Pending, RetryAfter: c.o.SettleTime}
 		}
-		r, err := c.o.Ask(ctx, &meshpb.PinRequest{Key: q.Key, Allowed: q.Allowed, Service: service, Want: want, From: from, Reason: why, Config: c.o.Config()})
+		r, err := c.o.Pin(ctx, &meshpb.PinRequest{Key: q.SessionKey, Allowed: q.AllowedServices, Service: service, Want: want, From: from, Reason: why, Config: c.o.ConfigVersion()})
 		if err != nil || !r.Ok || r.Endpoint == "" {
 			if known {
-				return Place{State: Lease, Wait: c.o.Settle}
+				return Assignment{State: Pending, RetryAfter: c.o.SettleTime}
 			}
-			c.set(spot{q.Key, service}, want, false)
-			return Place{Service: service, Endpoint: want, State: Loose}
+			c.set(spot{q.SessionKey, service}, want, false)
+			return Assignment{Service: service, Endpoint: want, State: Provisional}
 		}
-		to := spot{q.Key, r.Service}
+		to := spot{q.SessionKey, r.Service}
 		if r.Reason != "" {
 			why = r.Reason
 		}
@@ -282,23 +282,23 @@
 		}
 		c.set(to, r.Endpoint, true)
 		at, known = to, true
-		ok, _ := seats.Sits(to.service, r.Endpoint)
+		ok, _ := seats.Accepts(to.service, r.Endpoint)
 		p = plug{endpoint: r.Endpoint, sat: ok}
 	}
-	return Place{State: Lease, Wait: c.o.Settle}
+	return Assignment{State: Pending, RetryAfter: c.o.SettleTime}
 }
 
 // Known plugs a session in where it is known to be.
-func (c *Cords) Known(key, service, endpoint string) { c.set(spot{key, service}, endpoint, true) }
+func (c *Sessions) Add(key, service, endpoint string) { c.set(spot{key, service}, endpoint, true) }
 
-func (c *Cords) drop(at spot) {
+func (c *Sessions) drop(at spot) {
 	c.mu.Lock()
 	delete(c.plugs, at)
 	c.mu.Unlock()
 }
 
 // use notes a use; now and then it tells the core that the session lives.
-func (c *Cords) use(ctx context.Context, at spot, p plug, q Ask) {
+func (c *Sessions) use(ctx context.Context, at spot, p plug, q Query) {
 	now := c.o.Now()
 	c.mu.Lock()
 	x, ok := c.plugs[at]
@@ -306,7 +306,7 @@
 		c.mu.Unlock()
 		return
 	}
-	touch := now.Sub(x.touched) > c.o.Touch
+	touch := now.Sub(x.touched) > c.o.RefreshInterval
 	x.used, x.sat = now, true
 	if touch {
 		x.touched = now
@@ -317,7 +317,7 @@
 		return
 	}
 	go func() {
-		r, err := c.o.Ask(context.WithoutCancel(ctx), &meshpb.PinRequest{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.Config()})
+		r, err := c.o.Pin(context.WithoutCancel(ctx), &meshpb.PinRequest{Key: at.key, Allowed: []string{at.service}, Service: at.service, Want: p.endpoint, Config: c.o.ConfigVersion()})
 		if err == nil && r.Ok && r.Endpoint != "" && r.Endpoint != p.endpoint {
 			c.moved(at, at, p.endpoint, r.Endpoint, "LEARNT")
 			c.set(at, r.Endpoint, true)
@@ -327,13 +327,13 @@
 
 // Report tells of the sessions in use here and of the moves since a
 // configuration.
-func (c *Cords) Report(since uint64) ([]*meshpb.Session, []*meshpb.SessionMove, uint64) {
+func (c *Sessions) Report(since uint64) ([]*meshpb.Session, []*meshpb.SessionMove, uint64) {
 	now := c.o.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ss []*meshpb.Session
 	for s, p := range c.plugs {
-		if now.Sub(p.used) <= c.o.Idle {
+		if now.Sub(p.used) <= c.o.IdleTimeout {
 			ss = append(ss, &meshpb.Session{Key: s.key, Service: s.service, Endpoint: p.endpoint, Pinned: p.pinned, Config: p.config, SinceUs: p.since.UnixMicro(), UsedUs: p.used.UnixMicro()})
 		}
 	}
--- a/internal/affinity/cord_test.go
+++ b/internal/affinity/cord_test.go
@@ -19,17 +19,17 @@
 	out map[string]string
 }
 
-func (s seats) Sits(service, id string) (bool, string) {
+func (s seats) Accepts(service, id string) (bool, string) {
 	if slices.Contains(s.up[service], id) {
 		return true, ""
 	}
 	if w := s.out[id]; w != "" {
 		return false, w
 	}
-	return false, ByEnd
+	return false, ReasonEnded
 }
 
-func (s seats) Free(service string) []string { return s.up[service] }
+func (s seats) Available(service string) []string { return s.up[service] }
 
 // stage runs threads one step at a time: a thread hands over at each question
 // to the core, and a list of choices says which goes on.
@@ -106,7 +106,7 @@
 }
 
 type player struct {
-	c     *Cords
+	c     *Sessions
 	see   *seats
 	yield func()
 	conf  uint64
@@ -114,16 +114,16 @@
 
 func newPlayer(k *core, now *time.Time, see *seats) *player {
 	p := &player{see: see, conf: 1}
-	p.c = New(Options{Now: func() time.Time { return *now }, Config: func() uint64 { return p.conf }, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+	p.c = New(Options{Now: func() time.Time { return *now }, ConfigVersion: func() uint64 { return p.conf }, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
+		Pin: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			p.yield()
 			return k.answer(q), nil
 		}})
 	return p
 }
 
-func (p *player) find(key string, allowed ...string) Place {
-	return p.c.Find(context.Background(), Ask{Key: key, Allowed: allowed, Service: allowed[0], Before: []string{"s", "t"}}, p.see)
+func (p *player) find(key string, allowed ...string) Assignment {
+	return p.c.Find(context.Background(), Query{SessionKey: key, AllowedServices: allowed, Service: allowed[0], EarlierServices: []string{"s", "t"}}, p.see)
 }
 
 func direct() {}
@@ -134,7 +134,7 @@
 func TestOneInstanceInAllOrders(t *testing.T) {
 	differ, total := 0, 0
 	for n := range 3 {
-		key := Key("header X", fmt.Sprint("fan-", n))
+		key := SessionKey("header X", fmt.Sprint("fan-", n))
 		old := []string{"e0", "e1", "e2"}
 		later := []string{"e0", "e1", "e2", "e3", "e4", "e5"}
 		if Candidate(key, old) != Candidate(key, later) {
@@ -174,7 +174,7 @@
 // All orders of two nodes that hear of a drain and go on with a session there:
 // once one has used the new instance, none uses the old.
 func TestDrainMovesOnceInAllOrders(t *testing.T) {
-	key := Key("header X", "fan")
+	key := SessionKey("header X", "fan")
 	all := []string{"e0", "e1", "e2"}
 	home := Candidate(key, all)
 	rest := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == home })
@@ -207,7 +207,7 @@
 		// The settle time is longer than the views take to all nodes.
 		st.add("views", func(yield func()) {
 			for _, p := range ps {
-				*p.see = seats{up: map[string][]string{"s": rest}, out: map[string]string{home: ByDrain}}
+				*p.see = seats{up: map[string][]string{"s": rest}, out: map[string]string{home: ReasonDrain}}
 				yield()
 			}
 			now = now.Add(400 * time.Millisecond)
@@ -237,7 +237,7 @@
 			qt.Assert(t, len(ss), qt.Equals, 1)
 			qt.Assert(t, ss[0].Endpoint, qt.Equals, end)
 			qt.Assert(t, len(ms), qt.Equals, 1)
-			qt.Assert(t, ms[0].Why, qt.Equals, ByDrain)
+			qt.Assert(t, ms[0].Why, qt.Equals, ReasonDrain)
 		}
 	}
 	qt.Assert(t, total > 200, qt.IsTrue, qt.Commentf("%d orders", total))
@@ -250,24 +250,24 @@
 	p := newPlayer(k, &now, see)
 	p.yield = direct
 	was := p.find("k1", "s").Endpoint
-	silent := New(Options{Now: p.c.o.Now, Config: p.c.o.Config, Settle: 300 * time.Millisecond, Touch: time.Hour, Idle: time.Hour, Most: 10,
-		Ask: func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+	silent := New(Options{Now: p.c.o.Now, ConfigVersion: p.c.o.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
+		Pin: func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			return nil, errors.New("silent")
 		}})
-	silent.Known("k1", "s", was)
-	q := func(key string) Place {
-		return silent.Find(context.Background(), Ask{Key: key, Allowed: []string{"s"}, Service: "s"}, see)
+	silent.Add("k1", "s", was)
+	q := func(key string) Assignment {
+		return silent.Find(context.Background(), Query{SessionKey: key, AllowedServices: []string{"s"}, Service: "s"}, see)
 	}
-	qt.Assert(t, q("k1"), qt.DeepEquals, Place{Service: "s", Endpoint: was})
+	qt.Assert(t, q("k1"), qt.DeepEquals, Assignment{Service: "s", Endpoint: was})
 	x := q("k2")
-	qt.Assert(t, x.State, qt.Equals, Loose)
+	qt.Assert(t, x.State, qt.Equals, Provisional)
 	qt.Assert(t, x.Endpoint, qt.Equals, Candidate("k2", see.up["s"]))
 	ss, _, _ := silent.Report(0)
 	qt.Assert(t, ss[1].Pinned, qt.IsFalse)
 	see.up["s"] = slices.DeleteFunc(slices.Clone(see.up["s"]), func(e string) bool { return e == was })
-	qt.Assert(t, q("k1").State, qt.Equals, Lease)
+	qt.Assert(t, q("k1").State, qt.Equals, Pending)
 	now = now.Add(time.Second)
-	qt.Assert(t, q("k1").State, qt.Equals, Lease, qt.Commentf("a move that is not recorded is not made"))
+	qt.Assert(t, q("k1").State, qt.Equals, Pending, qt.Commentf("a move that is not recorded is not made"))
 }
 
 func TestVersionThatForbidsTheServiceMovesTheSessionAndSaysSo(t *testing.T) {
@@ -285,7 +285,7 @@
 	for _, p := range []*player{a, b} {
 		_, ms, _ := p.c.Report(7)
 		qt.Assert(t, len(ms), qt.Equals, 1)
-		qt.Assert(t, ms[0].Why+" "+ms[0].From+" "+ms[0].To, qt.Equals, ByConfig+" "+x.Endpoint+" "+y.Endpoint)
+		qt.Assert(t, ms[0].Why+" "+ms[0].From+" "+ms[0].To, qt.Equals, ReasonConfig+" "+x.Endpoint+" "+y.Endpoint)
 		_, none, _ := p.c.Report(8)
 		qt.Assert(t, len(none), qt.Equals, 0)
 	}
--- a/internal/loadestimate/erlang.go
+++ b/internal/loadestimate/erlang.go
@@ -264,7 +264,7 @@
 type turn struct {
 	at   float64
 	line int
-	seat proxy.Seat
+	seat proxy.Endpoint
 	end  bool
 	t0   float64
 }
@@ -298,11 +298,11 @@
 func play(os []Origin, ls []line, es []*meshpb.Endpoint, speed map[string]float64, o Options) (map[cell]float64, map[string]float64) {
 	rng := rand.New(rand.NewSource(o.Seed + 1))
 	now := 0.0
-	var ps []*proxy.Pools
+	var ps []*proxy.Balancer
 	for _, x := range os {
-		p := proxy.NewPools(x.Zone, x.Far, x.Heavy).Beside(x.Node)
-		p.Draw(rng.Float64, func() int64 { return int64(now * 1e9) })
-		p.Set(&meshpb.View{Version: 1, Endpoints: es})
+		p := proxy.NewBalancer(x.Zone, x.Far, x.Heavy).SetLocalNode(x.Node)
+		p.SetRandomAndClock(rng.Float64, func() int64 { return int64(now * 1e9) })
+		p.ApplyView(&meshpb.View{Version: 1, Endpoints: es})
 		ps = append(ps, p)
 	}
 	at := map[string]*place{}
@@ -341,7 +341,7 @@
 				ideal[t.seat.ID()] += mean[l.binding][0] / mean[l.binding][1]
 			}
 			p.work += ((t.at-t.t0)*1000 - p.work) / 16
-			t.seat.End(p.run+len(p.queue), time.Duration(p.work*float64(time.Millisecond)), int64(now*1e9))
+			t.seat.EndRequest(p.run+len(p.queue), time.Duration(p.work*float64(time.Millisecond)), int64(now*1e9))
 			if len(p.queue) > 0 && p.run < p.slots {
 				n := p.queue[0]
 				p.queue = p.queue[1:]
@@ -354,7 +354,7 @@
 			continue
 		}
 		heap.Push(&q, turn{at: t.at + rng.ExpFloat64()/l.rate, line: t.line})
-		s, ok := ps[l.origin].Seat(l.service, l.heavy, l.aim)
+		s, ok := ps[l.origin].Choose(l.service, l.heavy, l.aim)
 		if !ok {
 			continue
 		}
@@ -362,7 +362,7 @@
 			seen[cell{t.line, s.ID()}]++
 			tot[t.line]++
 		}
-		s.Begin()
+		s.BeginRequest()
 		t.seat, t.t0 = s, t.at
 		if p := at[s.ID()]; p.run < p.slots {
 			start(t, p)
--- a/internal/loadestimate/erlang_test.go
+++ b/internal/loadestimate/erlang_test.go
@@ -20,7 +20,7 @@
 	rng := rand.New(rand.NewSource(seed))
 	type req struct {
 		o, b int
-		seat proxy.Seat
+		seat proxy.Endpoint
 		left float64
 		t0   int
 	}
@@ -31,11 +31,11 @@
 	ks := []kind{{"browse", "pure", 30, 60}, {"pay", "effectful", 12, 110}}
 	zones := []string{"a", "b", "c", "a"}
 	now := int64(0)
-	var ps []*proxy.Pools
+	var ps []*proxy.Balancer
 	for _, s := range zones {
-		p := proxy.NewPools(s, 1.3, 2.5)
-		p.Draw(rng.Float64, func() int64 { return now })
-		p.Set(&meshpb.View{Version: 1, Endpoints: es})
+		p := proxy.NewBalancer(s, 1.3, 2.5)
+		p.SetRandomAndClock(rng.Float64, func() int64 { return now })
+		p.ApplyView(&meshpb.View{Version: 1, Endpoints: es})
 		ps = append(ps, p)
 	}
 	run, queue, work := map[string][]*req{}, map[string][]*req{}, map[string]float64{}
@@ -53,11 +53,11 @@
 				if rng.Float64() > k.perS*(1+0.3*math.Sin(float64(t)/900))/1000 {
 					continue
 				}
-				s, ok := ps[o].Seat("s", false, 0)
+				s, ok := ps[o].Choose("s", false, 0)
 				if !ok {
 					continue
 				}
-				s.Begin()
+				s.BeginRequest()
 				queue[s.ID()] = append(queue[s.ID()], &req{o, b, s, k.ms * speed[s.ID()] * math.Exp(0.5*rng.NormFloat64()-0.125), t})
 			}
 		}
@@ -69,7 +69,7 @@
 					continue
 				}
 				work[id] += (float64(t-r.t0) - work[id]) / 16
-				r.seat.End(len(run[id])+len(queue[id])-1, time.Duration(work[id])*time.Millisecond, now)
+				r.seat.EndRequest(len(run[id])+len(queue[id])-1, time.Duration(work[id])*time.Millisecond, now)
 				if t > span/4 {
 					k := fmt.Sprint(r.o, " ", r.b, " ", id)
 					n[k]++
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -144,8 +144,8 @@
 // Node is an outbound and, beside an endpoint, an inbound side.
 type Node struct {
 	Name    string
-	Pools   *proxy.Pools
-	Cords   *affinity.Cords
+	Pools   *proxy.Balancer
+	Cords   *affinity.Sessions
 	Tickets *requestlog.Recorder
 	Plan    atomic.Pointer[routeconfig.Table]
 	End     *Endpoint
@@ -251,9 +251,9 @@
 	go e.serve(m.Wires.Listen("app-" + e.ID))
 	n.Desk = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
 	n.Desk.RecordHeartbeat(endpointagent.Heartbeat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
-	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Desk: n.Desk, Line: proxy.NewAppLine(m.Wires.Line(), m.Wires.Line()), Peek: 64 << 10})
+	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Agent: n.Desk, AppClient: proxy.NewAppClient(m.Wires.Line(), m.Wires.Line()), BufferLimit: 64 << 10})
 	go (&http.Server{Handler: in}).Serve(m.Wires.Listen("in-" + e.ID))
-	n.Pools = proxy.NewPools(e.Zone, 2.2, 5).SlowStart(time.Second)
+	n.Pools = proxy.NewBalancer(e.Zone, 2.2, 5).SlowStart(time.Second)
 	n.Keys = proxy.NewKeyMeter(time.Now)
 	n.Tickets = requestlog.New(1<<16, time.Hour, time.Now)
 	conf := func() uint64 {
@@ -262,10 +262,10 @@
 		}
 		return 0
 	}
-	n.Cords = affinity.New(affinity.Options{Ask: m.Ask, Now: time.Now, Config: conf, Settle: 300 * time.Millisecond, Touch: time.Minute, Idle: 10 * time.Minute, Most: 1 << 16})
-	bud := proxy.NewBudget(Ratio, Slack, Window, n.Pools.Nodes, func() time.Duration { return time.Since(m.t0) + time.Hour })
-	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Pools: n.Pools, Plan: &n.Plan, Line: m.Wires.Line(), Budget: bud, Cords: n.Cords,
-		Tickets: n.Tickets, Keys: n.Keys, Ready: func() bool { return true }, Note: func(string, ...any) {}, Peek: 64 << 10})
+	n.Cords = affinity.New(affinity.Options{Pin: m.Ask, Now: time.Now, ConfigVersion: conf, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Minute, IdleTimeout: 10 * time.Minute, MaxSessions: 1 << 16})
+	bud := proxy.NewBudget(Ratio, Slack, Window, n.Pools.NodeCount, func() time.Duration { return time.Since(m.t0) + time.Hour })
+	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Balancer: n.Pools, Routes: &n.Plan, Transport: m.Wires.Line(), RetryBudget: bud, Sessions: n.Cords,
+		RequestLog: n.Tickets, KeyMeter: n.Keys, Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
 	go (&http.Server{Handler: out}).Serve(m.Wires.Listen("out-" + e.ID))
 	m.mu.Lock()
 	m.Nodes = append(m.Nodes, n)
@@ -300,8 +300,8 @@
 	}
 	m.view = v
 	for _, n := range m.Nodes {
-		n.Pools.Set(v)
-		n.Tickets.View(v)
+		n.Pools.ApplyView(v)
+		n.Tickets.RecordView(v)
 	}
 }
 
@@ -312,7 +312,7 @@
 func (m *Mesh) Push(d routeconfig.Config) {
 	for _, n := range m.Nodes {
 		n.Plan.Store(routeconfig.Compile(d))
-		n.Tickets.Config(d.Version, d.Marshal)
+		n.Tickets.RecordConfig(d.Version, d.Marshal)
 	}
 }
 
@@ -386,7 +386,7 @@
 				q.Configs = append(q.Configs, p.Version)
 			}
 		}
-		p := n.Tickets.Parts(q)
+		p := n.Tickets.Snapshots(q)
 		c.Views, c.Configs = append(c.Views, p.Views...), append(c.Configs, p.Configs...)
 		c.Nodes = append(c.Nodes, r)
 	}
--- a/internal/meshtest/session_test.go
+++ b/internal/meshtest/session_test.go
@@ -134,7 +134,7 @@
 	return open, moves
 }
 
-func sessionKey(name string) string { return affinity.Key("header X-Session", name) }
+func sessionKey(name string) string { return affinity.SessionKey("header X-Session", name) }
 
 func TestChangeAmidThePeakMovesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -204,7 +204,7 @@
 				qt.Assert(t, r.Endpoint == "e1" && r.From.After(at.Add(10*time.Millisecond)), qt.IsFalse)
 			}
 			qt.Assert(t, hops, qt.Equals, 1)
-			qt.Assert(t, moves[k], qt.Equals, "e1 "+last+" "+affinity.ByDrain)
+			qt.Assert(t, moves[k], qt.Equals, "e1 "+last+" "+affinity.ReasonDrain)
 			qt.Assert(t, open[k], qt.Equals, last)
 		}
 		qt.Assert(t, moved > 3, qt.IsTrue)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -201,18 +201,18 @@
 			d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
 			d.RecordHeartbeat(endpointagent.Heartbeat{ID: id, Slots: 4, State: "ready", Seq: 1})
 			s.subs = append(s.subs, d)
-			go (&http.Server{Handler: NewInbound(InboundOptions{AppAddr: app, Desk: d, Line: NewAppLine(s.h.line(), s.h.line()), Peek: 64 << 10})}).Serve(s.h.listen(in))
+			go (&http.Server{Handler: NewInbound(InboundOptions{AppAddr: app, Agent: d, AppClient: NewAppClient(s.h.line(), s.h.line()), BufferLimit: 64 << 10})}).Serve(s.h.listen(in))
 		}
 		v.Endpoints = append(v.Endpoints, e)
 	}
-	pools := NewPools("z", 1, 1)
-	pools.Set(v)
+	pools := NewBalancer("z", 1, 1)
+	pools.ApplyView(v)
 	doc, err := routeconfig.Parse(fmt.Appendf(nil, answersPlan, attempts))
 	qt.Assert(t, err, qt.IsNil)
 	var p atomic.Pointer[routeconfig.Table]
 	p.Store(routeconfig.Compile(doc))
-	s.out = NewOutbound(OutboundOptions{Service: "caller", Pools: pools, Plan: &p, Line: s.h.line(), App: NewAppLine(s.h.line(), s.h.line()), Budget: s.bud,
-		Ready: func() bool { return true }, Note: func(string, ...any) {}, Peek: 64 << 10})
+	s.out = NewOutbound(OutboundOptions{Service: "caller", Balancer: pools, Routes: &p, Transport: s.h.line(), AppClient: NewAppClient(s.h.line(), s.h.line()), RetryBudget: s.bud,
+		Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
 	go (&http.Server{Handler: s.out}).Serve(s.h.listen("out"))
 	s.l = s.h.line()
 	return s
@@ -568,26 +568,26 @@
 }
 
 func TestMovedSessionsArrivalsCountOn(t *testing.T) {
-	pools := NewPools("z", 1, 1)
+	pools := NewBalancer("z", 1, 1)
 	v := &meshpb.View{Version: 1, Nodes: 1}
 	for i := range 4 {
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", Addr: "a", Zone: "z", Slots: 4, State: "up"})
 	}
-	pools.Set(v)
+	pools.ApplyView(v)
 	bud := NewBudget(0, 2, 10*time.Second, func() int { return 1 }, grownUp())
-	c := NewCourse(pools, bud, &routeconfig.CompiledRoute{Route: routeconfig.Route{MaxAttempts: 3}}, "s", false)
-	left := []Move{Go, Go, Stop}
+	c := NewAttemptPlan(pools, bud, &routeconfig.CompiledRoute{Route: routeconfig.Route{MaxAttempts: 3}}, "s", false)
+	left := []Action{Send, Send, GiveUp}
 	for _, want := range left {
 		r, m := c.next()
 		qt.Assert(t, m, qt.Equals, want)
-		if m == Go {
+		if m == Send {
 			c.got(r, turned, false)
 		}
 		was := c
-		c = NewCourse(pools, bud, &routeconfig.CompiledRoute{Route: routeconfig.Route{MaxAttempts: 3}}, "s", false)
-		c.After(was)
+		c = NewAttemptPlan(pools, bud, &routeconfig.CompiledRoute{Route: routeconfig.Route{MaxAttempts: 3}}, "s", false)
+		c.ContinueFrom(was)
 	}
-	qt.Assert(t, bud.Left("s"), qt.Equals, 0.0)
+	qt.Assert(t, bud.Balance("s"), qt.Equals, 0.0)
 }
 
 func TestStreamServesOnAfterAnAnswerWasReadLate(t *testing.T) {
--- a/internal/proxy/appline.go
+++ b/internal/proxy/appline.go
@@ -12,7 +12,7 @@
 // AppLine reaches endpoints. A reset on a stream that was used before proves
 // nothing about the request sent on it; once one was seen, what can't be
 // repeated goes on fresh streams for a while.
-type AppLine struct {
+type AppClient struct {
 	pooled http.RoundTripper
 	fresh  http.RoundTripper
 	idle   func()
@@ -21,9 +21,9 @@
 
 const shyFor = 12 * time.Second
 
-func NewAppLine(pooled, fresh *http.Transport) *AppLine {
+func NewAppClient(pooled, fresh *http.Transport) *AppClient {
 	fresh.DisableKeepAlives = true
-	return &AppLine{pooled: pooled, fresh: fresh, idle: pooled.CloseIdleConnections}
+	return &AppClient{pooled: pooled, fresh: fresh, idle: pooled.CloseIdleConnections}
 }
 
 // said is what an endpoint answered to one dispatch, or why nothing came.
@@ -38,7 +38,7 @@
 )
 
 // send gives the endpoint's answer, or what is known of a request without one.
-func (l *AppLine) send(q *http.Request, id string, repeatable bool) (*http.Response, said, error) {
+func (l *AppClient) send(q *http.Request, id string, repeatable bool) (*http.Response, said, error) {
 	var sent atomic.Bool
 	var reused atomic.Bool
 	ctx := httptrace.WithClientTrace(q.Context(), &httptrace.ClientTrace{
--- a/internal/proxy/blame.go
+++ b/internal/proxy/blame.go
@@ -81,7 +81,7 @@
 
 // Blames tells the master of the endpoints that answered this node badly, and
 // of what grey ones answered it.
-func (p *Pools) Blames() []*meshpb.FailureReport {
+func (p *Balancer) FailureReports() []*meshpb.FailureReport {
 	now := p.clock()
 	var out []*meshpb.FailureReport
 	for _, y := range p.cur.Load().by {
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -58,7 +58,7 @@
 }
 
 // Earn notes a request for the service.
-func (b *Budget) Earn(service string) {
+func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	u := b.turn(service)
 	u.asked[u.at%budgetBuckets]++
@@ -71,7 +71,7 @@
 	return b.ratio*u.sumA + grown*b.slack/float64(max(b.nodes(), 1)) - u.sumS
 }
 
-func (b *Budget) Spend(service string) bool {
+func (b *Budget) TrySpend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.turn(service)
@@ -84,7 +84,7 @@
 }
 
 // Afford tells whether a second arrival could be paid for now.
-func (b *Budget) Afford(service string) bool {
+func (b *Budget) CanSpend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(b.turn(service)) >= 1
@@ -101,7 +101,7 @@
 }
 
 // Left is the balance as the recorder keeps it.
-func (b *Budget) Left(service string) float64 {
+func (b *Budget) Balance(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(b.turn(service))
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -48,10 +48,10 @@
 				e := at{t: now}
 				for _, b := range bs {
 					if rng.Float64() < 0.2 {
-						b.Earn("s")
+						b.RecordRequest("s")
 						e.asks++
 					}
-					for b.Spend("s") {
+					for b.TrySpend("s") {
 						e.got++
 					}
 				}
@@ -75,16 +75,16 @@
 func TestShareBelowOneAddsUpToAWholeToken(t *testing.T) {
 	now := time.Duration(0)
 	b := NewBudget(0.2, 50, 10*time.Second, func() int { return 100 }, func() time.Duration { return now })
-	qt.Assert(t, b.Spend("s"), qt.IsFalse)
+	qt.Assert(t, b.TrySpend("s"), qt.IsFalse)
 	n := 0
 	for range 100 {
 		now += 20 * time.Millisecond
-		b.Earn("s")
-		if b.Spend("s") {
+		b.RecordRequest("s")
+		if b.TrySpend("s") {
 			n++
 		}
 	}
 	qt.Assert(t, n, qt.Equals, 10)
 	now += 11 * time.Second
-	qt.Assert(t, b.Left("s"), qt.Equals, 0.25)
+	qt.Assert(t, b.Balance("s"), qt.Equals, 0.25)
 }
--- a/internal/proxy/common.go
+++ b/internal/proxy/common.go
@@ -169,7 +169,7 @@
 		return "an encoded body"
 	case good && p.ContentLength < 0 && p.Body != http.NoBody && len(p.TransferEncoding) == 0:
 		return "a body whose end can't be told from a break"
-	case !repeatable && Promises(p.StatusCode):
+	case !repeatable && PromisesNotRun(p.StatusCode):
 		return "a promise by an endpoint that may have run it"
 	}
 	return ""
--- a/internal/proxy/course.go
+++ b/internal/proxy/course.go
@@ -20,25 +20,25 @@
 )
 
 // Fate is what became of one dispatch.
-type Fate = result
+type Outcome = result
 
 const (
-	Ran     = answered
-	Bounced = bounced
-	Unmet   = unmet
-	Turned  = turned
-	Unsure  = broken
-	Late    = timeout
-	Quit    = quit
+	Answered    = answered
+	Rejected    = bounced
+	Unreachable = unmet
+	Declined    = turned
+	Failed      = broken
+	TimedOut    = timeout
+	ClientGone  = quit
 )
 
 // Move is what a course wants next.
-type Move int
+type Action int
 
 const (
-	Go Move = iota
-	Pause
-	Stop
+	Send Action = iota
+	Wait
+	GiveUp
 )
 
 // shortTries endpoints are asked for a short wait, then the best for a long one.
@@ -50,8 +50,8 @@
 
 // Course decides, dispatch by dispatch, what becomes of one request. It knows
 // no clock and no wire: live requests and replayed ones go through it alike.
-type Course struct {
-	pools    *Pools
+type AttemptPlan struct {
+	pools    *Balancer
 	budget   *Budget
 	route    *routeconfig.CompiledRoute
 	to       string
@@ -70,18 +70,18 @@
 	key      uint64
 }
 
-func NewCourse(p *Pools, b *Budget, route *routeconfig.CompiledRoute, to string, heavy bool) Course {
-	return Course{pools: p, budget: b, route: route, to: to, heavy: heavy}
+func NewAttemptPlan(p *Balancer, b *Budget, route *routeconfig.CompiledRoute, to string, heavy bool) AttemptPlan {
+	return AttemptPlan{pools: p, budget: b, route: route, to: to, heavy: heavy}
 }
 
-func (c *Course) most() int { return max(c.route.MaxAttempts, 1) }
+func (c *AttemptPlan) most() int { return max(c.route.MaxAttempts, 1) }
 
 // more tells that another arrival is allowed after the one under way.
-func (c *Course) more() bool { return c.arrivals+1 < c.most() }
+func (c *AttemptPlan) more() bool { return c.arrivals+1 < c.most() }
 
-func (c *Course) short() bool { return c.only == "" && c.full < shortTries }
+func (c *AttemptPlan) short() bool { return c.only == "" && c.full < shortTries }
 
-func (c *Course) choose() *remote {
+func (c *AttemptPlan) choose() *remote {
 	if c.only != "" {
 		return c.pools.find(c.to, c.only)
 	}
@@ -100,9 +100,9 @@
 
 // next names the endpoint for the next dispatch, which the budget has paid for
 // where it is a second arrival.
-func (c *Course) next() (*remote, Move) {
+func (c *AttemptPlan) next() (*remote, Action) {
 	if c.tries >= mostTries || c.arrivals >= c.most() {
-		return nil, Stop
+		return nil, GiveUp
 	}
 	if c.full == shortTries {
 		c.tried = slices.Clone(c.ran)
@@ -111,19 +111,19 @@
 	r := c.choose()
 	if r == nil {
 		if c.full > 0 || c.tries > 1 {
-			return nil, Stop
+			return nil, GiveUp
 		}
-		return nil, Pause
+		return nil, Wait
 	}
-	if c.arrivals > 0 && !c.budget.Spend(c.to) {
-		return nil, Stop
+	if c.arrivals > 0 && !c.budget.TrySpend(c.to) {
+		return nil, GiveUp
 	}
-	return r, Go
+	return r, Send
 }
 
 // got takes what became of a dispatch that brought no answer. Done tells that
 // the request ends with the outcome.
-func (c *Course) got(r *remote, res result, started bool) (o outcome, done bool) {
+func (c *AttemptPlan) got(r *remote, res result, started bool) (o outcome, done bool) {
 	switch res {
 	case bounced:
 		c.full++
@@ -154,24 +154,24 @@
 	return late, true
 }
 
-func (c *Course) unspend() {
+func (c *AttemptPlan) unspend() {
 	if c.arrivals > 0 {
 		c.budget.refund(c.to)
 	}
 }
 
 // mayRace tells that a second dispatch may go out while the first is silent.
-func (c *Course) mayRace() bool {
+func (c *AttemptPlan) mayRace() bool {
 	return c.route.Kind.Idempotent() && !c.heavy && c.only == "" && c.more()
 }
 
 // second names the endpoint for a dispatch beside the one under way.
-func (c *Course) second() *remote {
+func (c *AttemptPlan) second() *remote {
 	if !c.budget.spare(c.to) {
 		return nil
 	}
 	r := c.choose()
-	if r == nil || !c.budget.Spend(c.to) {
+	if r == nil || !c.budget.TrySpend(c.to) {
 		return nil
 	}
 	c.arrivals++
@@ -179,7 +179,7 @@
 }
 
 // lost takes what became of the one of two dispatches that ended first.
-func (c *Course) lost(r *remote, res result) {
+func (c *AttemptPlan) lost(r *remote, res result) {
 	switch res {
 	case bounced, unmet:
 		c.arrivals--
@@ -191,7 +191,7 @@
 }
 
 // end is the outcome of a request that was given up with o.
-func (c *Course) end(o outcome, past bool) outcome {
+func (c *AttemptPlan) end(o outcome, past bool) outcome {
 	if c.mayRun && (o == refused || o == expired) {
 		o = lost
 		if past {
@@ -205,52 +205,54 @@
 }
 
 // Answer is the outcome of a request that the system answers itself.
-type Answer = outcome
+type LocalReply = outcome
 
 const (
-	NoRoute = noRoute
-	Refused = refused
-	Barred  = barred
+	NoRoute    = noRoute
+	NoEndpoint = refused
+	Forbidden  = barred
 )
 
 func (o outcome) Code() int { return outcomes[o].code }
 
 // Promises tells that the answer says the request has not run and never will.
-func Promises(code int) bool { return code == 503 || code == 429 || code == 408 || code == 421 }
+func PromisesNotRun(code int) bool { return code == 503 || code == 429 || code == 408 || code == 421 }
 
 // The steps of a course, for those who play it without a wire.
 
-func (c *Course) Next() (Seat, Move) { r, m := c.next(); return Seat{r}, m }
+func (c *AttemptPlan) Next() (Endpoint, Action) { r, m := c.next(); return Endpoint{r}, m }
 
-func (c *Course) Got(s Seat, f Fate) (Answer, bool) { return c.got(s.r, f, false) }
+func (c *AttemptPlan) AttemptFailed(s Endpoint, f Outcome) (LocalReply, bool) {
+	return c.got(s.r, f, false)
+}
 
-func (c *Course) Second() (Seat, bool) { r := c.second(); return Seat{r}, r != nil }
+func (c *AttemptPlan) NextHedge() (Endpoint, bool) { r := c.second(); return Endpoint{r}, r != nil }
 
-func (c *Course) Lost(s Seat, f Fate) { c.lost(s.r, f) }
+func (c *AttemptPlan) HedgeFailed(s Endpoint, f Outcome) { c.lost(s.r, f) }
 
-func (c *Course) End(o Answer, past bool) Answer { return c.end(o, past) }
+func (c *AttemptPlan) FinalReply(o LocalReply, past bool) LocalReply { return c.end(o, past) }
 
-func (c *Course) MayRace() bool { return c.mayRace() }
+func (c *AttemptPlan) MayHedge() bool { return c.mayRace() }
 
-func (c *Course) MayRun() bool { return c.mayRun }
+func (c *AttemptPlan) MayHaveRun() bool { return c.mayRun }
 
-func (c *Course) More() bool { return c.more() }
+func (c *AttemptPlan) MayRetry() bool { return c.more() }
 
-func (c *Course) Short() bool { return c.short() }
+func (c *AttemptPlan) ShortWait() bool { return c.short() }
 
 // Key makes a read keep to its key's homes; what can't be repeated goes the
 // ordinary way.
-func (c *Course) Key(k uint64) {
+func (c *AttemptPlan) SetKey(k uint64) {
 	if c.route.Kind.Idempotent() {
 		c.key = k
 	}
 }
 
 // After counts the arrivals of an earlier course of the same request.
-func (c *Course) After(was Course) { c.arrivals = was.arrivals }
+func (c *AttemptPlan) ContinueFrom(was AttemptPlan) { c.arrivals = was.arrivals }
 
 // Only keeps the course to one endpoint.
-func (c *Course) Only(id string) { c.only = id }
+func (c *AttemptPlan) PinTo(id string) { c.only = id }
 
 // Lead names endpoints to take before the choice by load, while they may be.
-func (c *Course) Lead(f func() string) { c.lead = f }
+func (c *AttemptPlan) PreferFirst(f func() string) { c.lead = f }
--- a/internal/proxy/direct_test.go
+++ b/internal/proxy/direct_test.go
@@ -28,14 +28,14 @@
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: e.id, Service: "s", Addr: fmt.Sprint("app", i), Zone: "z", Slots: 2, State: "up"})
 		m.eps = append(m.eps, e)
 	}
-	pools := NewPools("z", 1, 1).Prefer("n", 8)
-	pools.Set(v)
+	pools := NewBalancer("z", 1, 1).PreferSubset("n", 8)
+	pools.ApplyView(v)
 	doc, err := routeconfig.Parse([]byte(plan))
 	qt.Assert(t, err, qt.IsNil)
 	var p atomic.Pointer[routeconfig.Table]
 	p.Store(routeconfig.Compile(doc))
-	m.out = NewOutbound(OutboundOptions{Pools: pools, Plan: &p, App: NewAppLine(m.h.line(), m.h.line()), Budget: m.bud,
-		Ready: func() bool { return true }, Note: func(string, ...any) {}, Peek: 64 << 10})
+	m.out = NewOutbound(OutboundOptions{Balancer: pools, Routes: &p, AppClient: NewAppClient(m.h.line(), m.h.line()), RetryBudget: m.bud,
+		Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
 	if patience != nil {
 		patience(m.out)
 	}
@@ -109,7 +109,7 @@
 func TestFreshStreamsOnceAReusedOneWasReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pooled, fresh := &trippers{}, &trippers{}
-		l := &AppLine{pooled: pooled, fresh: fresh, idle: func() {}}
+		l := &AppClient{pooled: pooled, fresh: fresh, idle: func() {}}
 		q := func() *http.Request { r, _ := http.NewRequest("POST", "http://a/", nil); return r }
 		l.send(q(), "r", false)
 		qt.Assert(t, []int{pooled.n, fresh.n}, qt.DeepEquals, []int{1, 0})
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -35,22 +35,22 @@
 }
 
 func (t *trip) dispatch() bool {
-	t.b.o.Budget.Earn(t.to)
+	t.b.o.RetryBudget.RecordRequest(t.to)
 	for n := 0; ; n++ {
 		was := t.course
-		t.course = NewCourse(t.b.o.Pools, t.b.o.Budget, t.route, t.to, t.heavy())
-		t.course.After(was)
+		t.course = NewAttemptPlan(t.b.o.Balancer, t.b.o.RetryBudget, t.route, t.to, t.heavy())
+		t.course.ContinueFrom(was)
 		t.course.only = t.only
-		t.course.Key(t.key)
+		t.course.SetKey(t.key)
 		o, done := t.run()
 		if done {
 			return true
 		}
 		// The session's instance is leaving and has not run this request.
-		if t.only == "" || t.course.mayRun || t.rest.over() || n >= MoveTries || o != refused {
+		if t.only == "" || t.course.mayRun || t.rest.over() || n >= MaxSessionMoves || o != refused {
 			return t.give(o)
 		}
-		if ok, _ := t.b.o.Pools.Sits(t.to, t.only); ok {
+		if ok, _ := t.b.o.Balancer.Accepts(t.to, t.only); ok {
 			return t.give(o)
 		}
 		if t.seat() {
@@ -65,13 +65,13 @@
 	c := &t.course
 	for time.Now().Before(t.due) && t.ctx.Err() == nil {
 		r, m := c.next()
-		if m == Pause {
+		if m == Wait {
 			if !t.pause(20 * time.Millisecond) {
 				break
 			}
 			continue
 		}
-		if m == Stop {
+		if m == GiveUp {
 			break
 		}
 		y := t.race(r)
@@ -88,7 +88,7 @@
 	return refused, false
 }
 
-func (t *trip) patience() time.Duration { return Patience(t.b.longest.usual(t.route.Name)) }
+func (t *trip) patience() time.Duration { return SilenceLimit(t.b.longest.usual(t.route.Name)) }
 
 // race dispatches to r. A request that may run twice gets a second dispatch,
 // paid by the budget, once the first has been silent for much longer than
@@ -118,7 +118,7 @@
 		}()
 	}
 	start(0, r)
-	w := time.NewTimer(min(RaceAfter(t.b.longest.usual(t.route.Name)), time.Until(t.due)/2))
+	w := time.NewTimer(min(HedgeDelay(t.b.longest.usual(t.route.Name)), time.Until(t.due)/2))
 	defer w.Stop()
 	select {
 	case l := <-ch:
@@ -166,13 +166,13 @@
 		y.p, y.res = t.sendOver(ctx, r, short)
 	}
 	if y.res == answered {
-		if y.p.StatusCode >= 500 && t.route.Kind.Idempotent() && more && time.Until(t.due) > 2*usual && t.b.o.Budget.Afford(t.to) {
+		if y.p.StatusCode >= 500 && t.route.Kind.Idempotent() && more && time.Until(t.due) > 2*usual && t.b.o.RetryBudget.CanSpend(t.to) {
 			stream(io.Discard, io.LimitReader(y.p.Body, 64<<10))
 			y.p.Body.Close()
 			y.res = broken
 		} else {
 			var err error
-			y.b, y.whole, err = head(y.p.Body, y.p.ContentLength, t.b.o.Peek)
+			y.b, y.whole, err = head(y.p.Body, y.p.ContentLength, t.b.o.BufferLimit)
 			if err != nil && t.r.Method != http.MethodHead {
 				y.p.Body.Close()
 				y.res = t.failed(ctx)
@@ -257,8 +257,8 @@
 // sendDirect dials the endpoint itself.
 func (t *trip) sendDirect(ctx context.Context, r *remote) (*http.Response, result) {
 	out := t.head(r)
-	out[hdrDeadline] = []string{millis(time.Until(t.due) - t.b.o.Margin)}
-	p, s, err := t.b.o.App.send(t.asked(ctx, r.addr, out), t.r.Header.Get(hdrID), t.route.Kind.Idempotent())
+	out[hdrDeadline] = []string{millis(time.Until(t.due) - t.b.o.DeadlineMargin)}
+	p, s, err := t.b.o.AppClient.send(t.asked(ctx, r.addr, out), t.r.Header.Get(hdrID), t.route.Kind.Idempotent())
 	switch s {
 	case saidAnswer:
 		return p, answered
@@ -276,12 +276,12 @@
 	if x := t.failed(ctx); x != broken {
 		return nil, x
 	}
-	t.b.o.Note("endpoint %s broke off: %v", r.id, err)
+	t.b.o.Logf("endpoint %s broke off: %v", r.id, err)
 	return nil, broken
 }
 
 // MayWait is how long a request may stand in the queue beside an endpoint.
-func MayWait(aim, passed, left, usual time.Duration, fresh, short bool) time.Duration {
+func QueueWaitLimit(aim, passed, left, usual time.Duration, fresh, short bool) time.Duration {
 	if w := aim - passed - usual/2; fresh && aim > 0 {
 		left = min(left-usual, w)
 	} else {
@@ -294,28 +294,28 @@
 }
 
 // Patience is how long an endpoint may be silent before it counts as ill.
-func Patience(usual time.Duration) time.Duration { return max(4*usual, 500*time.Millisecond) }
+func SilenceLimit(usual time.Duration) time.Duration { return max(4*usual, 500*time.Millisecond) }
 
 // RaceAfter is how long a first dispatch may be silent before a second goes out
 // beside it. Most long requests are long wherever they run, so it is well past
 // the usual.
-func RaceAfter(usual time.Duration) time.Duration {
-	return min(max(5*usual/2, 200*time.Millisecond), Patience(usual))
+func HedgeDelay(usual time.Duration) time.Duration {
+	return min(max(5*usual/2, 200*time.Millisecond), SilenceLimit(usual))
 }
 
 // sendOver goes by the node beside the endpoint.
 func (t *trip) sendOver(ctx context.Context, r *remote, short bool) (*http.Response, result) {
 	out := t.head(r)
 	out[hdrRank] = []string{strconv.Itoa(t.route.Priority)}
-	left := time.Until(t.due) - t.b.o.Margin
+	left := time.Until(t.due) - t.b.o.DeadlineMargin
 	out[hdrDeadline] = []string{millis(left)}
 	usual := t.b.longest.usual(t.route.Name)
-	left = MayWait(t.route.LatencyTarget, time.Since(t.t0), left, usual, t.fresh, short)
+	left = QueueWaitLimit(t.route.LatencyTarget, time.Since(t.t0), left, usual, t.fresh, short)
 	out[hdrWait] = []string{millis(left)}
 	if !t.fresh {
 		out[hdrLate] = []string{"1"}
 	}
-	if t.b.o.Pools.isHot(t.key) {
+	if t.b.o.Balancer.isHot(t.key) {
 		out[hdrHot] = []string{"1"}
 	}
 	if !t.route.Kind.Idempotent() {
@@ -329,7 +329,7 @@
 	}
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
-	p, err := t.b.o.Line.RoundTrip(t.asked(ctx, r.inbound, out))
+	p, err := t.b.o.Transport.RoundTrip(t.asked(ctx, r.inbound, out))
 	if err != nil {
 		if t.gone() {
 			return nil, quit
@@ -358,7 +358,7 @@
 	if why := spoilt(p, t.r.Header.Get(hdrID), t.route.Kind.Idempotent()); why != "" {
 		p.Body.Close()
 		r.miss()
-		t.b.o.Note("node beside %s: %s", r.id, why)
+		t.b.o.Logf("node beside %s: %s", r.id, why)
 		return nil, broken
 	}
 	return p, answered
--- a/internal/proxy/flows.go
+++ b/internal/proxy/flows.go
@@ -28,7 +28,7 @@
 }
 
 // Flows counts the answered dispatches of the last seconds.
-type Flows struct {
+type FlowMeter struct {
 	mu  sync.Mutex
 	now func() time.Time
 	t0  time.Time
@@ -36,9 +36,9 @@
 	bs  [flowBuckets]map[flow]count
 }
 
-func NewFlows(now func() time.Time) *Flows { return &Flows{now: now, t0: now()} }
+func NewFlowMeter(now func() time.Time) *FlowMeter { return &FlowMeter{now: now, t0: now()} }
 
-func (f *Flows) turn() int64 {
+func (f *FlowMeter) turn() int64 {
 	n := int64(f.now().Sub(f.t0) / flowBucket)
 	for ; f.at < n; f.at++ {
 		f.bs[(f.at+1)%flowBuckets] = nil
@@ -49,7 +49,7 @@
 	return n
 }
 
-func (f *Flows) add(k flow, took time.Duration) {
+func (f *FlowMeter) add(k flow, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.turn() % flowBuckets
@@ -61,7 +61,7 @@
 }
 
 // Report gives the flows of the whole buckets that are past.
-func (f *Flows) Report() ([]*meshpb.Flow, time.Duration) {
+func (f *FlowMeter) Report() ([]*meshpb.Flow, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.turn()
--- a/internal/proxy/hot.go
+++ b/internal/proxy/hot.go
@@ -32,7 +32,7 @@
 }
 
 // SlowStart sets how long a new copy takes to come up to its full share.
-func (p *Pools) SlowStart(d time.Duration) *Pools {
+func (p *Balancer) SlowStart(d time.Duration) *Balancer {
 	p.slow = int64(d)
 	return p
 }
@@ -62,7 +62,7 @@
 
 // heat takes the hot keys of a view. A key that has grown keeps its earlier
 // copies at their full share while the new ones come up.
-func (p *Pools) heat(v *meshpb.View, n, old *pool) {
+func (p *Balancer) heat(v *meshpb.View, n, old *pool) {
 	if len(v.HotKeys) == 0 {
 		return
 	}
@@ -87,11 +87,11 @@
 }
 
 // isHot tells that a key's reads are spread.
-func (p *Pools) isHot(key uint64) bool { return key != 0 && p.cur.Load().hot[key] != nil }
+func (p *Balancer) isHot(key uint64) bool { return key != 0 && p.cur.Load().hot[key] != nil }
 
 // pickHome takes an endpoint among a key's homes; none where they can't take it
 // well, so that the choice is then by load among all.
-func (p *Pools) pickHome(y *party, w want, now int64, far, usual float64) *remote {
+func (p *Balancer) pickHome(y *party, w want, now int64, far, usual float64) *remote {
 	fit := func(r *remote) bool {
 		return r.open(now) && !r.grey && !w.had(r) && max(r.mine.Load(), r.fresh(now)) < r.slots
 	}
@@ -190,7 +190,7 @@
 }
 
 // Note counts one read; work is how long its route usually takes.
-func (m *KeyMeter) Note(key uint64, route, service string, work time.Duration) {
+func (m *KeyMeter) Record(key uint64, route, service string, work time.Duration) {
 	if m == nil || key == 0 {
 		return
 	}
--- a/internal/proxy/hot_test.go
+++ b/internal/proxy/hot_test.go
@@ -25,14 +25,14 @@
 	return v
 }
 
-func hotPools(now *int64) *Pools {
-	p := NewPools("z", 2, 5).SlowStart(time.Second)
+func hotPools(now *int64) *Balancer {
+	p := NewBalancer("z", 2, 5).SlowStart(time.Second)
 	n := uint64(1)
-	p.Draw(func() float64 { n = mix(n); return float64(n>>11) / (1 << 53) }, func() int64 { return *now })
+	p.SetRandomAndClock(func() float64 { n = mix(n); return float64(n>>11) / (1 << 53) }, func() int64 { return *now })
 	return p
 }
 
-func homes(p *Pools, key uint64, n int) map[string]int {
+func homes(p *Balancer, key uint64, n int) map[string]int {
 	out := map[string]int{}
 	for range n {
 		if r := p.pick(want{service: "s", key: key}); r != nil {
@@ -46,10 +46,10 @@
 	now := int64(time.Hour)
 	p := hotPools(&now)
 	key := KeyHash("s", "final")
-	p.Set(hotView(1, key, 1, ""))
+	p.ApplyView(hotView(1, key, 1, ""))
 	one := homes(p, key, 500)
 	qt.Assert(t, len(one), qt.Equals, 1)
-	p.Set(hotView(2, key, 3, ""))
+	p.ApplyView(hotView(2, key, 3, ""))
 	now += int64(100 * time.Millisecond)
 	early := homes(p, key, 2000)
 	now += int64(2 * time.Second)
@@ -59,7 +59,7 @@
 		qt.Check(t, early[id] > 1500, qt.IsTrue, qt.Commentf("%v", early))
 		qt.Check(t, late[id] < 1000, qt.IsTrue, qt.Commentf("%v", late))
 	}
-	p.Set(hotView(3, key, 2, ""))
+	p.ApplyView(hotView(3, key, 2, ""))
 	now += int64(time.Second)
 	for id := range homes(p, key, 500) {
 		qt.Check(t, late[id] > 0, qt.IsTrue)
@@ -71,7 +71,7 @@
 		gone = id
 	}
 	was := homes(p, key, 500)
-	p.Set(hotView(4, key, 2, gone))
+	p.ApplyView(hotView(4, key, 2, gone))
 	delete(was, gone)
 	left := homes(p, key, 500)
 	for id := range was {
@@ -83,7 +83,7 @@
 	now := int64(time.Hour)
 	p := hotPools(&now)
 	key := KeyHash("s", "final")
-	p.Set(hotView(1, key, 1, ""))
+	p.ApplyView(hotView(1, key, 1, ""))
 	for _, r := range p.cur.Load().by["s"].all {
 		for id := range homes(p, key, 1) {
 			if r.id == id {
@@ -104,15 +104,15 @@
 	play := func(order []int) {
 		now := int64(time.Hour)
 		p := hotPools(&now)
-		p.Set(hotView(1, key, 1, ""))
+		p.ApplyView(hotView(1, key, 1, ""))
 		b := NewBudget(0.2, 400, 10*time.Second, func() int { return 1 }, func() time.Duration { return time.Duration(now) })
 		now += int64(time.Minute)
 		route := func(k routeconfig.RouteKind) *routeconfig.CompiledRoute {
 			return &routeconfig.CompiledRoute{Route: routeconfig.Route{Kind: k, MaxAttempts: 3, LatencyTarget: time.Second}}
 		}
-		buy, read := NewCourse(p, b, route(routeconfig.KindEffectful), "s", false), NewCourse(p, b, route(routeconfig.KindPure), "s", false)
-		buy.Key(key)
-		read.Key(key)
+		buy, read := NewAttemptPlan(p, b, route(routeconfig.KindEffectful), "s", false), NewAttemptPlan(p, b, route(routeconfig.KindPure), "s", false)
+		buy.SetKey(key)
+		read.SetKey(key)
 		qt.Assert(t, buy.key, qt.Equals, uint64(0))
 		views := []*meshpb.View{hotView(2, key, 4, ""), hotView(3, key, 4, "e2"), hotView(4, key, 1, "e2")}
 		at := [4]int{}
@@ -124,7 +124,7 @@
 			now += int64(50 * time.Millisecond)
 			switch th {
 			case 0:
-				p.Set(views[i])
+				p.ApplyView(views[i])
 			case 1:
 				// The purchase is bounced once, then its endpoint breaks off.
 				if ended {
@@ -132,7 +132,7 @@
 				}
 				if i%2 == 0 {
 					r, m := buy.next()
-					if m != Go {
+					if m != Send {
 						ended = true
 						continue
 					}
@@ -150,7 +150,7 @@
 				}
 				if i%2 == 0 {
 					r, m := read.next()
-					qt.Assert(t, m, qt.Equals, Go)
+					qt.Assert(t, m, qt.Equals, Send)
 					readAt = r
 					continue
 				}
@@ -173,7 +173,7 @@
 			o, _ := buy.got(buyAt, broken, false)
 			qt.Assert(t, buy.end(o, false), qt.Equals, lost)
 		} else {
-			qt.Assert(t, m != Go || r != nil, qt.IsTrue)
+			qt.Assert(t, m != Send || r != nil, qt.IsTrue)
 		}
 		qt.Assert(t, ran <= 1, qt.IsTrue)
 		qt.Assert(t, readRan, qt.IsTrue)
@@ -202,8 +202,8 @@
 	m := NewKeyMeter(func() time.Time { return now })
 	for i := range 4000 {
 		now = now.Add(time.Millisecond)
-		m.Note(KeyHash("s", "final"), "read", "s", 40*time.Millisecond)
-		m.Note(KeyHash("s", fmt.Sprint("other-", i)), "read", "s", 40*time.Millisecond)
+		m.Record(KeyHash("s", "final"), "read", "s", 40*time.Millisecond)
+		m.Record(KeyHash("s", fmt.Sprint("other-", i)), "read", "s", 40*time.Millisecond)
 	}
 	ks, same := m.Rates()
 	qt.Assert(t, same, qt.IsFalse)
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -17,21 +17,21 @@
 type InboundOptions struct {
 	AppAddr string
 	// LinkMbps is what this machine's link takes, 0 if not known.
-	LinkMbps float64
-	Pacer    *Pacer
-	Desk     *endpointagent.Agent
-	Line     *AppLine
-	Note     func(f string, a ...any)
-	Peek     int
+	LinkMbps    float64
+	Pacer       *Pacer
+	Agent       *endpointagent.Agent
+	AppClient   *AppClient
+	Logf        func(f string, a ...any)
+	BufferLimit int
 }
 
 // Inbound alone reaches the endpoint beside this node.
 type Inbound struct {
-	o       InboundOptions
-	Running atomic.Int64
-	leaving atomic.Bool
-	held    atomic.Int64
-	out     rate
+	o        InboundOptions
+	InFlight atomic.Int64
+	leaving  atomic.Bool
+	held     atomic.Int64
+	out      rate
 }
 
 // rate is how much went out over the last moments.
@@ -63,7 +63,7 @@
 
 func NewInbound(o InboundOptions) *Inbound { return &Inbound{o: o} }
 
-func (n *Inbound) Leave() { n.leaving.Store(true) }
+func (n *Inbound) Drain() { n.leaving.Store(true) }
 
 type visit struct {
 	n     *Inbound
@@ -110,14 +110,14 @@
 }
 
 func (n *Inbound) loadText() string {
-	l := n.o.Desk.Load()
+	l := n.o.Agent.Load()
 	link := n.link()
 	return fmt.Sprintf("%d,%d,%d,%d,%d", l.Running, l.Queued, l.Slots, l.ServiceTime/time.Millisecond, min(link, 100))
 }
 
 func (n *Inbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n.Running.Add(1)
-	defer n.Running.Add(-1)
+	n.InFlight.Add(1)
+	defer n.InFlight.Add(-1)
 	if n.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -157,7 +157,7 @@
 	if h := v.r.Header.Get(hdrHeavy); h != "" && v.n.o.Pacer.behind(time.Now()) > fullLink[h] {
 		return v.say(sayBounced, "link")
 	}
-	free, why := v.n.o.Desk.Admit(v.ctx, v.life, endpointagent.Priority{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Deadline: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
+	free, why := v.n.o.Agent.Admit(v.ctx, v.life, endpointagent.Priority{Late: v.r.Header.Get(hdrLate) != "", Rank: v.rank, Deadline: v.due, Hot: v.r.Header.Get(hdrHot) != ""}, most)
 	if why != endpointagent.NotRejected {
 		return v.say(sayBounced, string(why))
 	}
@@ -184,7 +184,7 @@
 		readBy(v.w, v.due)
 	}
 	t0 := time.Now()
-	p, s, err := n.o.Line.send(q, v.id, v.r.Header.Get(hdrOnce) == "")
+	p, s, err := n.o.AppClient.send(q, v.id, v.r.Header.Get(hdrOnce) == "")
 	switch {
 	case s == saidAnswer:
 		defer p.Body.Close()
@@ -200,7 +200,7 @@
 		}
 		return v.say(sayLate, "deadline")
 	case s == saidDialFailed:
-		n.o.Desk.RecordConnectionRefused(v.life)
+		n.o.Agent.RecordConnectionRefused(v.life)
 		return v.say(sayRefused, "dial")
 	case s == saidNothingSent:
 		return v.say(sayRefused, "unsent")
@@ -210,7 +210,7 @@
 }
 
 // note tells the desk whether the endpoint did what was asked of it.
-func (v *visit) note(good bool) { v.n.o.Desk.RecordOutcome(v.life, good) }
+func (v *visit) note(good bool) { v.n.o.Agent.RecordOutcome(v.life, good) }
 
 // holdMost bounds the answers that a node holds whole for its link, so that the
 // endpoint's slot is free before they are on their way.
@@ -218,7 +218,7 @@
 
 func (v *visit) relay(p *http.Response, t0 time.Time) bool {
 	n := v.n
-	peek := int64(n.o.Peek)
+	peek := int64(n.o.BufferLimit)
 	if p.ContentLength > peek && p.ContentLength < holdMost/4 {
 		if h := n.held.Add(p.ContentLength); h <= holdMost {
 			peek = p.ContentLength
@@ -235,7 +235,7 @@
 	}
 	v.note(p.StatusCode < 500)
 	if whole {
-		n.o.Desk.RecordResponse(v.life, time.Since(t0))
+		n.o.Agent.RecordResponse(v.life, time.Since(t0))
 		v.free()
 	} else {
 		writeBy(v.w, v.due)
@@ -245,7 +245,7 @@
 	begin(v.w, v.r.Method, p, b, whole)
 	finish(v.w, p, b, whole, n.o.Pacer, v.due)
 	if !whole {
-		n.o.Desk.RecordResponse(v.life, time.Since(t0))
+		n.o.Agent.RecordResponse(v.life, time.Since(t0))
 	}
 	return true
 }
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -52,31 +52,31 @@
 }
 
 type OutboundOptions struct {
-	Service string
-	Pools   *Pools
-	Plan    *atomic.Pointer[routeconfig.Table]
-	Line    http.RoundTripper
-	App     *AppLine
-	Budget  *Budget
-	Pacer   *Pacer
-	Cords   *affinity.Cords
-	Tickets *requestlog.Recorder
-	Keys    *KeyMeter
-	Ready   func() bool
-	Note    func(f string, a ...any)
-	Peek    int
-	Margin  time.Duration
+	Service        string
+	Balancer       *Balancer
+	Routes         *atomic.Pointer[routeconfig.Table]
+	Transport      http.RoundTripper
+	AppClient      *AppClient
+	RetryBudget    *Budget
+	Pacer          *Pacer
+	Sessions       *affinity.Sessions
+	RequestLog     *requestlog.Recorder
+	KeyMeter       *KeyMeter
+	Ready          func() bool
+	Logf           func(f string, a ...any)
+	BufferLimit    int
+	DeadlineMargin time.Duration
 }
 
 type Outbound struct {
-	o       OutboundOptions
-	Running atomic.Int64
-	leaving atomic.Bool
-	closing atomic.Bool
-	Tally   [10]atomic.Int64
-	longest longest
-	Flows   *Flows
-	pasts   pasts
+	o            OutboundOptions
+	InFlight     atomic.Int64
+	leaving      atomic.Bool
+	closing      atomic.Bool
+	LocalReplies [10]atomic.Int64
+	longest      longest
+	Flows        *FlowMeter
+	pasts        pasts
 }
 
 // longest keeps the longest wait seen on each binding: a request with less
@@ -120,15 +120,15 @@
 	return d > l.m[n]*19/20
 }
 
-func NewOutbound(o OutboundOptions) *Outbound { return &Outbound{o: o, Flows: NewFlows(time.Now)} }
+func NewOutbound(o OutboundOptions) *Outbound { return &Outbound{o: o, Flows: NewFlowMeter(time.Now)} }
 
 // Leave asks user agents to go elsewhere with their next request; idle streams
 // stay open, since closing one could cut a request that is under way on it.
-func (b *Outbound) Leave() { b.leaving.Store(true) }
+func (b *Outbound) Drain() { b.leaving.Store(true) }
 
 // Close refuses what comes from now on: it would not be answered before this
 // process ends.
-func (b *Outbound) Close() { b.closing.Store(true) }
+func (b *Outbound) StopAccepting() { b.closing.Store(true) }
 
 type trip struct {
 	b     *Outbound
@@ -147,7 +147,7 @@
 	rest  *rest
 
 	fresh  bool
-	course Course
+	course AttemptPlan
 	pinned string
 	key    uint64
 	only   string
@@ -159,7 +159,7 @@
 
 func (t *trip) answer(o outcome) bool {
 	x := outcomes[o]
-	t.b.Tally[o].Add(1)
+	t.b.LocalReplies[o].Add(1)
 	t.rec.end(x.code, x.text)
 	h := t.w.Header()
 	h["Date"] = nil
@@ -176,11 +176,11 @@
 }
 
 func (b *Outbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b.Running.Add(1)
-	defer b.Running.Add(-1)
+	b.InFlight.Add(1)
+	defer b.InFlight.Add(-1)
 	if b.leaving.Load() {
 		w.Header().Set("Connection", "close")
-	} else if p := b.o.Plan.Load(); p != nil && p.Limits.IdleTimeout > 4*time.Second {
+	} else if p := b.o.Routes.Load(); p != nil && p.Limits.IdleTimeout > 4*time.Second {
 		w.Header()["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(int(p.Limits.IdleTimeout/time.Second)-2)}
 	}
 	t := &trip{b: b, w: w, r: r, t0: time.Now()}
@@ -202,7 +202,7 @@
 	if t.b.closing.Load() {
 		return t.answer(notReady)
 	}
-	t.plan = t.b.o.Plan.Load()
+	t.plan = t.b.o.Routes.Load()
 	if t.plan == nil || !t.b.o.Ready() {
 		return t.answer(notReady)
 	}
@@ -237,7 +237,7 @@
 	}
 	p, q, _ := strings.Cut(t.r.RequestURI, "?")
 	t.key = KeyHash(t.to, r.HotKey.Extract(r.Prefix, p, q, t.rec.header(t.r.Header.Get)))
-	t.b.o.Keys.Note(t.key, r.Name, t.to, t.b.longest.usual(r.Name))
+	t.b.o.KeyMeter.Record(t.key, r.Name, t.to, t.b.longest.usual(r.Name))
 }
 
 func (t *trip) judge() bool {
@@ -247,7 +247,7 @@
 	p, q, _ := strings.Cut(t.r.RequestURI, "?")
 	ok, err := t.route.Policy.Allows(routeconfig.PolicyInput{Method: t.r.Method, Path: p, Query: q, Caller: t.b.o.Service, BodyBytes: int(t.r.ContentLength), Header: t.rec.header(t.r.Header.Get)})
 	if err != nil {
-		t.b.o.Note("policy of %s: %v", t.route.Name, err)
+		t.b.o.Logf("policy of %s: %v", t.route.Name, err)
 	}
 	if !ok {
 		return t.answer(barred)
@@ -283,7 +283,7 @@
 	}
 	readBy(t.w, t.due)
 	src := http.MaxBytesReader(t.w, t.r.Body, most)
-	b, whole, err := head(src, t.r.ContentLength, t.b.o.Peek)
+	b, whole, err := head(src, t.r.ContentLength, t.b.o.BufferLimit)
 	if err != nil {
 		if _, ok := err.(*http.MaxBytesError); ok {
 			return t.answer(tooLarge)
@@ -301,10 +301,10 @@
 }
 
 // Heavy tells that the bytes of a request or its answer are many.
-func Heavy(k routeconfig.RouteKind, body int64) bool { return k.Bulk() || body > 16<<10 }
+func IsBulk(k routeconfig.RouteKind, body int64) bool { return k.Bulk() || body > 16<<10 }
 
 func (t *trip) heavy() bool {
-	return Heavy(t.route.Kind, int64(len(t.body)))
+	return IsBulk(t.route.Kind, int64(len(t.body)))
 }
 
 func (t *trip) past() bool { return !time.Now().Before(t.due) }
--- a/internal/proxy/plug.go
+++ b/internal/proxy/plug.go
@@ -34,10 +34,10 @@
 }
 
 // Sits and Free tell the cords of this node's view.
-func (p *Pools) Sits(service, id string) (bool, string) {
+func (p *Balancer) Accepts(service, id string) (bool, string) {
 	y := p.cur.Load().by[service]
 	if y == nil {
-		return false, affinity.ByEnd
+		return false, affinity.ReasonEnded
 	}
 	for _, r := range y.all {
 		if r.id != id {
@@ -46,12 +46,12 @@
 		if r.up && !r.drained.Load() {
 			return true, ""
 		}
-		return false, affinity.ByDrain
+		return false, affinity.ReasonDrain
 	}
-	return false, affinity.ByEnd
+	return false, affinity.ReasonEnded
 }
 
-func (p *Pools) Free(service string) []string {
+func (p *Balancer) Available(service string) []string {
 	y := p.cur.Load().by[service]
 	if y == nil {
 		return nil
@@ -74,7 +74,7 @@
 
 func (t *trip) session() string {
 	k := t.route.SessionKey
-	if k.Name == "" || t.b.o.Cords == nil {
+	if k.Name == "" || t.b.o.Sessions == nil {
 		return ""
 	}
 	v := ""
@@ -88,7 +88,7 @@
 	if v == "" {
 		return ""
 	}
-	return affinity.Key(k.String(), v)
+	return affinity.SessionKey(k.String(), v)
 }
 
 // plug leads a session's request to the instance that knows the session.
@@ -100,24 +100,24 @@
 }
 
 // MoveTries is how often one request may find its session moved.
-const MoveTries = 3
+const MaxSessionMoves = 3
 
 func (t *trip) seat() bool {
 	allowed := t.plan.ActiveServices(t.route)
 	service := t.to
-	if i, ok := t.route.PickService(affinity.Draw(t.pinned)); ok {
+	if i, ok := t.route.PickService(affinity.Position(t.pinned)); ok {
 		service = t.plan.Services[i].Name
 	}
-	q := affinity.Ask{Key: t.pinned, Allowed: allowed, Service: service, Before: t.b.pasts.of(t.route, allowed)}
+	q := affinity.Query{SessionKey: t.pinned, AllowedServices: allowed, Service: service, EarlierServices: t.b.pasts.of(t.route, allowed)}
 	for {
-		p := t.b.o.Cords.Find(t.ctx, q, t.b.o.Pools)
-		if p.State != affinity.Lease {
+		p := t.b.o.Sessions.Find(t.ctx, q, t.b.o.Balancer)
+		if p.State != affinity.Pending {
 			t.to, t.only, t.wait = p.Service, p.Endpoint, 0
 			return false
 		}
-		t.wait = p.Wait
+		t.wait = p.RetryAfter
 		end := t.t0.Add(max(t.route.LatencyTarget/2, 100*time.Millisecond))
-		if time.Now().Add(p.Wait).After(end) || !t.pause(max(p.Wait, 5*time.Millisecond)) {
+		if time.Now().Add(p.RetryAfter).After(end) || !t.pause(max(p.RetryAfter, 5*time.Millisecond)) {
 			return t.give(refused)
 		}
 	}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -83,7 +83,7 @@
 }
 
 // Pools is the copy-on-write table of endpoints by service.
-type Pools struct {
+type Balancer struct {
 	zone  string
 	name  string
 	some  int
@@ -99,22 +99,22 @@
 	slow  int64
 }
 
-func NewPools(zone string, far, heavy float64) *Pools {
-	p := &Pools{zone: zone, all: map[string]*gauge{}, busy: map[string]*area{}, far: far, heavy: heavy, draw: rand.Float64, clock: func() int64 { return time.Now().UnixNano() }}
+func NewBalancer(zone string, far, heavy float64) *Balancer {
+	p := &Balancer{zone: zone, all: map[string]*gauge{}, busy: map[string]*area{}, far: far, heavy: heavy, draw: rand.Float64, clock: func() int64 { return time.Now().UnixNano() }}
 	p.cur.Store(&pool{by: map[string]*party{}})
 	return p
 }
 
 // Prefer makes the node of that name keep to n endpoints of a service in its
 // zone while these can take its requests.
-func (p *Pools) Prefer(name string, n int) *Pools {
+func (p *Balancer) PreferSubset(name string, n int) *Balancer {
 	p.name, p.some = name, n
 	return p
 }
 
 // Beside tells which node this is: large bodies to or from the endpoint beside
 // it don't use the link.
-func (p *Pools) Beside(node string) *Pools {
+func (p *Balancer) SetLocalNode(node string) *Balancer {
 	p.self = node
 	return p
 }
@@ -141,7 +141,7 @@
 	return out
 }
 
-func (p *Pools) Set(v *meshpb.View) {
+func (p *Balancer) ApplyView(v *meshpb.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := &pool{version: v.Version, by: map[string]*party{}, nodes: int(v.Nodes)}
@@ -176,7 +176,7 @@
 	p.cur.Store(n)
 }
 
-func (p *Pools) Nodes() int { return p.cur.Load().nodes }
+func (p *Balancer) NodeCount() int { return p.cur.Load().nodes }
 
 func (r *remote) heardLoad(s string) {
 	f := strings.Split(s, ",")
@@ -309,7 +309,7 @@
 
 // pick takes the endpoint that should answer first. Bytes between zones are
 // dear, so the own zone is kept to while it answers well within the aim.
-func (p *Pools) pick(w want) *remote {
+func (p *Balancer) pick(w want) *remote {
 	y := p.cur.Load().by[w.service]
 	if y == nil {
 		return nil
@@ -383,7 +383,7 @@
 // drawn takes the best of a few, drawn by what each can take: with many
 // endpoints a sender knows little of each, and if each sender took what seems
 // best, all would run to the same.
-func (p *Pools) drawn(rs []*remote, w want, now int64, far, usual float64) (best *remote, bs float64) {
+func (p *Balancer) drawn(rs []*remote, w want, now int64, far, usual float64) (best *remote, bs float64) {
 	sums := make([]float64, len(rs))
 	sum := 0.0
 	for i, r := range rs {
@@ -417,7 +417,7 @@
 	return best, bs
 }
 
-func (p *Pools) find(service, id string) *remote {
+func (p *Balancer) find(service, id string) *remote {
 	if y := p.cur.Load().by[service]; y != nil {
 		for _, r := range y.all {
 			if r.id == id && r.up && !r.drained.Load() {
@@ -429,7 +429,7 @@
 }
 
 // least leaves out grey and shunned endpoints unless there are no others.
-func (p *Pools) least(rs []*remote, w want, now int64, far, usual float64) (best *remote, bs float64, spare *remote) {
+func (p *Balancer) least(rs []*remote, w want, now int64, far, usual float64) (best *remote, bs float64, spare *remote) {
 	if len(rs) > fewEnough {
 		if best, bs = p.drawn(rs, w, now, far, usual); best != nil {
 			return best, bs, nil
@@ -462,7 +462,7 @@
 // pickDirect serves nodes that dial endpoints themselves: nobody knows the
 // endpoints' whole load, so two are drawn and the one that owes this node
 // less and has answered it faster is taken.
-func (p *Pools) pickDirect(y *party, w want, now int64, tryGrey bool) *remote {
+func (p *Balancer) pickDirect(y *party, w want, now int64, tryGrey bool) *remote {
 	if tryGrey {
 		if r := p.any(y.home, func(r *remote) bool { return r.grey && r.open(now) }); r != nil {
 			return r
@@ -496,7 +496,7 @@
 }
 
 // any walks from a drawn place to the first that fits.
-func (p *Pools) any(rs []*remote, fit func(*remote) bool) *remote {
+func (p *Balancer) any(rs []*remote, fit func(*remote) bool) *remote {
 	n := len(rs)
 	if n == 0 {
 		return nil
@@ -510,7 +510,7 @@
 	return nil
 }
 
-func (p *Pools) two(rs []*remote, fit func(*remote) bool, now int64) *remote {
+func (p *Balancer) two(rs []*remote, fit func(*remote) bool, now int64) *remote {
 	a := p.any(rs, fit)
 	if a == nil {
 		return nil
@@ -534,18 +534,18 @@
 
 // Seat is an endpoint as the estimator sees it: chosen by the same rules as a
 // live one, its load told by the estimator.
-type Seat struct{ r *remote }
+type Endpoint struct{ r *remote }
 
-func (p *Pools) Seat(service string, heavy bool, aim time.Duration) (Seat, bool) {
+func (p *Balancer) Choose(service string, heavy bool, aim time.Duration) (Endpoint, bool) {
 	r := p.pick(want{service: service, heavy: heavy, aim: aim})
-	return Seat{r}, r != nil
+	return Endpoint{r}, r != nil
 }
 
-func (s Seat) ID() string { return s.r.id }
+func (s Endpoint) ID() string { return s.r.id }
 
-func (s Seat) Begin() { s.r.mine.Add(1) }
+func (s Endpoint) BeginRequest() { s.r.mine.Add(1) }
 
-func (s Seat) End(load int, work time.Duration, now int64) {
+func (s Endpoint) EndRequest(load int, work time.Duration, now int64) {
 	s.r.mine.Add(-1)
 	s.r.heard.Store(now)
 	s.r.load.Store(int64(load))
@@ -553,6 +553,8 @@
 }
 
 // Draw sets where chance and time in choices come from.
-func (p *Pools) Draw(f func() float64, clock func() int64) { p.draw, p.clock = f, clock }
+func (p *Balancer) SetRandomAndClock(f func() float64, clock func() int64) {
+	p.draw, p.clock = f, clock
+}
 
-func (p *Pools) Weights() (far, heavy float64) { return p.far, p.heavy }
+func (p *Balancer) Weights() (far, heavy float64) { return p.far, p.heavy }
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -12,7 +12,7 @@
 var fates = map[result]string{answered: "ran", bounced: "bounced", unmet: "unmet", turned: "turned away", broken: "unsure", timeout: "late", quit: "quit"}
 
 // FateOf reads such a word.
-func FateOf(s string) (Fate, bool) {
+func ParseOutcome(s string) (Outcome, bool) {
 	for r, w := range fates {
 		if w == s {
 			return r, true
@@ -31,12 +31,12 @@
 }
 
 func (b *Outbound) begin(t *trip) *record {
-	if b.o.Tickets == nil {
+	if b.o.RequestLog == nil {
 		return nil
 	}
-	b.o.Tickets.Begin()
+	b.o.RequestLog.Begin()
 	r := t.r
-	return &record{of: b.o.Budget.Left, t: &meshpb.RequestRecord{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
+	return &record{of: b.o.RetryBudget.Balance, t: &meshpb.RequestRecord{Id: r.Header.Get(hdrID), AtUs: t.t0.UnixMicro(), Method: r.Method, Host: strings.Clone(r.Host), Target: strings.Clone(r.RequestURI),
 		Caller: b.o.Service, BodyBytes: r.ContentLength}}
 }
 
@@ -59,7 +59,7 @@
 	if d, ok := deadline(t.r.Header); ok {
 		x.DeadlineUs = d.Microseconds()
 	}
-	b.o.Tickets.End(x, t.rec.of)
+	b.o.RequestLog.End(x, t.rec.of)
 }
 
 func (r *record) drawn(x float64) {
--- a/internal/proxy/switchboard_test.go
+++ b/internal/proxy/switchboard_test.go
@@ -159,7 +159,7 @@
 func newMesh(t *testing.T, n int) *mesh {
 	m := &mesh{h: &hall{ls: map[string]*pipes{}}, bud: NewBudget(0, 200, 10*time.Second, func() int { return 1 }, grownUp())}
 	v := &meshpb.View{Version: 1, Nodes: uint32(n)}
-	pools := NewPools("z", 1, 1)
+	pools := NewBalancer("z", 1, 1)
 	for i := 0; i < n; i++ {
 		e := &endpoint{id: fmt.Sprint("e", i)}
 		e.act = func(w io.Writer, r *http.Request, b []byte) {
@@ -168,17 +168,17 @@
 		go e.serve(m.h.listen(fmt.Sprint("app", i)))
 		d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
 		d.RecordHeartbeat(endpointagent.Heartbeat{ID: e.id, Slots: 2, State: "ready", Seq: 1})
-		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Desk: d, Line: NewAppLine(m.h.line(), m.h.line()), Peek: 64 << 10})
+		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Agent: d, AppClient: NewAppClient(m.h.line(), m.h.line()), BufferLimit: 64 << 10})
 		go (&http.Server{Handler: in}).Serve(m.h.listen(fmt.Sprint("in", i)))
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: e.id, Service: "s", Inbound: fmt.Sprint("in", i), Zone: "z", Slots: 2, State: "up"})
 		m.eps, m.subs = append(m.eps, e), append(m.subs, d)
 	}
-	pools.Set(v)
+	pools.ApplyView(v)
 	doc, err := routeconfig.Parse([]byte(plan))
 	qt.Assert(t, err, qt.IsNil)
 	var p atomic.Pointer[routeconfig.Table]
 	p.Store(routeconfig.Compile(doc))
-	m.out = NewOutbound(OutboundOptions{Service: "caller", Pools: pools, Plan: &p, Line: m.h.line(), Budget: m.bud, Ready: func() bool { return true }, Peek: 64 << 10})
+	m.out = NewOutbound(OutboundOptions{Service: "caller", Balancer: pools, Routes: &p, Transport: m.h.line(), RetryBudget: m.bud, Ready: func() bool { return true }, BufferLimit: 64 << 10})
 	go (&http.Server{Handler: m.out}).Serve(m.h.listen("out"))
 	return m
 }
@@ -321,7 +321,7 @@
 	br := bufio.NewReader(c)
 	for i, close := range []bool{false, true} {
 		if close {
-			m.out.Leave()
+			m.out.Drain()
 		}
 		fmt.Fprintf(c, "POST /e/ HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Deadline-Ms: 2000\r\nContent-Length: 1\r\n\r\nb", i)
 		p, err := http.ReadResponse(br, nil)
@@ -334,10 +334,10 @@
 
 func TestLastCallsAreRefusedNotCut(t *testing.T) {
 	m := newMesh(t, 1)
-	m.out.Leave()
+	m.out.Drain()
 	c, _, _, _ := m.ask(t, "POST", "/e/", "r1", "b")
 	qt.Assert(t, c, qt.Equals, 200)
-	m.out.Close()
+	m.out.StopAccepting()
 	c, _, h, err := m.ask(t, "POST", "/e/", "r2", "b")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, c, qt.Equals, 503)
--- a/internal/replay/flag.go
+++ b/internal/replay/flag.go
@@ -77,7 +77,7 @@
 		return SentTwice, fmt.Sprintf("kind %s lets it go on after it may have run: %s", f.Kind, strings.Join(at, ", "))
 	case has(Vanished):
 		return Dropped, fmt.Sprintf("ends with %d after %d ms, and whether it ran is not known%s", f.Code, f.TookMs, cutShort(t, f))
-	case has(Bounced) && !proxy.Promises(f.Code):
+	case has(Bounced) && !proxy.PromisesNotRun(f.Code):
 		return Dropped, fmt.Sprintf("answered %d by the system: %s", f.Code, ownAnswer(f))
 	case has(Bounced):
 		return Dropped, fmt.Sprintf("refused with %d; it has not run, and its sender is told so", f.Code)
@@ -102,7 +102,7 @@
 	switch {
 	case f.Code == proxy.NoRoute.Code():
 		return "no route"
-	case f.Code == proxy.Barred.Code():
+	case f.Code == proxy.Forbidden.Code():
 		return "the route's policy bars it"
 	case f.Code == 413:
 		return "its body is over the limit"
--- a/internal/replay/shift.go
+++ b/internal/replay/shift.go
@@ -155,14 +155,14 @@
 }
 
 // reached tells that a dispatch came to an endpoint.
-func reached(f proxy.Fate) bool { return f != proxy.Bounced && f != proxy.Unmet }
+func reached(f proxy.Outcome) bool { return f != proxy.Rejected && f != proxy.Unreachable }
 
 func (a atlas) played(f *Fare, zone string) way {
 	service, end, n := "", "", 0
 	for _, r := range f.Runs {
 		if reached(r.fate) {
 			n++
-			if end == "" || r.fate == proxy.Ran {
+			if end == "" || r.fate == proxy.Answered {
 				service, end = r.Service, r.Endpoint
 			}
 		}
@@ -173,9 +173,9 @@
 func (a atlas) carried(t *meshpb.RequestRecord, zone string) way {
 	service, end, n := "", "", 0
 	for _, d := range t.Attempts {
-		if f, ok := proxy.FateOf(d.Outcome); ok && reached(f) {
+		if f, ok := proxy.ParseOutcome(d.Outcome); ok && reached(f) {
 			n++
-			if end == "" || f == proxy.Ran {
+			if end == "" || f == proxy.Answered {
 				service, end = d.Service, d.Endpoint
 			}
 		}
--- a/internal/replay/verdict.go
+++ b/internal/replay/verdict.go
@@ -115,7 +115,7 @@
 		if !r.may() {
 			continue
 		}
-		if r.fate == proxy.Ran {
+		if r.fate == proxy.Answered {
 			ran++
 		} else {
 			unsure++
@@ -126,7 +126,7 @@
 		out[Doubled] = true
 	}
 	good := f.Code >= 200 && f.Code < 500 && f.answered
-	if !good && ran == 0 && !proxy.Promises(f.Code) && !(f.Code >= 400 && f.Code < 500) {
+	if !good && ran == 0 && !proxy.PromisesNotRun(f.Code) && !(f.Code >= 400 && f.Code < 500) {
 		out[Vanished] = true
 	}
 	switch {
@@ -342,7 +342,7 @@
 		p := &meshpb.Pin{Key: k.key, Service: k.service, Endpoint: t.Attempts[0].Endpoint, Config: t.Config}
 		w.pins.Apply(&meshpb.Change{Pin: p}, time.Hour)
 		for _, n := range w.nodes {
-			n.cords.Known(p.Key, p.Service, p.Endpoint)
+			n.cords.Add(p.Key, p.Service, p.Endpoint)
 		}
 	}
 }
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -44,13 +44,13 @@
 	AtMs     int64  `json:"atMs"`
 	TookMs   int64  `json:"tookMs"`
 	Model    bool   `json:"fromModel,omitempty"`
-	fate     proxy.Fate
+	fate     proxy.Outcome
 	code     int
 }
 
 // may tells that the request has run there, or may have.
 func (r Run) may() bool {
-	return r.fate == proxy.Ran || r.fate == proxy.Unsure || r.fate == proxy.Late || r.fate == proxy.Quit
+	return r.fate == proxy.Answered || r.fate == proxy.Failed || r.fate == proxy.TimedOut || r.fate == proxy.ClientGone
 }
 
 // Fare is what became of one request in one playing.
@@ -74,9 +74,9 @@
 
 type node struct {
 	r       *meshpb.RequestRecordsResponse
-	pools   *proxy.Pools
+	pools   *proxy.Balancer
 	budget  *proxy.Budget
-	cords   *affinity.Cords
+	cords   *affinity.Sessions
 	plan    *routeconfig.Table
 	tickets []*meshpb.RequestRecord
 	view    *meshpb.View
@@ -96,7 +96,7 @@
 // mark is one recorded fate at an endpoint.
 type mark struct {
 	at   int64
-	fate proxy.Fate
+	fate proxy.Outcome
 	code int
 	took int64
 }
@@ -163,14 +163,14 @@
 	for _, n := range c.Nodes {
 		for _, t := range n.Records {
 			for _, d := range t.Attempts {
-				f, ok := proxy.FateOf(d.Outcome)
+				f, ok := proxy.ParseOutcome(d.Outcome)
 				if !ok {
 					return nil, Error.New("ticket %s names a fate %q that is not known", t.Id, d.Outcome)
 				}
 				p := w.place(d.Endpoint)
 				p.direct = p.direct || d.Node == ""
 				p.marks = append(p.marks, mark{t.AtUs + d.AtUs, f, int(d.Code), d.TookUs})
-				if f == proxy.Ran && d.Code < 500 {
+				if f == proxy.Answered && d.Code < 500 {
 					x := time.Duration(d.TookUs) * time.Microsecond
 					s := by[t.Route]
 					by[t.Route] = sum{s.n + 1, s.d + x}
@@ -226,19 +226,19 @@
 	since := func() time.Duration { return time.Duration(w.now-first+3600e6) * time.Microsecond }
 	for _, t := range c.Nodes {
 		n := &node{r: t, plan: plan, tickets: t.Records, keys: proxy.NewKeyMeter(clock)}
-		n.pools = proxy.NewPools(t.Zone, t.RemoteWeight, t.BulkWeight).Prefer(t.Node, int(t.PreferredEndpoints)).SlowStart(2 * time.Second)
+		n.pools = proxy.NewBalancer(t.Zone, t.RemoteWeight, t.BulkWeight).PreferSubset(t.Node, int(t.PreferredEndpoints)).SlowStart(2 * time.Second)
 		if t.Role == "sidecar" {
-			n.pools.Beside(t.Node)
+			n.pools.SetLocalNode(t.Node)
 		}
 		rng := rand.New(rand.NewPCG(r.Seed, hash(t.Node)))
-		n.pools.Draw(rng.Float64, func() int64 { return w.now * 1000 })
+		n.pools.SetRandomAndClock(rng.Float64, func() int64 { return w.now * 1000 })
 		ry := Retries{t.Ratio, t.Slack, time.Duration(t.WindowS * float64(time.Second))}
 		if r.Retries != nil {
 			ry = *r.Retries
 		}
-		n.budget = proxy.NewBudget(ry.Ratio, ry.Slack, ry.Window, n.pools.Nodes, since)
-		n.cords = affinity.New(affinity.Options{Now: clock, Config: func() uint64 { return versionOf(n.plan) }, Touch: time.Hour, Idle: time.Hour, Most: 1 << 20,
-			Ask: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+		n.budget = proxy.NewBudget(ry.Ratio, ry.Slack, ry.Window, n.pools.NodeCount, since)
+		n.cords = affinity.New(affinity.Options{Now: clock, ConfigVersion: func() uint64 { return versionOf(n.plan) }, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 1 << 20,
+			Pin: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 				ch, p := w.pins.PinSession(q, since())
 				if ch != nil {
 					w.pins.Apply(ch, since())
@@ -302,7 +302,7 @@
 		v = v.Lean()
 		v.HotKeys = w.hot
 	}
-	n.pools.Set(v)
+	n.pools.ApplyView(v)
 }
 
 const (
@@ -376,7 +376,7 @@
 	f      *Fare
 	plan   *routeconfig.Table
 	route  *routeconfig.CompiledRoute
-	course proxy.Course
+	course proxy.AttemptPlan
 	left   []*meshpb.Attempt
 	rng    *rand.Rand
 	at     int64
@@ -409,14 +409,14 @@
 	f.Binding, f.Kind, f.kind, f.aim = r.Name, r.Kind.String(), r.Kind, r.LatencyTarget
 	ix, ok := r.PickService(t.Draw)
 	if !ok {
-		x.end(proxy.Refused.Code())
+		x.end(proxy.NoEndpoint.Code())
 		return
 	}
 	f.Service = x.plan.Services[ix].Name
 	if r.Policy != nil {
 		may, _ := r.Policy.Allows(routeconfig.PolicyInput{Method: t.Method, Path: path, Query: query, Caller: t.Caller, BodyBytes: int(t.BodyBytes), Header: x.header})
 		if !may {
-			x.end(proxy.Barred.Code())
+			x.end(proxy.Forbidden.Code())
 			return
 		}
 	}
@@ -440,23 +440,23 @@
 		x.end(int(t.Code))
 		return
 	}
-	n.budget.Earn(f.Service)
+	n.budget.RecordRequest(f.Service)
 	x.start()
 	x.step()
 }
 
 func (x *ride) start() {
-	heavy := proxy.Heavy(x.route.Kind, x.t.BodyBytes)
+	heavy := proxy.IsBulk(x.route.Kind, x.t.BodyBytes)
 	was := x.course
-	x.course = proxy.NewCourse(x.n.pools, x.n.budget, x.route, x.f.Service, heavy)
-	x.course.After(was)
-	x.course.Only(x.only)
+	x.course = proxy.NewAttemptPlan(x.n.pools, x.n.budget, x.route, x.f.Service, heavy)
+	x.course.ContinueFrom(was)
+	x.course.PinTo(x.only)
 	path, query, _ := strings.Cut(x.t.Target, "?")
 	if r := x.route; r.HotKey.Location != "" {
 		k := proxy.KeyHash(x.f.Service, r.HotKey.Extract(r.Prefix, path, query, x.header))
-		x.course.Key(k)
+		x.course.SetKey(k)
 		if r.Kind.Idempotent() {
-			x.n.keys.Note(k, r.Name, x.f.Service, x.w.usual[r.Name])
+			x.n.keys.Record(k, r.Name, x.f.Service, x.w.usual[r.Name])
 		}
 	}
 	if o := x.w.docs[x.t.Config]; o != nil && x.route.Kind.Idempotent() {
@@ -465,7 +465,7 @@
 			return
 		}
 	}
-	x.course.Lead(func() string {
+	x.course.PreferFirst(func() string {
 		for _, d := range x.left {
 			if d.Service == x.f.Service {
 				return d.Endpoint
@@ -493,12 +493,12 @@
 	}
 	allowed := x.plan.ActiveServices(r)
 	service := x.f.Service
-	if i, ok := r.PickService(affinity.Draw(k)); ok {
+	if i, ok := r.PickService(affinity.Position(k)); ok {
 		service = x.plan.Services[i].Name
 	}
-	p := x.n.cords.Find(context.Background(), affinity.Ask{Key: k, Allowed: allowed, Service: service, Before: []string{x.t.Service}}, x.n.pools)
-	if p.State == affinity.Lease {
-		x.end(proxy.Refused.Code())
+	p := x.n.cords.Find(context.Background(), affinity.Query{SessionKey: k, AllowedServices: allowed, Service: service, EarlierServices: []string{x.t.Service}}, x.n.pools)
+	if p.State == affinity.Pending {
+		x.end(proxy.NoEndpoint.Code())
 		return false
 	}
 	x.f.Service, x.only, x.f.Seat = p.Service, p.Endpoint, p.Endpoint
@@ -516,9 +516,9 @@
 	x.f.TookMs = x.f.took.Milliseconds()
 }
 
-func (x *ride) give(o proxy.Answer) {
-	if x.only != "" && !x.course.MayRun() && o == proxy.Refused && x.moves < proxy.MoveTries {
-		if ok, _ := x.n.pools.Sits(x.f.Service, x.only); !ok {
+func (x *ride) give(o proxy.LocalReply) {
+	if x.only != "" && !x.course.MayHaveRun() && o == proxy.NoEndpoint && x.moves < proxy.MaxSessionMoves {
+		if ok, _ := x.n.pools.Accepts(x.f.Service, x.only); !ok {
 			x.moves++
 			if x.seat() {
 				x.start()
@@ -527,7 +527,7 @@
 			return
 		}
 	}
-	x.end(x.course.End(o, x.w.now >= x.due).Code())
+	x.end(x.course.FinalReply(o, x.w.now >= x.due).Code())
 }
 
 func (x *ride) step() {
@@ -535,14 +535,14 @@
 		return
 	}
 	if x.w.now >= x.due {
-		x.give(proxy.Refused)
+		x.give(proxy.NoEndpoint)
 		return
 	}
 	s, m := x.course.Next()
 	switch m {
-	case proxy.Stop:
-		x.give(proxy.Refused)
-	case proxy.Pause:
+	case proxy.GiveUp:
+		x.give(proxy.NoEndpoint)
+	case proxy.Wait:
 		x.w.at(x.w.now+20000, x.step)
 	default:
 		x.second = false
@@ -551,15 +551,15 @@
 			done = true
 			x.landed(s, r, false)
 		})
-		if !x.course.MayRace() {
+		if !x.course.MayHedge() {
 			return
 		}
-		late := x.w.now + min(proxy.RaceAfter(x.w.usual[x.f.Binding]), time.Duration(x.due-x.w.now)*time.Microsecond/2).Microseconds()
+		late := x.w.now + min(proxy.HedgeDelay(x.w.usual[x.f.Binding]), time.Duration(x.due-x.w.now)*time.Microsecond/2).Microseconds()
 		x.w.at(late, func() {
 			if done || x.over {
 				return
 			}
-			if o, ok := x.course.Second(); ok {
+			if o, ok := x.course.NextHedge(); ok {
 				x.second = true
 				x.dispatch(o, func(r Run) { x.landed(o, r, true) })
 			}
@@ -569,29 +569,29 @@
 
 // landed takes the end of a dispatch; of two that race the first good one
 // counts.
-func (x *ride) landed(s proxy.Seat, r Run, raced bool) {
+func (x *ride) landed(s proxy.Endpoint, r Run, raced bool) {
 	x.f.Runs = append(x.f.Runs, r)
 	if x.over {
 		return
 	}
-	if r.fate == proxy.Ran && r.code >= 500 && x.route.Kind.Idempotent() && (x.second || x.course.More()) && x.n.budget.Afford(x.f.Service) {
-		r.fate = proxy.Unsure
+	if r.fate == proxy.Answered && r.code >= 500 && x.route.Kind.Idempotent() && (x.second || x.course.MayRetry()) && x.n.budget.CanSpend(x.f.Service) {
+		r.fate = proxy.Failed
 	}
 	switch {
-	case r.fate == proxy.Ran:
+	case r.fate == proxy.Answered:
 		x.f.answered = true
 		x.end(r.code)
 		return
-	case r.fate == proxy.Quit:
+	case r.fate == proxy.ClientGone:
 		x.f.quit = true
 		x.end(0)
 		return
 	case x.second:
 		x.second = false
-		x.course.Lost(s, r.fate)
+		x.course.HedgeFailed(s, r.fate)
 		return
 	}
-	if o, done := x.course.Got(s, r.fate); done {
+	if o, done := x.course.AttemptFailed(s, r.fate); done {
 		x.give(o)
 		return
 	}
@@ -600,13 +600,13 @@
 
 // dispatch follows the record where the request went to that endpoint, and the
 // model where it did not.
-func (x *ride) dispatch(s proxy.Seat, done func(Run)) {
+func (x *ride) dispatch(s proxy.Endpoint, done func(Run)) {
 	w, id := x.w, s.ID()
 	p := w.place(id)
 	at := w.now
-	s.Begin()
+	s.BeginRequest()
 	finish := func(r Run) {
-		s.End(p.run+len(p.wait), time.Duration(float64(w.usual[x.f.Binding])*p.speed), w.now*1000)
+		s.EndRequest(p.run+len(p.wait), time.Duration(float64(w.usual[x.f.Binding])*p.speed), w.now*1000)
 		done(r)
 	}
 	for i, d := range x.left {
@@ -614,11 +614,11 @@
 			continue
 		}
 		x.left = slices.Delete(x.left, i, i+1)
-		f, _ := proxy.FateOf(d.Outcome)
+		f, _ := proxy.ParseOutcome(d.Outcome)
 		r := Run{Endpoint: id, Service: x.f.Service, Fate: d.Outcome, fate: f, code: int(d.Code), AtMs: (at - x.at) / 1000, TookMs: d.TookUs / 1000}
 		end := at + d.TookUs
-		if end > x.due && f != proxy.Quit {
-			end, r.fate, r.Fate, r.TookMs = x.due, proxy.Late, "late", (x.due-at)/1000
+		if end > x.due && f != proxy.ClientGone {
+			end, r.fate, r.Fate, r.TookMs = x.due, proxy.TimedOut, "late", (x.due-at)/1000
 		}
 		p.run++
 		w.at(end, func() {
@@ -639,7 +639,7 @@
 		p.run++
 		end, fate := start+took.Microseconds(), f
 		if end > x.due {
-			end, fate = x.due, proxy.Late
+			end, fate = x.due, proxy.TimedOut
 		}
 		w.at(end, func() {
 			w.free(p)
@@ -652,12 +652,12 @@
 	}
 	most := left
 	if !p.direct {
-		most = proxy.MayWait(x.route.LatencyTarget, x.now(), left, usual, x.t.FirstSeen, x.course.Short())
+		most = proxy.QueueWaitLimit(x.route.LatencyTarget, x.now(), left, usual, x.t.FirstSeen, x.course.ShortWait())
 	}
 	if est := time.Duration(len(p.wait)+1) * usual / time.Duration(p.slots); est > most {
-		fate := proxy.Bounced
+		fate := proxy.Rejected
 		if p.direct {
-			fate = proxy.Turned
+			fate = proxy.Declined
 		}
 		w.at(at+1000, func() {
 			finish(Run{Endpoint: id, Service: x.f.Service, Fate: fate.String(), fate: fate, Model: true, AtMs: (at - x.at) / 1000, TookMs: 1})
@@ -681,7 +681,7 @@
 // model draws what would happen at an endpoint where the record has nothing of
 // this request: its own time elsewhere, scaled by the two endpoints' speeds,
 // and failures as often as the record has them there around that moment.
-func (x *ride) model(p *place, usual time.Duration) (time.Duration, proxy.Fate, int) {
+func (x *ride) model(p *place, usual time.Duration) (time.Duration, proxy.Outcome, int) {
 	took := time.Duration(float64(usual) * p.speed)
 	for _, d := range x.t.Attempts {
 		if d.Outcome == "ran" && d.Code < 500 {
@@ -694,7 +694,7 @@
 	for ; i < len(p.marks) && p.marks[i].at < x.w.now+near; i++ {
 		m := p.marks[i]
 		n++
-		if m.fate == proxy.Unsure || m.fate == proxy.Late || m.fate == proxy.Unmet || m.fate == proxy.Ran && m.code >= 500 {
+		if m.fate == proxy.Failed || m.fate == proxy.TimedOut || m.fate == proxy.Unreachable || m.fate == proxy.Answered && m.code >= 500 {
 			bad = append(bad, m)
 		}
 	}
@@ -702,7 +702,7 @@
 		m := bad[x.rng.IntN(len(bad))]
 		return time.Duration(m.took) * time.Microsecond, m.fate, m.code
 	}
-	return took, proxy.Ran, 200
+	return took, proxy.Answered, 200
 }
 
 func pathOf(target string) string {
--- a/internal/requestlog/ticket.go
+++ b/internal/requestlog/ticket.go
@@ -75,7 +75,7 @@
 }
 
 // View notes a view that came into force here.
-func (r *Recorder) View(v *meshpb.View) {
+func (r *Recorder) RecordView(v *meshpb.View) {
 	if r == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // Config notes a configuration that came into force here; doc writes it whole.
-func (r *Recorder) Config(version uint64, doc func() []byte) {
+func (r *Recorder) RecordConfig(version uint64, doc func() []byte) {
 	if r == nil {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // Parts gives the views and configurations that are asked for and kept here.
-func (r *Recorder) Parts(q *meshpb.SnapshotsRequest) *meshpb.SnapshotsResponse {
+func (r *Recorder) Snapshots(q *meshpb.SnapshotsRequest) *meshpb.SnapshotsResponse {
 	if r == nil {
 		return &meshpb.SnapshotsResponse{}
 	}
