--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -254,14 +254,14 @@
 // silentWire sends nothing.
 type silentWire struct{}
 
-func (silentWire) Lease(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
+func (silentWire) RenewLeases(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
 }
-func (silentWire) Copy(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {}
-func (silentWire) Ask(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
+func (silentWire) Replicate(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {}
+func (silentWire) RequestVotes(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
 }
-func (silentWire) Hand(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
+func (silentWire) TransferOwnership(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
 }
-func (silentWire) Enroll(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {
+func (silentWire) AcceptMembership(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {
 }
 func (silentWire) Join(string, *meshpb.JoinRequest, func(*meshpb.JoinResponse)) {}
 
