--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -16,9 +16,6 @@
 const (
 	blamesEach = 500 * time.Millisecond
 	nearOnes   = 24
-	// lastCalls is how long before its end a leaving process takes no more
-	// requests, where clients still come.
-	lastCalls = 1800 * time.Millisecond
 )
 
 // runEdge is the gateway: the outbound chain in front of endpoints that it
@@ -62,21 +59,9 @@
 	}()
 
 	p.wait()
-	t0 := time.Now()
 	leaving.Store(true)
-	out.Leave()
 	grace := options.Secs(bd.GraceS)
-	linger := min(grace/2, 3*time.Second)
-	for {
-		e := time.Since(t0)
-		if e > grace-lastCalls {
-			out.Close()
-		}
-		if e > grace-350*time.Millisecond || e > linger && out.Running.Load() == 0 {
-			break
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
+	switchboard.Shutdown{Grace: grace, Linger: min(grace/2, 3*time.Second), Outbound: out}.Run()
 	return nil
 }
 
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -134,28 +134,12 @@
 	}()
 
 	p.wait()
-	t0 := time.Now()
 	leaving.Store(true)
-	out.Leave()
 	grace := options.Secs(bd.GraceS)
-	linger := min(grace/2, 2500*time.Millisecond)
-	closed := false
-	for {
-		e := time.Since(t0)
-		if !closed && e > linger-500*time.Millisecond {
-			closed = true
-			sub.Stop()
-			ag.Set(func(n *trunk.NodeState) { n.State = "stopping" })
-			in.Leave()
-		}
-		if e > grace-lastCalls {
-			out.Close()
-		}
-		if e > grace-350*time.Millisecond || e > linger && in.Running.Load() == 0 && out.Running.Load() == 0 {
-			break
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
+	switchboard.Shutdown{Grace: grace, Linger: min(grace/2, 2500*time.Millisecond), Outbound: out, Inbound: in, StopInbound: func() {
+		sub.Stop()
+		ag.Set(func(n *trunk.NodeState) { n.State = "stopping" })
+	}}.Run()
 	return nil
 }
 
--- a/internal/switchboard/dispatch.go
+++ b/internal/switchboard/dispatch.go
@@ -107,7 +107,7 @@
 	var ends [2]func() bool
 	start := func(i int, r *remote) {
 		ctx, stop := context.WithDeadline(context.WithoutCancel(t.r.Context()), t.due)
-		ends[i] = context.AfterFunc(t.r.Context(), stop)
+		ends[i] = context.AfterFunc(t.ctx, stop)
 		go func() {
 			y := t.attempt(ctx, r, short, true)
 			y.end = stop
@@ -398,6 +398,8 @@
 		t.later(y.end)
 	}
 	defer y.p.Body.Close()
+	t.b.pending.remove(t.pending)
+	defer t.timed()
 	t.rec.end(y.p.StatusCode, "")
 	begin(t.w, t.r.Method, y.p, y.b, y.whole)
 	finish(t.w, y.p, y.b, y.whole, t.b.o.Pacer, t.due)
--- a/internal/switchboard/inbound.go
+++ b/internal/switchboard/inbound.go
@@ -31,6 +31,7 @@
 	Running atomic.Int64
 	leaving atomic.Bool
 	held    atomic.Int64
+	pending pendingRequests
 	out     rate
 }
 
@@ -76,6 +77,8 @@
 	ctx   context.Context
 	free  func()
 	clean []func()
+	// pending is this request among those whose answers have not begun.
+	pending *pendingRequest
 }
 
 func (v *visit) later(f func()) { v.clean = append(v.clean, f) }
@@ -143,9 +146,9 @@
 		return v.say(sayBounced, "malformed")
 	}
 	v.due = time.Now().Add(d)
-	ctx, stop := context.WithDeadline(v.r.Context(), v.due)
+	ctx, pending, stop := v.n.pending.add(v.r.Context(), "", v.due)
 	v.later(stop)
-	v.ctx = ctx
+	v.ctx, v.pending = ctx, pending
 	return false
 }
 
@@ -194,6 +197,8 @@
 		return v.say(sayTurned, strconv.Itoa(p.StatusCode))
 	case v.ctx.Err() != nil && s != saidBroken:
 		return v.say(sayBounced, "late")
+	case shutDown(v.ctx):
+		return v.say(sayLost, "shutdown")
 	case v.ctx.Err() != nil:
 		if time.Now().After(v.due) {
 			v.note(false)
@@ -227,12 +232,16 @@
 	}
 	b, whole, err := head(p.Body, p.ContentLength, int(peek))
 	if err != nil && v.r.Method != http.MethodHead {
+		if shutDown(v.ctx) {
+			return v.say(sayLost, "shutdown")
+		}
 		if v.ctx.Err() != nil {
 			return v.say(sayLate, "deadline")
 		}
 		v.note(false)
 		return v.say(sayLost, err.Error())
 	}
+	n.pending.remove(v.pending)
 	v.note(p.StatusCode < 500)
 	if whole {
 		n.o.Desk.Answered(v.life, time.Since(t0))
--- a/internal/switchboard/outbound.go
+++ b/internal/switchboard/outbound.go
@@ -29,6 +29,7 @@
 	late
 	unknownBody
 	barred
+	stopped
 )
 
 type row struct {
@@ -49,6 +50,7 @@
 	late:        {code: http.StatusGatewayTimeout, text: "out of time; it may have run"},
 	unknownBody: {code: http.StatusBadRequest, text: "the body did not arrive whole"},
 	barred:      {code: http.StatusForbidden, text: "the binding's policy bars this request"},
+	stopped:     {code: http.StatusGatewayTimeout, text: "shutting down; it may have run"},
 }
 
 type OutboundOptions struct {
@@ -73,8 +75,12 @@
 	Running atomic.Int64
 	leaving atomic.Bool
 	closing atomic.Bool
-	Tally   [10]atomic.Int64
+	Tally   [11]atomic.Int64
 	longest longest
+	times   responseTimes
+	pending pendingRequests
+	// lastEnd is when accepted requests must have ended; nil while it is far off.
+	lastEnd atomic.Pointer[time.Time]
 	Flows   *Flows
 	pasts   pasts
 }
@@ -130,6 +136,26 @@
 // process ends.
 func (b *Outbound) Close() { b.closing.Store(true) }
 
+// AcceptUntil refuses from now on all requests but those that will have ended
+// by then.
+func (b *Outbound) AcceptUntil(then time.Time) { b.lastEnd.Store(&then) }
+
+// tailMargin is how many times a route's slow tail must fit into the time left.
+const tailMargin = 2
+
+// endsInTime tells whether a request that is due then will have ended before
+// this process does: by its deadline, or by what is known of its route.
+func (b *Outbound) endsInTime(route string, due time.Time) bool {
+	lastEnd := b.lastEnd.Load()
+	if lastEnd == nil || due.Before(*lastEnd) {
+		return true
+	}
+	now := time.Now()
+	tail, known := b.times.tail(route)
+	tail = max(tail, b.pending.oldest(route, now))
+	return known && now.Add(tailMargin*tail).Before(*lastEnd)
+}
+
 type trip struct {
 	b     *Outbound
 	w     http.ResponseWriter
@@ -141,6 +167,8 @@
 	due   time.Time
 	ctx   context.Context
 	clean []func()
+	// pending is this request among those whose answers have not begun.
+	pending *pendingRequest
 
 	body  []byte
 	whole bool
@@ -265,10 +293,13 @@
 		}
 	}
 	t.due = t.t0.Add(left)
+	if !t.b.endsInTime(t.route.Name, t.due) {
+		return t.answer(notReady)
+	}
 	t.fresh = t.b.longest.first(t.route.Name, left)
-	ctx, stop := context.WithDeadline(t.r.Context(), t.due)
+	ctx, pending, stop := t.b.pending.add(t.r.Context(), t.route.Name, t.due)
 	t.later(stop)
-	t.ctx = ctx
+	t.ctx, t.pending = ctx, pending
 	return false
 }
 
@@ -314,13 +345,27 @@
 
 // hangUp ends a request whose user agent has left. To return without an answer
 // would be an empty success to one that has closed its sending side only.
-func (t *trip) hangUp() { panic(http.ErrAbortHandler) }
+func (t *trip) hangUp() {
+	t.timed()
+	panic(http.ErrAbortHandler)
+}
+
+// timed notes how long a request took that may have run, or whose client gave
+// it up.
+func (t *trip) timed() { t.b.times.note(t.route.Name, time.Since(t.t0)) }
 
 func (t *trip) give(o outcome) bool {
 	if t.gone() {
 		t.hangUp()
 	}
-	return t.answer(t.course.end(o, t.past()))
+	if t.course.mayRun {
+		t.timed()
+	}
+	o = t.course.end(o, t.past())
+	if o == late && shutDown(t.ctx) {
+		o = stopped
+	}
+	return t.answer(o)
 }
 
 func (t *trip) pause(d time.Duration) bool {
--- a/internal/switchboard/switchboard_test.go
+++ b/internal/switchboard/switchboard_test.go
@@ -133,6 +133,7 @@
 type mesh struct {
 	h    *hall
 	out  *Outbound
+	ins  []*Inbound
 	subs []*subscriber.Desk
 	eps  []*endpoint
 	bud  *Budget
@@ -171,7 +172,7 @@
 		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Desk: d, Line: NewAppLine(m.h.line(), m.h.line()), Peek: 64 << 10})
 		go (&http.Server{Handler: in}).Serve(m.h.listen(fmt.Sprint("in", i)))
 		v.Endpoints = append(v.Endpoints, &trunk.Endpoint{Id: e.id, Service: "s", Inbound: fmt.Sprint("in", i), Zone: "z", Slots: 2, State: "up"})
-		m.eps, m.subs = append(m.eps, e), append(m.subs, d)
+		m.eps, m.subs, m.ins = append(m.eps, e), append(m.subs, d), append(m.ins, in)
 	}
 	pools.Set(v)
 	doc, err := dialplan.Read([]byte(plan))
