--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -135,28 +135,12 @@
 	}()
 
 	p.wait()
-	t0 := time.Now()
 	leaving.Store(true)
-	out.Drain()
 	grace := settings.Seconds(bd.GraceSeconds)
-	linger := min(grace/2, 2500*time.Millisecond)
-	closed := false
-	for {
-		e := time.Since(t0)
-		if !closed && e > linger-500*time.Millisecond {
-			closed = true
-			sub.Stop()
-			ag.UpdateState(func(n *meshpb.NodeState) { n.State = "stopping" })
-			in.Drain()
-		}
-		if e > grace-lastCalls {
-			out.StopAccepting()
-		}
-		if e > grace-350*time.Millisecond || e > linger && in.InFlight.Load() == 0 && out.InFlight.Load() == 0 {
-			break
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
+	proxy.Shutdown{Grace: grace, Linger: min(grace/2, 2500*time.Millisecond), Outbound: out, Inbound: in, StopInbound: func() {
+		sub.Stop()
+		ag.UpdateState(func(n *meshpb.NodeState) { n.State = "stopping" })
+	}}.Run()
 	return nil
 }
 
--- a/internal/proxy/switchboard_test.go
+++ b/internal/proxy/switchboard_test.go
@@ -133,6 +133,7 @@
 type mesh struct {
 	h    *hall
 	out  *Outbound
+	ins  []*Inbound
 	subs []*endpointagent.Agent
 	eps  []*endpoint
 	bud  *Budget
@@ -171,7 +172,7 @@
 		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Agent: d, AppClient: NewAppClient(m.h.line(), m.h.line()), BufferLimit: 64 << 10})
 		go (&http.Server{Handler: in}).Serve(m.h.listen(fmt.Sprint("in", i)))
 		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: e.id, Service: "s", Inbound: fmt.Sprint("in", i), Zone: "z", Slots: 2, State: "up"})
-		m.eps, m.subs = append(m.eps, e), append(m.subs, d)
+		m.eps, m.subs, m.ins = append(m.eps, e), append(m.subs, d), append(m.ins, in)
 	}
 	pools.ApplyView(v)
 	doc, err := routeconfig.Parse([]byte(plan))
