--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -59,6 +59,9 @@
 	svc    *numbering.Service
 	master *supervisor.Master
 	conf   uint64
+	// confAt is the version of shard 0 under which the newest configuration was
+	// proposed here.
+	confAt uint64
 	lines  *trunk.Lines
 }
 
@@ -138,7 +141,7 @@
 	}
 	t := c.board.Table(0)
 	conf := desk.ReadConfig(t)
-	c.conf = conf.Version
+	c.conf, c.confAt = conf.Version, 0
 	u, r := users(t), c.board.Membership()
 	view := keptView(t.Blob(viewBlob))
 	k := kept(t, view.Epoch)
@@ -148,9 +151,11 @@
 	})
 }
 
+// onCommit hands a configuration to the nodes once it is committed, whatever has
+// been proposed after it.
 func (c *coreNode) onCommit(i int) {
 	c.svc.Committed(i)
-	if i != 0 || !c.board.Clean(0) {
+	if i != 0 || c.board.Committed(0) < c.confAt {
 		return
 	}
 	t := c.board.Table(0)
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -56,6 +56,9 @@
 	case g == nil:
 	case g.Blob != nil && g.Blob.Name == desk.ConfigBlob:
 		s.Kind, s.Version = tracer.Config, g.Blob.Version
+		if what == "proposed" && shard == 0 {
+			c.confAt = version
+		}
 	case g.Blob != nil && g.Blob.Name == viewBlob:
 		s.Kind, s.Version = tracer.View, g.Blob.Version
 	case g.Pin != nil:
--- a/internal/exchange/board.go
+++ b/internal/exchange/board.go
@@ -531,8 +531,8 @@
 
 func (b *Board) Blank() bool { return !b.member() }
 
-// Clean tells that all of the shard's content is committed.
-func (b *Board) Clean(i int) bool { return b.shards[i].commit >= b.shards[i].version }
+// Committed is the last version of the shard that its owner knows to be committed.
+func (b *Board) Committed(i int) uint64 { return b.shards[i].commit }
 
 func (b *Board) Epoch(i int) uint64 { return b.shards[i].epoch }
 
--- a/internal/supervisor/master.go
+++ b/internal/supervisor/master.go
@@ -109,8 +109,28 @@
 	busy  bool
 	cbusy bool
 	whole bool
+	large bool
 	again time.Duration
-}
+	// sent is when a configuration was last sent, acked when one was acknowledged.
+	sent  time.Duration
+	acked time.Duration
+	// attempt numbers all sendings, unanswered counts those since the last answer.
+	attempt    uint64
+	unanswered int
+}
+
+// A configuration without an answer is sent again by another way while the
+// first sending still runs. Two waits and a call must fit into 2 s, the
+// shortest time that a site gives its nodes to apply a version.
+const (
+	// redeliverPatch is twice what a relay waits for its next node.
+	redeliverPatch = 2 * relayStill
+	// redeliverFull leaves a large configuration time on a full link.
+	redeliverFull = 1500 * time.Millisecond
+	// relayChoices is how many relays take turns for one node, so that sendings to many
+	// nodes still go together.
+	relayChoices = 3
+)
 
 func NewMaster(o Options, l *exchange.Loop, lines *trunk.Lines, st Store) *Master {
 	return &Master{o: o, Loop: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeys(o.Hot),
@@ -522,7 +542,14 @@
 // one and the states have settled.
 func (m *Master) Tick() {
 	now := m.o.Now()
-	if !m.leading || !m.sure() || m.making || now-m.since < max(m.o.Transition, 2*m.cast()) {
+	if !m.leading || !m.sure() {
+		return
+	}
+	if m.making || now-m.since < max(m.o.Transition, 2*m.cast()) {
+		// Configurations do not wait for views.
+		for n, h := range m.hs {
+			m.deliver(n, h)
+		}
 		return
 	}
 	if m.rejoining && now-m.since > rejoin {
@@ -661,12 +688,17 @@
 func (m *Master) met(name string, n *trunk.NodeState) {
 	c := m.sends[name]
 	if c != nil && c.life == "" {
-		c.life = n.Life
+		// Who acknowledged before may have been an earlier life.
+		c.life, c.view, c.conf = n.Life, 0, 0
 	}
 	if c == nil || c.life != n.Life {
 		c = &courier{life: n.Life}
 		m.sends[name] = c
 	}
+	if m.o.Now()-c.acked > relayWait {
+		// No acknowledgement is newer than this report.
+		c.conf = 0
+	}
 	c.conf = max(c.conf, n.ConfigVersion)
 	c.bare = n.ViewVersion == 0
 	if n.ViewEpoch == m.epoch {
@@ -719,7 +751,8 @@
 		return
 	}
 	c := m.courier(name)
-	if c.cbusy || m.conf == 0 || c.conf >= m.conf || h.state.GetAddr() == "" || m.o.Now() < c.again {
+	now := m.o.Now()
+	if m.conf == 0 || c.conf >= m.conf || h.state.GetAddr() == "" || now < c.again || c.cbusy && !m.overdue(c, h) {
 		return
 	}
 	unheard := c.life == ""
@@ -727,10 +760,12 @@
 	if len(m.steps) > 0 && !c.whole {
 		wait = m.cast()
 	}
-	if unheard && m.o.Now()-m.since < wait {
+	if unheard && now-m.since < wait {
 		return
 	}
-	c.cbusy = true
+	c.cbusy, c.sent = true, now
+	c.attempt++
+	attempt := c.attempt
 	q := &trunk.DeliverReq{Epoch: m.epoch, Version: m.conf}
 	if c.conf > 0 && !c.whole {
 		if q.Patches = m.way(c.conf); q.Patches != nil {
@@ -744,15 +779,26 @@
 	if q.Base == 0 {
 		q.Data = m.packed
 	}
-	key := fmt.Sprint("config ", q.Base, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0)
-	m.send(key, &trunk.RelayReq{Config: q}, &trunk.RelayTo{Name: name, Addr: h.state.Addr}, func(a *trunk.RelayAck) {
-		c.cbusy = false
+	c.large = q.Base == 0
+	relayOffset := c.unanswered % relayChoices
+	c.unanswered++
+	key := fmt.Sprint("config ", q.Base, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0, " ", relayOffset)
+	m.sendVia(relayOffset, key, &trunk.RelayReq{Config: q}, &trunk.RelayTo{Name: name, Addr: h.state.Addr}, func(a *trunk.RelayAck) {
+		last := attempt == c.attempt
 		r := a.GetConfig()
 		if r == nil {
-			c.again = m.o.Now() + 100*time.Millisecond
+			if last {
+				c.cbusy = false
+				c.again = m.o.Now() + 100*time.Millisecond
+			}
 			return
 		}
 		c.conf = max(c.conf, r.Version)
+		c.acked = m.o.Now()
+		if !last {
+			return
+		}
+		c.cbusy, c.unanswered = false, 0
 		c.whole = !r.Ok && (r.Version == 0 || r.Version == q.Base || q.Base == 0)
 		if !r.Ok {
 			c.again = m.o.Now() + 50*time.Millisecond
@@ -762,3 +808,13 @@
 		}
 	})
 }
+
+// overdue tells that a node which answers polls has left the last sending of a
+// configuration unanswered for so long that it is to be sent by another way.
+func (m *Master) overdue(c *courier, h *history) bool {
+	wait := redeliverPatch
+	if c.large {
+		wait = redeliverFull
+	}
+	return h.reached && m.o.Now()-c.sent >= wait
+}
--- /dev/null
+++ b/internal/supervisor/redeliver_test.go
@@ -0,0 +1,210 @@
+package supervisor
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"google.golang.org/protobuf/proto"
+
+	"corkcove/internal/trunk"
+)
+
+// The bounds of docs/hardening.md on the time from a commit until the last node in
+// touch has the configuration: its relay is silent and one call to it is lost.
+const (
+	patchReaches = 1500 * time.Millisecond
+	fullReaches  = 2 * time.Second
+)
+
+// lossy is a node whose next calls with a configuration get no answer and do not
+// reach it, as on a connection whose other end has lost power.
+type lossy struct {
+	trunk.Node
+	mu   sync.Mutex
+	lose int
+}
+
+func (l *lossy) Deliver(c context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
+	l.mu.Lock()
+	lost := l.lose > 0
+	l.lose--
+	l.mu.Unlock()
+	if lost {
+		<-c.Done()
+		return nil, errCut
+	}
+	return l.Node.Deliver(c, q)
+}
+
+// stuckStore keeps no view: each try lasts as long as it may.
+type stuckStore struct{}
+
+func (stuckStore) SaveView(c context.Context, _ *trunk.View) error {
+	<-c.Done()
+	return errCut
+}
+
+// restart puts a new life, which holds nothing, in place of a node's agent.
+func (s *stage) restart(i int, life string) {
+	f := s.ns[i]
+	old := f.current()
+	old.mu.Lock()
+	state := proto.Clone(old.node).(*trunk.NodeState)
+	old.mu.Unlock()
+	state.Life = life
+	a := &Agent{Name: old.Name, Life: life, Quiet: old.Quiet, Now: old.Now, Note: old.Note, Lines: old.Lines,
+		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
+	a.Start(state)
+	f.mu.Lock()
+	f.agent, f.cut = a, false
+	f.mu.Unlock()
+}
+
+// behind counts the nodes whose configuration is older.
+func (s *stage) behind(version uint64) int {
+	n := 0
+	for _, f := range s.ns {
+		if f.current().Config() < version {
+			n++
+		}
+	}
+	return n
+}
+
+// patched is the last of these versions, with the patches that lead to it.
+func patched(versions ...uint64) *trunk.Config {
+	c := conf(versions[len(versions)-1], "d")
+	c.Packed = trunk.Pack(make([]byte, 64<<10))
+	for _, v := range versions {
+		c.Steps = append(c.Steps, &trunk.Step{Base: v - 1, Version: v, Patch: trunk.Pack([]byte("p"))})
+	}
+	return c
+}
+
+// A relay is cut off and nobody knows yet, a view can't be kept, calls to some
+// nodes are lost, one node has been restarted, and the configuration changes
+// again before the first change has come: all have the newest within the bound.
+func TestConfigurationReachesAllNodesInTouchWithinItsBound(t *testing.T) {
+	t.Run("patches", func(t *testing.T) { reachesAll(t, patched(6), patched(6, 7), patchReaches) })
+	t.Run("whole", func(t *testing.T) { reachesAll(t, conf(6, "d"), conf(7, "d"), fullReaches) })
+}
+
+func reachesAll(t *testing.T, first, second *trunk.Config, bound time.Duration) {
+	synctest.Test(t, func(t *testing.T) {
+		s, rs, membership := crowd(t, 60, 3)
+		defer s.m.Loop.Close()
+		defer pass(3 * time.Second) // all calls under way have ended
+		defer s.do(s.m.Step)
+		var lossies []*lossy
+		for _, i := range []int{3, 4, 17, 20, 33, 41, 59} {
+			addr := s.ns[i].agent.node.Addr
+			l := &lossy{Node: s.ns[i]}
+			s.m.lines.PutNode(addr, l)
+			rs[0].lines.PutNode(addr, l)
+			lossies = append(lossies, l)
+		}
+		s.do(func() { s.m.Lead(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
+		pass(time.Second)
+		qt.Assert(t, s.behind(5), qt.Equals, 0)
+
+		rs[0].mu.Lock()
+		rs[0].down = true
+		rs[0].mu.Unlock()
+		for _, l := range lossies {
+			l.mu.Lock()
+			l.lose = 1
+			l.mu.Unlock()
+		}
+		s.m.store = stuckStore{}
+		s.ns[0].agent.Set(func(n *trunk.NodeState) { n.Endpoint.State = Draining })
+		s.ns[5].set(true)
+		pass(150 * time.Millisecond)
+		s.do(func() { s.m.SetConfig(first) })
+		pass(100 * time.Millisecond)
+		s.restart(5, "l2")
+		s.do(func() { s.m.Hello(s.ns[5].current().node) })
+		pass(100 * time.Millisecond)
+		s.do(func() { s.m.SetConfig(second) })
+		took := time.Duration(0)
+		for ; s.behind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
+			pass(50 * time.Millisecond)
+		}
+		t.Logf("all have it after %v", took)
+		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", s.behind(7), took))
+	})
+}
+
+// A node that acknowledged before its first answer to a poll, and was restarted
+// since, holds nothing of it; nor does one whose earlier life's acknowledgement
+// comes after that answer, which the polls after it show.
+func TestAcknowledgementOfAnEarlierLifeIsForgotten(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		delay, within time.Duration
+	}{
+		{"before the answer", 0, 500 * time.Millisecond},
+		{"after the answer", time.Second, 3 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				s, _, membership := crowd(t, 3, 0)
+				defer s.m.Loop.Close()
+				defer pass(3 * time.Second)
+				defer s.do(s.m.Step)
+				slow := &slowNode{fakeNode: s.ns[1], delay: c.delay}
+				s.m.lines.PutNode("a1", slow)
+				s.do(func() { s.m.Lead(2, keptOf(3), map[string]string{}, patched(5), membership) })
+				pass(600 * time.Millisecond)
+				qt.Check(t, s.ns[1].current().Config(), qt.Equals, uint64(5))
+				s.restart(1, "l2")
+				slow.answerPolls()
+				pass(c.within)
+				qt.Check(t, s.ns[1].current().Config(), qt.Equals, uint64(5))
+				qt.Check(t, s.ns[1].current().View().GetEpoch(), qt.Equals, uint64(2))
+			})
+		})
+	}
+}
+
+// slowNode is a node that answers no poll until it is told to, and acknowledges
+// the first configuration late.
+type slowNode struct {
+	*fakeNode
+	mu     sync.Mutex
+	polled bool
+	delay  time.Duration
+}
+
+func (n *slowNode) answerPolls() {
+	n.mu.Lock()
+	n.polled = true
+	n.mu.Unlock()
+}
+
+func (n *slowNode) Poll(c context.Context, q *trunk.PollReq) (*trunk.PollResp, error) {
+	n.mu.Lock()
+	polled := n.polled
+	n.mu.Unlock()
+	if !polled {
+		return nil, errCut
+	}
+	return n.fakeNode.Poll(c, q)
+}
+
+func (n *slowNode) Deliver(c context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
+	r, err := n.fakeNode.Deliver(c, q)
+	n.mu.Lock()
+	delay := n.delay
+	if r.GetOk() {
+		n.delay = 0
+	}
+	n.mu.Unlock()
+	if r.GetOk() {
+		time.Sleep(delay)
+	}
+	return r, err
+}
--- a/internal/supervisor/relay.go
+++ b/internal/supervisor/relay.go
@@ -123,19 +123,26 @@
 // parcel is the same request for several nodes; done runs on the master's
 // goroutine once for each, with nil where nothing was heard.
 type parcel struct {
-	req  *trunk.RelayReq
-	done map[string]func(*trunk.RelayAck)
+	req *trunk.RelayReq
+	// relayOffset is by how many places its relays differ from the usual ones.
+	relayOffset int
+	done        map[string]func(*trunk.RelayAck)
 }
 
 // send puts a node's request beside those that go out together.
 func (m *Master) send(key string, req *trunk.RelayReq, to *trunk.RelayTo, done func(*trunk.RelayAck)) {
+	m.sendVia(0, key, req, to, done)
+}
+
+// sendVia is send through other relays than usual, with a relayOffset above zero.
+func (m *Master) sendVia(relayOffset int, key string, req *trunk.RelayReq, to *trunk.RelayTo, done func(*trunk.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
 		time.AfterFunc(gatherFor, func() { m.Loop.Put(m.flush) })
 	}
 	p := m.parcels[key]
 	if p == nil {
-		p = &parcel{req: req, done: map[string]func(*trunk.RelayAck){}}
+		p = &parcel{req: req, relayOffset: relayOffset, done: map[string]func(*trunk.RelayAck){}}
 		m.parcels[key] = p
 	}
 	if p.done[to.Name] == nil {
@@ -178,7 +185,7 @@
 		}
 		parts := make([][]*trunk.RelayTo, len(rs))
 		for _, to := range p.req.To {
-			i := xxhash.Sum64String(to.Name) % uint64(len(rs))
+			i := (xxhash.Sum64String(to.Name) + uint64(p.relayOffset)) % uint64(len(rs))
 			parts[i] = append(parts[i], to)
 		}
 		for i, to := range parts {
@@ -189,6 +196,13 @@
 	}
 }
 
+// configured tells that a node has acknowledged this configuration, or a newer one,
+// by another way meanwhile.
+func (m *Master) configured(name string, q *trunk.DeliverReq) bool {
+	c := m.sends[name]
+	return q != nil && c != nil && c.conf >= q.Version
+}
+
 func (m *Master) bundle(k *trunk.Kept) Bundle {
 	if k == nil || m.o.Bundle == nil {
 		return Bundle{}
@@ -224,7 +238,11 @@
 				m.shunned[addr] = m.o.Now() + shunRelay
 			}
 			for _, t := range to {
-				if !got[t.Name] {
+				switch {
+				case got[t.Name]:
+				case m.configured(t.Name, p.req.Config):
+					p.done[t.Name](nil)
+				default:
 					m.direct(p, t)
 				}
 			}
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -75,6 +75,13 @@
 	cut   bool
 }
 
+// current is the agent of the life that runs now.
+func (f *fakeNode) current() *Agent {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.agent
+}
+
 func (f *fakeNode) off() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,21 +101,21 @@
 		<-c.Done()
 		return nil, errCut
 	}
-	return f.agent.Poll(c, q)
+	return f.current().Poll(c, q)
 }
 
 func (f *fakeNode) Publish(c context.Context, q *trunk.ViewReq) (*trunk.ViewResp, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.Publish(c, q)
+	return f.current().Publish(c, q)
 }
 
 func (f *fakeNode) Deliver(c context.Context, q *trunk.DeliverReq) (*trunk.DeliverResp, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.Deliver(c, q)
+	return f.current().Deliver(c, q)
 }
 
 type deadEnd struct{}
