--- a/internal/supervisor/delta_test.go
+++ b/internal/supervisor/delta_test.go
@@ -163,7 +163,6 @@
 		}
 		e.mu.Lock()
 		e.drop = false
-		n = len(e.views)
 		e.mu.Unlock()
 		pass(3 * time.Second)
 		qt.Assert(t, e.views[len(e.views)-1].Base, qt.Equals, uint64(0), qt.Commentf("whole on a gap"))
