--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -60,6 +60,9 @@
 	svc    *coordination.Service
 	master *clustercontroller.Master
 	conf   uint64
+	// confAt is the version of shard 0 under which the newest configuration was
+	// proposed here.
+	confAt uint64
 	lines  *rpc.Clients
 }
 
@@ -139,7 +142,7 @@
 	}
 	t := c.board.StateMachine(0)
 	conf := controlapi.StoredConfig(t)
-	c.conf = conf.Version
+	c.conf, c.confAt = conf.Version, 0
 	u, r := users(t), c.board.Membership()
 	view := keptView(t.Blob(viewBlob))
 	k := kept(t, view.Epoch)
@@ -149,9 +152,11 @@
 	})
 }
 
+// onCommit hands a configuration to the nodes once it is committed, whatever has
+// been proposed after it.
 func (c *coreNode) onCommit(i int) {
 	c.svc.OnCommit(i)
-	if i != 0 || !c.board.FullyCommitted(0) {
+	if i != 0 || c.board.CommittedVersion(0) < c.confAt {
 		return
 	}
 	t := c.board.StateMachine(0)
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -112,8 +112,28 @@
 	busy  bool
 	cbusy bool
 	whole bool
+	large bool
 	again time.Duration
-}
+	// sent is when a configuration was last sent, acked when one was acknowledged.
+	sent  time.Duration
+	acked time.Duration
+	// attempt numbers all sendings, unanswered counts those since the last answer.
+	attempt    uint64
+	unanswered int
+}
+
+// A configuration without an answer is sent again by another way while the
+// first sending still runs. Two waits and a call must fit into 2 s, the
+// shortest time that a site gives its nodes to apply a version.
+const (
+	// redeliverPatch is twice what a relay waits for its next node.
+	redeliverPatch = 2 * relayStill
+	// redeliverFull leaves a large configuration time on a full link.
+	redeliverFull = 1500 * time.Millisecond
+	// relayChoices is how many relays take turns for one node, so that sendings to many
+	// nodes still go together.
+	relayChoices = 3
+)
 
 func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
 	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeyTracker(o.HotKeys),
@@ -525,7 +545,14 @@
 // one and the states have settled.
 func (m *Master) Tick() {
 	now := m.o.Now()
-	if !m.leading || !m.sure() || m.making || now-m.since < max(m.o.TakeoverDelay, 2*m.cast()) {
+	if !m.leading || !m.sure() {
+		return
+	}
+	if m.making || now-m.since < max(m.o.TakeoverDelay, 2*m.cast()) {
+		// Configurations do not wait for views.
+		for n, h := range m.hs {
+			m.deliver(n, h)
+		}
 		return
 	}
 	if m.rejoining && now-m.since > rejoin {
@@ -664,12 +691,17 @@
 func (m *Master) met(name string, n *meshpb.NodeState) {
 	c := m.sends[name]
 	if c != nil && c.life == "" {
-		c.life = n.Incarnation
+		// Who acknowledged before may have been an earlier life.
+		c.life, c.view, c.conf = n.Incarnation, 0, 0
 	}
 	if c == nil || c.life != n.Incarnation {
 		c = &courier{life: n.Incarnation}
 		m.sends[name] = c
 	}
+	if m.o.Now()-c.acked > relayWait {
+		// No acknowledgement is newer than this report.
+		c.conf = 0
+	}
 	c.conf = max(c.conf, n.ConfigVersion)
 	c.bare = n.ViewVersion == 0
 	if n.ViewEpoch == m.epoch {
@@ -722,7 +754,8 @@
 		return
 	}
 	c := m.courier(name)
-	if c.cbusy || m.conf == 0 || c.conf >= m.conf || h.state.GetAddr() == "" || m.o.Now() < c.again {
+	now := m.o.Now()
+	if m.conf == 0 || c.conf >= m.conf || h.state.GetAddr() == "" || now < c.again || c.cbusy && !m.overdue(c, h) {
 		return
 	}
 	unheard := c.life == ""
@@ -730,10 +763,12 @@
 	if len(m.steps) > 0 && !c.whole {
 		wait = m.cast()
 	}
-	if unheard && m.o.Now()-m.since < wait {
+	if unheard && now-m.since < wait {
 		return
 	}
-	c.cbusy = true
+	c.cbusy, c.sent = true, now
+	c.attempt++
+	attempt := c.attempt
 	q := &meshpb.DeliverConfigRequest{Epoch: m.epoch, Version: m.conf}
 	if c.conf > 0 && !c.whole {
 		if q.Patches = m.way(c.conf); q.Patches != nil {
@@ -747,15 +782,26 @@
 	if q.BaseVersion == 0 {
 		q.Data = m.packed
 	}
-	key := fmt.Sprint("config ", q.BaseVersion, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0)
-	m.send(key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
-		c.cbusy = false
+	c.large = q.BaseVersion == 0
+	relayOffset := c.unanswered % relayChoices
+	c.unanswered++
+	key := fmt.Sprint("config ", q.BaseVersion, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0, " ", relayOffset)
+	m.sendVia(relayOffset, key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+		last := attempt == c.attempt
 		r := a.GetConfig()
 		if r == nil {
-			c.again = m.o.Now() + 100*time.Millisecond
+			if last {
+				c.cbusy = false
+				c.again = m.o.Now() + 100*time.Millisecond
+			}
 			return
 		}
 		c.conf = max(c.conf, r.Version)
+		c.acked = m.o.Now()
+		if !last {
+			return
+		}
+		c.cbusy, c.unanswered = false, 0
 		c.whole = !r.Ok && (r.Version == 0 || r.Version == q.BaseVersion || q.BaseVersion == 0)
 		if !r.Ok {
 			c.again = m.o.Now() + 50*time.Millisecond
@@ -765,3 +811,13 @@
 		}
 	})
 }
+
+// overdue tells that a node which answers polls has left the last sending of a
+// configuration unanswered for so long that it is to be sent by another way.
+func (m *Master) overdue(c *courier, h *history) bool {
+	wait := redeliverPatch
+	if c.large {
+		wait = redeliverFull
+	}
+	return h.reached && m.o.Now()-c.sent >= wait
+}
--- a/internal/clustercontroller/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -124,19 +124,26 @@
 // parcel is the same request for several nodes; done runs on the master's
 // goroutine once for each, with nil where nothing was heard.
 type parcel struct {
-	req  *meshpb.RelayRequest
-	done map[string]func(*meshpb.RelayAck)
+	req *meshpb.RelayRequest
+	// relayOffset is by how many places its relays differ from the usual ones.
+	relayOffset int
+	done        map[string]func(*meshpb.RelayAck)
 }
 
 // send puts a node's request beside those that go out together.
 func (m *Master) send(key string, req *meshpb.RelayRequest, to *meshpb.RelayTarget, done func(*meshpb.RelayAck)) {
+	m.sendVia(0, key, req, to, done)
+}
+
+// sendVia is send through other relays than usual, with a relayOffset above zero.
+func (m *Master) sendVia(relayOffset int, key string, req *meshpb.RelayRequest, to *meshpb.RelayTarget, done func(*meshpb.RelayAck)) {
 	if m.parcels == nil {
 		m.parcels = map[string]*parcel{}
 		time.AfterFunc(gatherFor, func() { m.Mailbox.Post(m.flush) })
 	}
 	p := m.parcels[key]
 	if p == nil {
-		p = &parcel{req: req, done: map[string]func(*meshpb.RelayAck){}}
+		p = &parcel{req: req, relayOffset: relayOffset, done: map[string]func(*meshpb.RelayAck){}}
 		m.parcels[key] = p
 	}
 	if p.done[to.Name] == nil {
@@ -179,7 +186,7 @@
 		}
 		parts := make([][]*meshpb.RelayTarget, len(rs))
 		for _, to := range p.req.Targets {
-			i := xxhash.Sum64String(to.Name) % uint64(len(rs))
+			i := (xxhash.Sum64String(to.Name) + uint64(p.relayOffset)) % uint64(len(rs))
 			parts[i] = append(parts[i], to)
 		}
 		for i, to := range parts {
@@ -190,6 +197,13 @@
 	}
 }
 
+// configured tells that a node has acknowledged this configuration, or a newer one,
+// by another way meanwhile.
+func (m *Master) configured(name string, q *meshpb.DeliverConfigRequest) bool {
+	c := m.sends[name]
+	return q != nil && c != nil && c.conf >= q.Version
+}
+
 func (m *Master) bundle(k *meshpb.StoredVersions) StoredPayloads {
 	if k == nil || m.o.ReadStored == nil {
 		return StoredPayloads{}
@@ -225,7 +239,11 @@
 				m.shunned[addr] = m.o.Now() + shunRelay
 			}
 			for _, t := range to {
-				if !got[t.Name] {
+				switch {
+				case got[t.Name]:
+				case m.configured(t.Name, p.req.Config):
+					p.done[t.Name](nil)
+				default:
 					m.direct(p, t)
 				}
 			}
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -76,6 +76,13 @@
 	cut   bool
 }
 
+// current is the agent of the life that runs now.
+func (f *fakeNode) current() *Agent {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.agent
+}
+
 func (f *fakeNode) off() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,21 +102,21 @@
 		<-c.Done()
 		return nil, errCut
 	}
-	return f.agent.Poll(c, q)
+	return f.current().Poll(c, q)
 }
 
 func (f *fakeNode) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.PublishView(c, q)
+	return f.current().PublishView(c, q)
 }
 
 func (f *fakeNode) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if f.off() {
 		return nil, errCut
 	}
-	return f.agent.DeliverConfig(c, q)
+	return f.current().DeliverConfig(c, q)
 }
 
 type deadEnd struct{}
--- a/internal/replication/board.go
+++ b/internal/replication/board.go
@@ -531,8 +531,8 @@
 
 func (b *Replica) IsLearner() bool { return !b.member() }
 
-// Clean tells that all of the shard's content is committed.
-func (b *Replica) FullyCommitted(i int) bool { return b.shards[i].commit >= b.shards[i].version }
+// Committed is the last version of the shard that its owner knows to be committed.
+func (b *Replica) CommittedVersion(i int) uint64 { return b.shards[i].commit }
 
 func (b *Replica) Epoch(i int) uint64 { return b.shards[i].epoch }
 
