--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -327,7 +327,7 @@
 		ViewInterval: 250 * time.Millisecond, SendTimePerNode: 4 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond, PollLinger: 2 * time.Second, PollLingerPerNode: 36 * time.Millisecond, MaxPollLinger: 10 * time.Second,
 		PollGrace: 800 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2,
 		HotKeys:  hotOptions(o.HotKeys),
-		SelfAddr: o.InternalAddr(), Now: p.now, Logf: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
+		SelfAddr: o.InternalAddr(), Now: p.now, Logf: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.KindView, what, epoch, version) },
 		HoldsLease: func() bool { return c.board.HoldsMasterLease() }, InContact: func(a string) bool { return c.board.InContact(a) }, ReadStored: c.bundle,
 	}, replication.NewMailbox(), lines, c)
 	hist := settings.Seconds(o.Requirements.Bounds.HistorySeconds)
@@ -359,7 +359,7 @@
 	go is.Serve(inner)
 	api := controlapi.NewCoreServer(c.svc, 650*time.Millisecond)
 	api.PeerTransport = rpc.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
-	api.OnConfigAccepted = func(version uint64) { p.trace(changetrace.Config, "acknowledged", c.board.MasterEpoch(), version) }
+	api.OnConfigAccepted = func(version uint64) { p.trace(changetrace.KindConfig, "acknowledged", c.board.MasterEpoch(), version) }
 	cs := &http.Server{Handler: api, IdleTimeout: time.Minute, ReadHeaderTimeout: 5 * time.Second}
 	go cs.Serve(ctl)
 	go c.master.Mailbox.Run(tick, c.master.Tick)
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -85,7 +85,9 @@
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Seconds(p.o.Affinity.IdleSeconds)
 	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.o.Affinity.MaxSessions,
-		Trace: func(what, key string) { p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: "pin " + key}) }})
+		Trace: func(what, key string) {
+			p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: "pin " + key})
+		}})
 }
 
 func (t teller) Sessions(_ context.Context, q *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
--- a/cmd/corkcove/replaying.go
+++ b/cmd/corkcove/replaying.go
@@ -107,7 +107,7 @@
 		s.lossy++
 		s.lost = max(s.lost, time.Duration(r.LostUs)*time.Microsecond)
 	}
-	if s.err = s.w.Node(r); s.err != nil {
+	if s.err = s.w.WriteNode(r); s.err != nil {
 		return
 	}
 	q := &meshpb.SnapshotsRequest{}
@@ -130,11 +130,11 @@
 	}
 	for _, v := range p.Views {
 		s.views[viewMark{v.Epoch, v.Version}] = true
-		s.err = errors.Join(s.err, s.w.View(v))
+		s.err = errors.Join(s.err, s.w.WriteView(v))
 	}
 	for _, d := range p.Configs {
 		s.configs[d.Version] = true
-		s.err = errors.Join(s.err, s.w.Config(d))
+		s.err = errors.Join(s.err, s.w.WriteConfig(d))
 	}
 }
 
@@ -171,7 +171,7 @@
 	file, config, opts string
 	seed               uint64
 	most               int
-	bars               replay.Bars
+	bars               replay.Options
 	save               string
 	filter             replay.Filter
 	json               bool
@@ -179,11 +179,11 @@
 
 // runReplay needs no core: all it reads is in the file.
 func runReplay(o replayOpts) error {
-	c, err := replay.Read(o.file)
+	c, err := replay.ReadFile(o.file)
 	if err != nil {
 		return err
 	}
-	r := replay.Rules{Seed: o.seed, Hot: hotOptions(settings.DefaultHotKeys())}
+	r := replay.Scenario{Seed: o.seed, HotKeys: hotOptions(settings.DefaultHotKeys())}
 	if o.config != "" {
 		b, err := os.ReadFile(o.config)
 		if err != nil {
@@ -193,46 +193,46 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", o.config, err)
 		}
-		r.Plan = &d
+		r.Config = &d
 	}
 	if o.opts != "" {
 		if r.Retries, err = retriesOf(o.opts); err != nil {
 			return err
 		}
 	}
-	if r.Plan == nil && r.Retries == nil {
+	if r.Config == nil && r.Retries == nil {
 		return fmt.Errorf("nothing is to change: give --config, --options or both")
 	}
-	if b := o.bars; b.Off < 0 || b.Off > 1 || b.Coverage < 0 || b.Coverage > 1 || b.Settle < 0 {
+	if b := o.bars; b.MaxMismatch < 0 || b.MaxMismatch > 1 || b.MinCoverage < 0 || b.MinCoverage > 1 || b.WarmUp < 0 {
 		return fmt.Errorf("--off and --coverage must be from 0 to 1, --settle not below 0")
 	}
-	rep, err := replay.Play(c, r, o.bars)
+	rep, err := replay.Simulate(c, r, o.bars)
 	if err != nil {
 		return err
 	}
 	if o.save != "" {
-		if err := rep.Foretell(r, o.bars.ByNode, time.Now()).Save(o.save); err != nil {
+		if err := rep.Forecast(r, o.bars.ByNode, time.Now()).Save(o.save); err != nil {
 			return err
 		}
 	}
 	t := &tool{json: o.json}
 	t.print(rep, rep.Text(o.filter, o.most))
 	switch {
-	case rep.Control > o.bars.Off:
-		return fmt.Errorf("the old rules do not give back %.2f%% of the record, %.2f%% is allowed: don't decide on this", 100*rep.Control, 100*o.bars.Off)
-	case !rep.Fit:
-		return fmt.Errorf("the record has %.1f%% of what the nodes carried, %.1f%% is needed: don't decide on this", 100*rep.Coverage, 100*o.bars.Coverage)
+	case rep.ControlMismatch > o.bars.MaxMismatch:
+		return fmt.Errorf("the old rules do not give back %.2f%% of the record, %.2f%% is allowed: don't decide on this", 100*rep.ControlMismatch, 100*o.bars.MaxMismatch)
+	case !rep.Usable:
+		return fmt.Errorf("the record has %.1f%% of what the nodes carried, %.1f%% is needed: don't decide on this", 100*rep.Coverage, 100*o.bars.MinCoverage)
 	case len(rep.Flags) > 0:
 		return fmt.Errorf("%d purchases, payments, uploads or checks would be sent twice, dropped or left waiting that are not under the old rules", len(rep.Flags))
-	case rep.Grave() > 0:
-		return fmt.Errorf("%d requests would be doubled, vanish or stall that are not under the old rules", rep.Grave())
+	case rep.SevereCount() > 0:
+		return fmt.Errorf("%d requests would be doubled, vanish or stall that are not under the old rules", rep.SevereCount())
 	}
 	return nil
 }
 
 type compareOpts struct {
 	forecast, file string
-	bars           replay.CompareBars
+	bars           replay.CompareOptions
 	most           int
 	json           bool
 }
@@ -240,14 +240,14 @@
 // compareReplay holds a kept forecast against a record taken once the change
 // is live.
 func compareReplay(o compareOpts) error {
-	if b := o.bars; b.Miss <= 0 || b.Miss >= 1 || b.Slack < 0 || b.Slack > 1 || b.Least < 1 || b.Settle < 0 || b.Coverage < 0 || b.Coverage > 1 {
+	if b := o.bars; b.FalseAlarmRate <= 0 || b.FalseAlarmRate >= 1 || b.Tolerance < 0 || b.Tolerance > 1 || b.MinRequests < 1 || b.WarmUp < 0 || b.MinCoverage < 0 || b.MinCoverage > 1 {
 		return fmt.Errorf("--miss must lie between 0 and 1, --slack and --coverage from 0 to 1, --least must be 1 at least, --settle not below 0")
 	}
 	f, err := replay.ReadForecast(o.forecast)
 	if err != nil {
 		return err
 	}
-	c, err := replay.Read(o.file)
+	c, err := replay.ReadFile(o.file)
 	if err != nil {
 		return err
 	}
@@ -258,15 +258,15 @@
 	t := &tool{json: o.json}
 	t.print(r, r.Text(o.most))
 	switch {
-	case len(r.Outside) > 0:
-		return fmt.Errorf("%d of %d shares are not where they were foretold", len(r.Outside), r.Checked)
+	case len(r.Deviations) > 0:
+		return fmt.Errorf("%d of %d shares are not where they were foretold", len(r.Deviations), r.SharesChecked)
 	case len(r.Flows) == 0:
 		return fmt.Errorf("no flow has enough requests on both sides to tell")
 	}
 	return nil
 }
 
-func retriesOf(file string) (*replay.Retries, error) {
+func retriesOf(file string) (*replay.RetrySettings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -290,5 +290,5 @@
 	if *v.Ratio < 0 || *v.Slack < 0 || *v.Window <= 0 {
 		return nil, fmt.Errorf("%s: retryRatio and retrySlack must not be below 0, retryWindowS must be above", file)
 	}
-	return &replay.Retries{Ratio: *v.Ratio, Slack: *v.Slack, Window: settings.Seconds(*v.Window)}, nil
+	return &replay.RetrySettings{Ratio: *v.Ratio, Slack: *v.Slack, Window: settings.Seconds(*v.Window)}, nil
 }
--- a/cmd/corkcove/tools.go
+++ b/cmd/corkcove/tools.go
@@ -218,7 +218,7 @@
 }
 
 func (t *tool) trace(what string) error {
-	if _, err := changetrace.Parse(what); err != nil {
+	if _, err := changetrace.ParseChange(what); err != nil {
 		return err
 	}
 	ss, err := t.status()
@@ -251,7 +251,7 @@
 			fmt.Fprintf(stderr, "%s did not answer; its requests are left out\n", n.Name)
 			continue
 		}
-		os = append(os, loadestimate.Origin{Node: r.Node, Zone: r.Zone, Far: r.RemoteWeight, Heavy: r.BulkWeight, Flows: r.Flows})
+		os = append(os, loadestimate.Origin{Node: r.Node, Zone: r.Zone, RemoteWeight: r.RemoteWeight, BulkWeight: r.BulkWeight, Flows: r.Flows})
 	}
 	return os, ss[0], nil
 }
@@ -267,7 +267,7 @@
 			es = append(es, &meshpb.Endpoint{Id: n.Endpoint, Service: n.Service, Zone: n.Zone, Slots: n.Slots, State: n.Official, Node: n.Name})
 		}
 	}
-	e, err := loadestimate.Run(from, es, c, loadestimate.Options{Span: 120 * time.Second, Seed: 1})
+	e, err := loadestimate.Run(from, es, c, loadestimate.Options{Duration: 120 * time.Second, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -283,12 +283,12 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-28s %-16s %-10s %10s %10s %7s\n", "requests from", "binding", "kind", "a second", "would move", "share")
 	tot := map[string][2]float64{}
-	for _, x := range e.Sums {
+	for _, x := range e.Summaries {
 		share := 0.0
 		if x.Rate > 0 {
 			share = 100 * x.Moved / x.Rate
 		}
-		fmt.Fprintf(&b, "%-28s %-16s %-10s %10.2f %10.2f %6.1f%%\n", x.From, x.Binding, x.Kind, x.Rate, x.Moved, share)
+		fmt.Fprintf(&b, "%-28s %-16s %-10s %10.2f %10.2f %6.1f%%\n", x.From, x.Route, x.Kind, x.Rate, x.Moved, share)
 		k := tot[x.Kind]
 		tot[x.Kind] = [2]float64{k[0] + x.Rate, k[1] + x.Moved}
 	}
@@ -297,9 +297,9 @@
 	}
 	b.WriteString("\n")
 	to := map[string][2]float64{}
-	for _, r := range e.Rows {
+	for _, r := range e.EndpointRates {
 		n := to[r.Node+" "+r.Endpoint]
-		to[r.Node+" "+r.Endpoint] = [2]float64{n[0] + r.Now, n[1] + r.Then}
+		to[r.Node+" "+r.Endpoint] = [2]float64{n[0] + r.Before, n[1] + r.After}
 	}
 	var ks []string
 	for k := range to {
@@ -334,8 +334,8 @@
 	bad := 0
 	fmt.Fprintf(&w, "%-16s %-10s %9s %9s %9s\n", "binding", "kind", "foretold", "measured", "off by")
 	for _, v := range vs {
-		fmt.Fprintf(&w, "%-16s %-10s %8.1f%% %8.1f%% %8.1f%%\n", v.Binding, v.Kind, 100*v.Foretold, 100*v.Measured, 100*v.Off)
-		if v.Off > within {
+		fmt.Fprintf(&w, "%-16s %-10s %8.1f%% %8.1f%% %8.1f%%\n", v.Route, v.Kind, 100*v.Forecast, 100*v.Measured, 100*v.Difference)
+		if v.Difference > within {
 			bad++
 		}
 	}
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -27,7 +27,7 @@
 
 func (t teller) Trace(_ context.Context, q *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
 	r := &meshpb.TraceResponse{Node: t.o.Self.NodeName, Role: t.role}
-	c, err := changetrace.Parse(q.Subject)
+	c, err := changetrace.ParseChange(q.Subject)
 	if err != nil {
 		return nil, err
 	}
@@ -46,21 +46,21 @@
 }
 
 func (p *process) trace(kind, what string, epoch, version uint64) {
-	p.steps.Add(changetrace.Step{At: time.Now(), What: what, Kind: kind, Version: version, Epoch: epoch})
+	p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: kind, Version: version, Epoch: epoch})
 	p.ring.Note("trace", "%s %d %s under epoch %d", kind, version, what, epoch)
 }
 
 func (c *coreNode) onStep(what string, shard int, epoch, version uint64, g *meshpb.Change) {
-	s := changetrace.Step{At: time.Now(), What: what, Shard: shard, Epoch: epoch, Mark: version}
+	s := changetrace.Event{Time: time.Now(), Action: what, Shard: shard, Epoch: epoch, ShardVersion: version}
 	switch {
 	case g == nil:
 	case g.Blob != nil && g.Blob.Name == controlapi.ConfigBlob:
-		s.Kind, s.Version = changetrace.Config, g.Blob.Version
+		s.Kind, s.Version = changetrace.KindConfig, g.Blob.Version
 		if what == "proposed" && shard == 0 {
 			c.confAt = version
 		}
 	case g.Blob != nil && g.Blob.Name == viewBlob:
-		s.Kind, s.Version = changetrace.View, g.Blob.Version
+		s.Kind, s.Version = changetrace.KindView, g.Blob.Version
 	case g.Pin != nil:
 		s.Kind = "pin " + g.Pin.Key
 	case g.Put != nil:
--- a/internal/changetrace/tracer.go
+++ b/internal/changetrace/tracer.go
@@ -20,37 +20,37 @@
 var Error = errs.Class("tracer")
 
 const (
-	Config = "configuration"
-	View   = "view"
+	KindConfig = "configuration"
+	KindView   = "view"
 )
 
 // Step is one thing done to a change: Kind and Stamp name the change for its
 // users, Shard and Mark its place in the control state.
-type Step struct {
-	At      time.Time
-	What    string
-	Kind    string
-	Version uint64
-	Shard   int
-	Epoch   uint64
-	Mark    uint64
+type Event struct {
+	Time         time.Time
+	Action       string
+	Kind         string
+	Version      uint64
+	Shard        int
+	Epoch        uint64
+	ShardVersion uint64
 }
 
 // Ring keeps the last steps behind a short lock.
 type Ring struct {
 	mu sync.Mutex
-	ss logring.Buffer[Step]
+	ss logring.Buffer[Event]
 }
 
-func NewRing(size int) *Ring { return &Ring{ss: logring.NewBuffer[Step](size)} }
+func NewRing(size int) *Ring { return &Ring{ss: logring.NewBuffer[Event](size)} }
 
-func (r *Ring) Add(s Step) {
+func (r *Ring) Add(s Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ss.Put(s)
 }
 
-func (r *Ring) all() []Step {
+func (r *Ring) all() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ss.All()
@@ -64,7 +64,7 @@
 	Version uint64
 }
 
-func Parse(s string) (Change, error) {
+func ParseChange(s string) (Change, error) {
 	bad := Error.New("%q is no change: give a configuration such as r12, a view such as view:9, a key such as key:g1.a, or a session such as pin:0a1b", s)
 	if k, ok := strings.CutPrefix(s, "pin:"); ok && k != "" {
 		return Change{Kind: "pin " + k}, nil
@@ -72,9 +72,9 @@
 	if k, ok := strings.CutPrefix(s, "key:"); ok && k != "" {
 		return Change{Kind: "cell " + k}, nil
 	}
-	kind, n := Config, strings.TrimPrefix(s, "r")
+	kind, n := KindConfig, strings.TrimPrefix(s, "r")
 	if v, ok := strings.CutPrefix(s, "view:"); ok {
-		kind, n = View, v
+		kind, n = KindView, v
 	} else if n == s {
 		return Change{}, bad
 	}
@@ -101,7 +101,7 @@
 		hit := s.Kind == c.Kind && s.Version == c.Version
 		if s.Kind == "" {
 			for m, sh := range marks {
-				if sh == s.Shard && m[0] == s.Epoch && s.Mark >= m[1] {
+				if sh == s.Shard && m[0] == s.Epoch && s.ShardVersion >= m[1] {
 					hit = true
 					delete(marks, m)
 				}
@@ -111,40 +111,40 @@
 			continue
 		}
 		d := ""
-		if s.Mark > 0 {
-			d = fmt.Sprintf("shard %d version %d", s.Shard, s.Mark)
-			if s.Kind != "" && s.What == "proposed" {
-				marks[[2]uint64{s.Epoch, s.Mark}] = s.Shard
+		if s.ShardVersion > 0 {
+			d = fmt.Sprintf("shard %d version %d", s.Shard, s.ShardVersion)
+			if s.Kind != "" && s.Action == "proposed" {
+				marks[[2]uint64{s.Epoch, s.ShardVersion}] = s.Shard
 			}
 		}
-		out = append(out, &meshpb.TraceEvent{AtUs: s.At.UnixMicro(), Step: s.What, Epoch: s.Epoch, Detail: d})
+		out = append(out, &meshpb.TraceEvent{AtUs: s.Time.UnixMicro(), Step: s.Action, Epoch: s.Epoch, Detail: d})
 	}
 	return out
 }
 
 type Report struct {
-	Change string   `json:"change"`
-	Known  bool     `json:"known"`
-	Nodes  []Node   `json:"nodes"`
-	Silent []string `json:"silent"`
+	Change      string      `json:"change"`
+	Known       bool        `json:"known"`
+	Nodes       []NodeTrace `json:"nodes"`
+	Unreachable []string    `json:"silent"`
 }
 
-type Node struct {
-	Name  string `json:"name"`
-	Role  string `json:"role"`
-	Lines []Line `json:"steps"`
+type NodeTrace struct {
+	Name   string      `json:"name"`
+	Role   string      `json:"role"`
+	Events []NodeEvent `json:"steps"`
 }
 
-type Line struct {
-	At     time.Time `json:"at"`
-	Step   string    `json:"step"`
+type NodeEvent struct {
+	Time   time.Time `json:"at"`
+	Action string    `json:"step"`
 	Epoch  uint64    `json:"epoch"`
 	Detail string    `json:"detail,omitempty"`
 }
 
 // Gather asks every process by name and address.
 func Gather(l *rpc.Clients, what string, at map[string]string, wait time.Duration) Report {
-	rep := Report{Change: what, Silent: []string{}, Nodes: []Node{}}
+	rep := Report{Change: what, Unreachable: []string{}, Nodes: []NodeTrace{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for n, a := range at {
@@ -155,19 +155,19 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				rep.Silent = append(rep.Silent, n)
+				rep.Unreachable = append(rep.Unreachable, n)
 				return
 			}
-			x := Node{Name: r.Node, Role: r.Role, Lines: []Line{}}
+			x := NodeTrace{Name: r.Node, Role: r.Role, Events: []NodeEvent{}}
 			for _, l := range r.Lines {
-				x.Lines = append(x.Lines, Line{time.UnixMicro(l.AtUs).UTC(), l.Step, l.Epoch, l.Detail})
+				x.Events = append(x.Events, NodeEvent{time.UnixMicro(l.AtUs).UTC(), l.Step, l.Epoch, l.Detail})
 				rep.Known = true
 			}
 			rep.Nodes = append(rep.Nodes, x)
 		}()
 	}
 	wg.Wait()
-	sort.Strings(rep.Silent)
+	sort.Strings(rep.Unreachable)
 	sort.Slice(rep.Nodes, func(i, j int) bool {
 		a, b := rep.Nodes[i], rep.Nodes[j]
 		return a.Role < b.Role || a.Role == b.Role && a.Name < b.Name
@@ -178,14 +178,14 @@
 func (r Report) String() string {
 	var b strings.Builder
 	for _, n := range r.Nodes {
-		if len(n.Lines) == 0 {
+		if len(n.Events) == 0 {
 			fmt.Fprintf(&b, "%-8s %-28s nothing known of it\n", n.Role, n.Name)
 		}
-		for _, l := range n.Lines {
-			fmt.Fprintf(&b, "%-8s %-28s %s  %-12s epoch %d  %s\n", n.Role, n.Name, l.At.Format("15:04:05.000000"), l.Step, l.Epoch, l.Detail)
+		for _, l := range n.Events {
+			fmt.Fprintf(&b, "%-8s %-28s %s  %-12s epoch %d  %s\n", n.Role, n.Name, l.Time.Format("15:04:05.000000"), l.Action, l.Epoch, l.Detail)
 		}
 	}
-	for _, s := range r.Silent {
+	for _, s := range r.Unreachable {
 		fmt.Fprintf(&b, "%-8s %-28s did not answer\n", "?", s)
 	}
 	return b.String()
--- a/internal/loadestimate/erlang.go
+++ b/internal/loadestimate/erlang.go
@@ -20,11 +20,11 @@
 var Error = errs.Class("erlang")
 
 type Origin struct {
-	Node  string
-	Zone  string
-	Far   float64
-	Heavy float64
-	Flows []*meshpb.Flow
+	Node         string
+	Zone         string
+	RemoteWeight float64
+	BulkWeight   float64
+	Flows        []*meshpb.Flow
 }
 
 type Change struct {
@@ -33,29 +33,29 @@
 }
 
 // Row is one kind of request from one node towards one endpoint, a second.
-type Row struct {
+type EndpointRate struct {
 	From     string  `json:"from"`
-	Binding  string  `json:"binding"`
+	Route    string  `json:"binding"`
 	Kind     string  `json:"kind"`
 	Service  string  `json:"service"`
 	Endpoint string  `json:"endpoint"`
 	Node     string  `json:"node"`
-	Now      float64 `json:"now"`
-	Then     float64 `json:"then"`
+	Before   float64 `json:"now"`
+	After    float64 `json:"then"`
 }
 
-type Sum struct {
-	From    string  `json:"from"`
-	Binding string  `json:"binding"`
-	Kind    string  `json:"kind"`
-	Rate    float64 `json:"rate"`
-	Moved   float64 `json:"moved"`
+type RouteSummary struct {
+	From  string  `json:"from"`
+	Route string  `json:"binding"`
+	Kind  string  `json:"kind"`
+	Rate  float64 `json:"rate"`
+	Moved float64 `json:"moved"`
 }
 
 type Estimate struct {
-	Change Change `json:"change"`
-	Rows   []Row  `json:"rows"`
-	Sums   []Sum  `json:"sums"`
+	Change        Change         `json:"change"`
+	EndpointRates []EndpointRate `json:"rows"`
+	Summaries     []RouteSummary `json:"sums"`
 }
 
 type line struct {
@@ -76,8 +76,8 @@
 
 // Options: Span is the time played, Seed fixes the draws.
 type Options struct {
-	Span time.Duration
-	Seed int64
+	Duration time.Duration
+	Seed     int64
 }
 
 func Run(os []Origin, es []*meshpb.Endpoint, c Change, o Options) (Estimate, error) {
@@ -130,7 +130,7 @@
 			then[id] = v
 			total += v
 		}
-		s := Sum{From: os[l.origin].Node, Binding: l.binding, Kind: l.kind, Rate: l.rate}
+		s := RouteSummary{From: os[l.origin].Node, Route: l.binding, Kind: l.kind, Rate: l.rate}
 		for id, v := range then {
 			if total > 0 {
 				v *= l.rate / total
@@ -140,27 +140,27 @@
 				continue
 			}
 			s.Moved += max(n-v, 0)
-			est.Rows = append(est.Rows, Row{s.From, l.binding, l.kind, l.service, id, node[id], round(n), round(v)})
+			est.EndpointRates = append(est.EndpointRates, EndpointRate{s.From, l.binding, l.kind, l.service, id, node[id], round(n), round(v)})
 		}
 		s.Moved, s.Rate = round(s.Moved), round(s.Rate)
-		est.Sums = append(est.Sums, s)
+		est.Summaries = append(est.Summaries, s)
 	}
-	sort.Slice(est.Rows, func(i, j int) bool {
-		x, y := est.Rows[i], est.Rows[j]
+	sort.Slice(est.EndpointRates, func(i, j int) bool {
+		x, y := est.EndpointRates[i], est.EndpointRates[j]
 		if x.From != y.From {
 			return x.From < y.From
 		}
-		if x.Binding != y.Binding {
-			return x.Binding < y.Binding
+		if x.Route != y.Route {
+			return x.Route < y.Route
 		}
 		return x.Endpoint < y.Endpoint
 	})
-	sort.Slice(est.Sums, func(i, j int) bool {
-		x, y := est.Sums[i], est.Sums[j]
+	sort.Slice(est.Summaries, func(i, j int) bool {
+		x, y := est.Summaries[i], est.Summaries[j]
 		if x.From != y.From {
 			return x.From < y.From
 		}
-		return x.Binding < y.Binding
+		return x.Route < y.Route
 	})
 	return est, nil
 }
@@ -300,7 +300,7 @@
 	now := 0.0
 	var ps []*proxy.Balancer
 	for _, x := range os {
-		p := proxy.NewBalancer(x.Zone, x.Far, x.Heavy).SetLocalNode(x.Node)
+		p := proxy.NewBalancer(x.Zone, x.RemoteWeight, x.BulkWeight).SetLocalNode(x.Node)
 		p.SetRandomAndClock(rng.Float64, func() int64 { return int64(now * 1e9) })
 		p.ApplyView(&meshpb.View{Version: 1, Endpoints: es})
 		ps = append(ps, p)
@@ -313,7 +313,7 @@
 		}
 		at[e.Id] = &place{slots: max(int(e.Slots), 1), work: 50, speed: s}
 	}
-	span := o.Span.Seconds()
+	span := o.Duration.Seconds()
 	warm := span / 4
 	var q turns
 	for i, l := range ls {
@@ -381,15 +381,15 @@
 
 // Check holds an estimate against the flows measured after the change: the
 // share of requests that went elsewhere than foretold, for each kind of request.
-type Verdict struct {
-	Binding  string  `json:"binding"`
-	Kind     string  `json:"kind"`
-	Foretold float64 `json:"foretold"`
-	Measured float64 `json:"measured"`
-	Off      float64 `json:"off"`
+type Deviation struct {
+	Route      string  `json:"binding"`
+	Kind       string  `json:"kind"`
+	Forecast   float64 `json:"foretold"`
+	Measured   float64 `json:"measured"`
+	Difference float64 `json:"off"`
 }
 
-func Check(e Estimate, os []Origin) []Verdict {
+func Check(e Estimate, os []Origin) []Deviation {
 	type key struct{ binding, endpoint string }
 	now, then, got := map[key]float64{}, map[key]float64{}, map[key]float64{}
 	kind := map[string]string{}
@@ -399,12 +399,12 @@
 	}
 	nowT, thenT, gotT := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	known := map[string]bool{}
-	for _, r := range e.Rows {
-		now[key{r.Binding, r.Endpoint}] += r.Now
-		then[key{r.Binding, r.Endpoint}] += r.Then
-		nowT[r.Binding] += r.Now
-		thenT[r.Binding] += r.Then
-		kind[r.Binding] = r.Kind
+	for _, r := range e.EndpointRates {
+		now[key{r.Route, r.Endpoint}] += r.Before
+		then[key{r.Route, r.Endpoint}] += r.After
+		nowT[r.Route] += r.Before
+		thenT[r.Route] += r.After
+		kind[r.Route] = r.Kind
 		known[r.Endpoint] = true
 	}
 	for _, o := range os {
@@ -417,12 +417,12 @@
 			gotT[f.Route] += f.PerS
 		}
 	}
-	var out []Verdict
+	var out []Deviation
 	for b, k := range kind {
 		if gotT[b] == 0 || thenT[b] == 0 {
 			continue
 		}
-		v := Verdict{Binding: b, Kind: k}
+		v := Deviation{Route: b, Kind: k}
 		ids := map[string]bool{}
 		for x := range then {
 			if x.binding == b {
@@ -437,13 +437,13 @@
 		for id := range ids {
 			x := key{b, id}
 			n, t, g := now[x]/nowT[b], then[x]/thenT[b], got[x]/gotT[b]
-			v.Foretold += max(n-t, 0)
+			v.Forecast += max(n-t, 0)
 			v.Measured += max(n-g, 0)
-			v.Off += math.Abs(t-g) / 2
+			v.Difference += math.Abs(t-g) / 2
 		}
-		v.Foretold, v.Measured, v.Off = round(v.Foretold), round(v.Measured), round(v.Off)
+		v.Forecast, v.Measured, v.Difference = round(v.Forecast), round(v.Measured), round(v.Difference)
 		out = append(out, v)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Binding < out[j].Binding })
+	sort.Slice(out, func(i, j int) bool { return out[i].Route < out[j].Route })
 	return out
 }
--- a/internal/loadestimate/erlang_test.go
+++ b/internal/loadestimate/erlang_test.go
@@ -85,7 +85,7 @@
 	}
 	var out []Origin
 	for o, s := range zones {
-		x := Origin{Node: fmt.Sprint("n", o), Zone: s, Far: 1.3, Heavy: 2.5}
+		x := Origin{Node: fmt.Sprint("n", o), Zone: s, RemoteWeight: 1.3, BulkWeight: 2.5}
 		for b, k := range ks {
 			for id := range slots {
 				q := fmt.Sprint(o, " ", b, " ", id)
@@ -111,13 +111,13 @@
 func TestEstimateOfARetirementMatchesWhatMoved(t *testing.T) {
 	es, sp := four()
 	before := live(es, sp, 1, 60000)
-	e, err := Run(before, es, Change{Retire: "n1"}, Options{Span: 120 * time.Second})
+	e, err := Run(before, es, Change{Retire: "n1"}, Options{Duration: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
 	after := live(append(append([]*meshpb.Endpoint{}, es[:1]...), es[2:]...), sp, 2, 60000)
 	for _, v := range Check(e, after) {
 		t.Logf("%+v", v)
-		qt.Check(t, math.Abs(v.Foretold-v.Measured) < 0.08, qt.IsTrue, qt.Commentf("%+v", v))
-		qt.Check(t, v.Off < 0.1, qt.IsTrue, qt.Commentf("%+v", v))
+		qt.Check(t, math.Abs(v.Forecast-v.Measured) < 0.08, qt.IsTrue, qt.Commentf("%+v", v))
+		qt.Check(t, v.Difference < 0.1, qt.IsTrue, qt.Commentf("%+v", v))
 		qt.Check(t, v.Measured > 0.15, qt.IsTrue)
 	}
 }
@@ -126,14 +126,14 @@
 	es, sp := four()
 	before := live(es, sp, 3, 60000)
 	add := &meshpb.Endpoint{Id: "e4", Service: "s", Zone: "c", Slots: 8, State: "up", Node: "n4", Inbound: "x"}
-	e, err := Run(before, es, Change{Add: add}, Options{Span: 120 * time.Second})
+	e, err := Run(before, es, Change{Add: add}, Options{Duration: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
 	vs := Check(e, live(append(append([]*meshpb.Endpoint{}, es...), add), sp, 4, 60000))
 	qt.Assert(t, len(vs), qt.Equals, 2)
 	for _, v := range vs {
 		t.Logf("%+v", v)
-		qt.Check(t, math.Abs(v.Foretold-v.Measured) < 0.08, qt.IsTrue, qt.Commentf("%+v", v))
-		qt.Check(t, v.Off < 0.1, qt.IsTrue, qt.Commentf("%+v", v))
+		qt.Check(t, math.Abs(v.Forecast-v.Measured) < 0.08, qt.IsTrue, qt.Commentf("%+v", v))
+		qt.Check(t, v.Difference < 0.1, qt.IsTrue, qt.Commentf("%+v", v))
 	}
 }
 
@@ -141,13 +141,13 @@
 	es, sp := four()
 	before := live(es, sp, 5, 30000)
 	idle := &meshpb.Endpoint{Id: "z", Service: "other", Zone: "a", Slots: 1, State: "up", Node: "n9"}
-	e, err := Run(before, append(es, idle), Change{Retire: "z"}, Options{Span: 120 * time.Second})
+	e, err := Run(before, append(es, idle), Change{Retire: "z"}, Options{Duration: 120 * time.Second})
 	qt.Assert(t, err, qt.IsNil)
-	for _, s := range e.Sums {
+	for _, s := range e.Summaries {
 		qt.Check(t, s.Moved < 0.08*s.Rate, qt.IsTrue, qt.Commentf("%+v", s))
 	}
-	_, err = Run(before, es, Change{Retire: "nobody"}, Options{Span: time.Second})
+	_, err = Run(before, es, Change{Retire: "nobody"}, Options{Duration: time.Second})
 	qt.Check(t, err, qt.ErrorMatches, ".*no node or endpoint.*")
-	_, err = Run(nil, es, Change{Retire: "n1"}, Options{Span: time.Second})
+	_, err = Run(nil, es, Change{Retire: "n1"}, Options{Duration: time.Second})
 	qt.Check(t, err, qt.ErrorMatches, ".*no flows.*")
 }
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -28,7 +28,7 @@
 )
 
 // Wires is a network in memory: addresses lead to listeners over pipes.
-type Wires struct {
+type Network struct {
 	mu   sync.Mutex
 	ls   map[string]*listener
 	ends []net.Conn
@@ -50,7 +50,7 @@
 func (l *listener) Close() error   { return nil }
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (w *Wires) Listen(a string) net.Listener {
+func (w *Network) Listen(a string) net.Listener {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := &listener{ch: make(chan net.Conn), end: make(chan struct{})}
@@ -58,7 +58,7 @@
 	return l
 }
 
-func (w *Wires) Line() *http.Transport {
+func (w *Network) Transport() *http.Transport {
 	return &http.Transport{DisableCompression: true, ExpectContinueTimeout: time.Second, DialContext: func(_ context.Context, _, a string) (net.Conn, error) {
 		w.mu.Lock()
 		l := w.ls[strings.TrimSuffix(a, ":80")]
@@ -80,25 +80,25 @@
 }
 
 // Ran is one run at an endpoint.
-type Ran struct {
-	Request, Session, Endpoint, Path string
-	From, To                         time.Time
+type Execution struct {
+	RequestID, Session, Endpoint, Path string
+	Start, End                         time.Time
 }
 
 // Endpoint works on each request for a while, then answers, or breaks off.
 type Endpoint struct {
 	ID, Service, Zone string
 	Slots             int
-	Work              func(r *http.Request) time.Duration
-	Breaks            func(r *http.Request) bool
+	ServiceTime       func(r *http.Request) time.Duration
+	BreaksOff         func(r *http.Request) bool
 	mu                sync.Mutex
-	log               []Ran
+	log               []Execution
 }
 
-func (e *Endpoint) Log() []Ran {
+func (e *Endpoint) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Ran(nil), e.log...)
+	return append([]Execution(nil), e.log...)
 }
 
 func (e *Endpoint) serve(l net.Listener) {
@@ -126,11 +126,11 @@
 			continue
 		}
 		t0 := time.Now()
-		time.Sleep(e.Work(r))
+		time.Sleep(e.ServiceTime(r))
 		e.mu.Lock()
-		e.log = append(e.log, Ran{id, r.Header.Get("X-Session"), e.ID, r.URL.Path, t0, time.Now()})
+		e.log = append(e.log, Execution{id, r.Header.Get("X-Session"), e.ID, r.URL.Path, t0, time.Now()})
 		e.mu.Unlock()
-		if e.Breaks != nil && e.Breaks(r) {
+		if e.BreaksOff != nil && e.BreaksOff(r) {
 			return
 		}
 		var b bytes.Buffer
@@ -143,39 +143,39 @@
 
 // Node is an outbound and, beside an endpoint, an inbound side.
 type Node struct {
-	Name    string
-	Pools   *proxy.Balancer
-	Cords   *affinity.Sessions
-	Tickets *requestlog.Recorder
-	Plan    atomic.Pointer[routeconfig.Table]
-	End     *Endpoint
-	Desk    *endpointagent.Agent
-	Keys    *proxy.KeyMeter
-	zone    string
+	Name     string
+	Pools    *proxy.Balancer
+	Sessions *affinity.Sessions
+	Records  *requestlog.Recorder
+	Routes   atomic.Pointer[routeconfig.Table]
+	Endpoint *Endpoint
+	Agent    *endpointagent.Agent
+	KeyMeter *proxy.KeyMeter
+	zone     string
 }
 
 // Mesh is a whole one. Its pins live in one table, as under one owner.
 type Mesh struct {
-	Wires *Wires
-	Nodes []*Node
+	Network *Network
+	Nodes   []*Node
 	// Silent makes the core answer no question about sessions.
-	Silent atomic.Bool
-	mu     sync.Mutex
-	pins   *coordination.Table
-	t0     time.Time
-	view   *meshpb.View
-	seq    uint64
-	ids    atomic.Int64
-	states map[string]string
-	hots   *clustercontroller.HotKeyTracker
-	hot    []*meshpb.HotKey
-	ho     clustercontroller.HotKeyOptions
+	CoreUnreachable atomic.Bool
+	mu              sync.Mutex
+	pins            *coordination.Table
+	t0              time.Time
+	view            *meshpb.View
+	seq             uint64
+	ids             atomic.Int64
+	states          map[string]string
+	hots            *clustercontroller.HotKeyTracker
+	hot             []*meshpb.HotKey
+	ho              clustercontroller.HotKeyOptions
 }
 
 // Watch lets the mesh set widths for hot keys every quarter of a second, as a
 // master does, from what the nodes say each half second; it ends with the
 // context. Widths gives each view's to seen.
-func (m *Mesh) Watch(ctx context.Context, o clustercontroller.HotKeyOptions, seen func([]*meshpb.HotKey)) {
+func (m *Mesh) TrackHotKeys(ctx context.Context, o clustercontroller.HotKeyOptions, seen func([]*meshpb.HotKey)) {
 	m.mu.Lock()
 	m.ho, m.hots = o, clustercontroller.NewHotKeyTracker(o)
 	m.mu.Unlock()
@@ -185,14 +185,14 @@
 		m.mu.Lock()
 		if i%2 == 0 {
 			for _, n := range m.Nodes {
-				said[n.Name], _ = n.Keys.Rates()
+				said[n.Name], _ = n.KeyMeter.Rates()
 			}
 		}
 		hot, steps := m.hots.Update(maps.Values(said), m.view.Endpoints, time.Since(m.t0), time.Now().UnixMicro())
 		m.hot = hot
 		m.mu.Unlock()
 		if len(steps) > 0 {
-			m.Publish(m.states)
+			m.PublishView(m.states)
 			if seen != nil {
 				seen(hot)
 			}
@@ -201,7 +201,7 @@
 }
 
 // TakeOver stands in for a new master: it knows the last view and nothing else.
-func (m *Mesh) TakeOver() {
+func (m *Mesh) ReplaceMaster() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hots = clustercontroller.NewHotKeyTracker(m.ho)
@@ -209,31 +209,31 @@
 }
 
 // Hot gives the view's hot keys.
-func (m *Mesh) Hot() []*meshpb.HotKey {
+func (m *Mesh) HotKeys() []*meshpb.HotKey {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.HotKeys
 }
 
 const (
-	Ratio  = 0.2
-	Slack  = 400
-	Window = 10 * time.Second
+	RetryRatio  = 0.2
+	RetrySlack  = 400
+	RetryWindow = 10 * time.Second
 )
 
 // New makes a node beside each endpoint.
 func New(es ...*Endpoint) *Mesh {
-	m := &Mesh{Wires: &Wires{ls: map[string]*listener{}}, pins: coordination.NewTable(time.Minute), t0: time.Now(), view: &meshpb.View{Epoch: 1}}
+	m := &Mesh{Network: &Network{ls: map[string]*listener{}}, pins: coordination.NewTable(time.Minute), t0: time.Now(), view: &meshpb.View{Epoch: 1}}
 	for _, e := range es {
-		m.Add(e)
+		m.AddNode(e)
 	}
-	m.Publish(nil)
+	m.PublishView(nil)
 	return m
 }
 
 // Ask answers nodes' questions about sessions.
-func (m *Mesh) Ask(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-	if m.Silent.Load() {
+func (m *Mesh) PinSession(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+	if m.CoreUnreachable.Load() {
 		return nil, errors.New("no core answers")
 	}
 	m.mu.Lock()
@@ -246,27 +246,27 @@
 }
 
 // Add starts a node beside e; it is in force with the next view.
-func (m *Mesh) Add(e *Endpoint) *Node {
-	n := &Node{Name: "node-" + e.ID, End: e, zone: e.Zone}
-	go e.serve(m.Wires.Listen("app-" + e.ID))
-	n.Desk = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
-	n.Desk.RecordHeartbeat(endpointagent.Heartbeat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
-	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Agent: n.Desk, AppClient: proxy.NewAppClient(m.Wires.Line(), m.Wires.Line()), BufferLimit: 64 << 10})
-	go (&http.Server{Handler: in}).Serve(m.Wires.Listen("in-" + e.ID))
+func (m *Mesh) AddNode(e *Endpoint) *Node {
+	n := &Node{Name: "node-" + e.ID, Endpoint: e, zone: e.Zone}
+	go e.serve(m.Network.Listen("app-" + e.ID))
+	n.Agent = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+	n.Agent.RecordHeartbeat(endpointagent.Heartbeat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
+	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Agent: n.Agent, AppClient: proxy.NewAppClient(m.Network.Transport(), m.Network.Transport()), BufferLimit: 64 << 10})
+	go (&http.Server{Handler: in}).Serve(m.Network.Listen("in-" + e.ID))
 	n.Pools = proxy.NewBalancer(e.Zone, 2.2, 5).SlowStart(time.Second)
-	n.Keys = proxy.NewKeyMeter(time.Now)
-	n.Tickets = requestlog.New(1<<16, time.Hour, time.Now)
+	n.KeyMeter = proxy.NewKeyMeter(time.Now)
+	n.Records = requestlog.New(1<<16, time.Hour, time.Now)
 	conf := func() uint64 {
-		if p := n.Plan.Load(); p != nil {
+		if p := n.Routes.Load(); p != nil {
 			return p.Version
 		}
 		return 0
 	}
-	n.Cords = affinity.New(affinity.Options{Pin: m.Ask, Now: time.Now, ConfigVersion: conf, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Minute, IdleTimeout: 10 * time.Minute, MaxSessions: 1 << 16})
-	bud := proxy.NewBudget(Ratio, Slack, Window, n.Pools.NodeCount, func() time.Duration { return time.Since(m.t0) + time.Hour })
-	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Balancer: n.Pools, Routes: &n.Plan, Transport: m.Wires.Line(), RetryBudget: bud, Sessions: n.Cords,
-		RequestLog: n.Tickets, KeyMeter: n.Keys, Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
-	go (&http.Server{Handler: out}).Serve(m.Wires.Listen("out-" + e.ID))
+	n.Sessions = affinity.New(affinity.Options{Pin: m.PinSession, Now: time.Now, ConfigVersion: conf, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Minute, IdleTimeout: 10 * time.Minute, MaxSessions: 1 << 16})
+	bud := proxy.NewBudget(RetryRatio, RetrySlack, RetryWindow, n.Pools.NodeCount, func() time.Duration { return time.Since(m.t0) + time.Hour })
+	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Balancer: n.Pools, Routes: &n.Routes, Transport: m.Network.Transport(), RetryBudget: bud, Sessions: n.Sessions,
+		RequestLog: n.Records, KeyMeter: n.KeyMeter, Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
+	go (&http.Server{Handler: out}).Serve(m.Network.Listen("out-" + e.ID))
 	m.mu.Lock()
 	m.Nodes = append(m.Nodes, n)
 	m.mu.Unlock()
@@ -274,14 +274,14 @@
 }
 
 // Pick gives a node for a draw.
-func (m *Mesh) Pick(draw func(int) int) *Node {
+func (m *Mesh) PickNode(draw func(int) int) *Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.Nodes[draw(len(m.Nodes))]
 }
 
 // Publish brings a view to all nodes; states tells of endpoints that are not up.
-func (m *Mesh) Publish(states map[string]string) {
+func (m *Mesh) PublishView(states map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
@@ -289,57 +289,57 @@
 	v := &meshpb.View{Epoch: 1, Version: m.seq, Nodes: uint32(len(m.Nodes)), HotKeys: m.hot}
 	for _, n := range m.Nodes {
 		s := "up"
-		if x, ok := states[n.End.ID]; ok {
+		if x, ok := states[n.Endpoint.ID]; ok {
 			s = x
 		}
 		if s == "gone" {
 			continue
 		}
-		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: n.End.ID, Service: n.End.Service, Addr: "app-" + n.End.ID, Inbound: "in-" + n.End.ID, Node: n.Name,
-			Zone: n.End.Zone, Slots: uint32(n.End.Slots), State: s, Healthy: true})
+		v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: n.Endpoint.ID, Service: n.Endpoint.Service, Addr: "app-" + n.Endpoint.ID, Inbound: "in-" + n.Endpoint.ID, Node: n.Name,
+			Zone: n.Endpoint.Zone, Slots: uint32(n.Endpoint.Slots), State: s, Healthy: true})
 	}
 	m.view = v
 	for _, n := range m.Nodes {
 		n.Pools.ApplyView(v)
-		n.Tickets.RecordView(v)
+		n.Records.RecordView(v)
 	}
 }
 
 // Retire takes the endpoint out of the view.
-func (m *Mesh) Retire(id string) { m.Publish(map[string]string{id: "gone"}) }
+func (m *Mesh) Retire(id string) { m.PublishView(map[string]string{id: "gone"}) }
 
 // Push brings a configuration to all nodes.
-func (m *Mesh) Push(d routeconfig.Config) {
+func (m *Mesh) ApplyConfig(d routeconfig.Config) {
 	for _, n := range m.Nodes {
-		n.Plan.Store(routeconfig.Compile(d))
-		n.Tickets.RecordConfig(d.Version, d.Marshal)
+		n.Routes.Store(routeconfig.Compile(d))
+		n.Records.RecordConfig(d.Version, d.Marshal)
 	}
 }
 
 // Got is what a user agent received.
-type Got struct {
-	ID     string
-	Code   int
-	Body   string
-	Took   time.Duration
-	Again  string
-	Failed bool
+type Response struct {
+	RequestID  string
+	StatusCode int
+	Body       string
+	Took       time.Duration
+	RetryAfter string
+	Failed     bool
 }
 
 // Call sends one request to a node.
-func (m *Mesh) Call(n *Node, method, path, session string, deadline time.Duration) Got {
-	g := Got{ID: fmt.Sprintf("q%d", m.ids.Add(1))}
-	r, err := http.NewRequest(method, "http://out-"+n.End.ID+path, nil)
+func (m *Mesh) Send(n *Node, method, path, session string, deadline time.Duration) Response {
+	g := Response{RequestID: fmt.Sprintf("q%d", m.ids.Add(1))}
+	r, err := http.NewRequest(method, "http://out-"+n.Endpoint.ID+path, nil)
 	if err != nil {
 		panic(err)
 	}
 	r.Host = "a"
-	r.Header.Set("X-Request-Id", g.ID)
+	r.Header.Set("X-Request-Id", g.RequestID)
 	r.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
 	if session != "" {
 		r.Header.Set("X-Session", session)
 	}
-	l := m.Wires.Line()
+	l := m.Network.Transport()
 	l.DisableKeepAlives = true
 	t0 := time.Now()
 	p, err := l.RoundTrip(r)
@@ -350,29 +350,29 @@
 	}
 	defer p.Body.Close()
 	b, err := io.ReadAll(p.Body)
-	g.Code, g.Body, g.Again, g.Failed = p.StatusCode, string(b), p.Header.Get("Retry-After"), err != nil
+	g.StatusCode, g.Body, g.RetryAfter, g.Failed = p.StatusCode, string(b), p.Header.Get("Retry-After"), err != nil
 	return g
 }
 
 // Runs gathers what all endpoints ran, by request.
-func (m *Mesh) Runs() map[string][]Ran {
-	out := map[string][]Ran{}
+func (m *Mesh) Executions() map[string][]Execution {
+	out := map[string][]Execution{}
 	for _, n := range m.Nodes {
-		for _, r := range n.End.Log() {
-			out[r.Request] = append(out[r.Request], r)
+		for _, r := range n.Endpoint.Executions() {
+			out[r.RequestID] = append(out[r.RequestID], r)
 		}
 	}
 	return out
 }
 
 // Carried is what `replay save` would gather.
-func (m *Mesh) Carried() *meshpb.ReplayFile {
+func (m *Mesh) Recording() *meshpb.ReplayFile {
 	c := &meshpb.ReplayFile{Version: 1, SpanUs: time.Hour.Microseconds()}
 	views, configs := map[uint64]bool{}, map[uint64]bool{}
 	for _, n := range m.Nodes {
-		r := n.Tickets.Report(time.Hour, 0, 1<<30)
-		r.Node, r.Zone, r.Service, r.Role = n.Name, n.zone, n.End.Service, "sidecar"
-		r.Ratio, r.Slack, r.WindowS, r.RemoteWeight, r.BulkWeight = Ratio, Slack, Window.Seconds(), 2.2, 5
+		r := n.Records.Report(time.Hour, 0, 1<<30)
+		r.Node, r.Zone, r.Service, r.Role = n.Name, n.zone, n.Endpoint.Service, "sidecar"
+		r.Ratio, r.Slack, r.WindowS, r.RemoteWeight, r.BulkWeight = RetryRatio, RetrySlack, RetryWindow.Seconds(), 2.2, 5
 		q := &meshpb.SnapshotsRequest{}
 		for _, v := range r.Views {
 			if !views[v.Version] {
@@ -386,7 +386,7 @@
 				q.Configs = append(q.Configs, p.Version)
 			}
 		}
-		p := n.Tickets.Snapshots(q)
+		p := n.Records.Snapshots(q)
 		c.Views, c.Configs = append(c.Views, p.Views...), append(c.Configs, p.Configs...)
 		c.Nodes = append(c.Nodes, r)
 	}
@@ -395,12 +395,12 @@
 
 // Close ends all listeners and streams.
 func (m *Mesh) Close() {
-	m.Wires.mu.Lock()
-	defer m.Wires.mu.Unlock()
-	for _, l := range m.Wires.ls {
+	m.Network.mu.Lock()
+	defer m.Network.mu.Unlock()
+	for _, l := range m.Network.ls {
 		close(l.end)
 	}
-	for _, c := range m.Wires.ends {
+	for _, c := range m.Network.ends {
 		c.Close()
 	}
 }
--- a/internal/meshtest/hot_test.go
+++ b/internal/meshtest/hot_test.go
@@ -61,24 +61,24 @@
 		var dead sync.Map
 		for i := range endpoints {
 			id := fmt.Sprint("e", i)
-			es = append(es, &Endpoint{ID: id, Service: "s", Zone: fmt.Sprint("z", i%3), Slots: 6, Work: func(r *http.Request) time.Duration {
+			es = append(es, &Endpoint{ID: id, Service: "s", Zone: fmt.Sprint("z", i%3), Slots: 6, ServiceTime: func(r *http.Request) time.Duration {
 				if strings.HasPrefix(r.URL.Path, "/check/") {
 					return 4 * time.Millisecond
 				}
 				return 30*time.Millisecond + time.Duration(len(r.Header.Get("X-Request-Id")))*time.Millisecond
-			}, Breaks: func(*http.Request) bool {
+			}, BreaksOff: func(*http.Request) bool {
 				_, is := dead.Load(id)
 				return is
 			}})
 		}
 		m := New(es...)
-		m.Push(crowdRules(t, keyed))
+		m.ApplyConfig(crowdRules(t, keyed))
 		ctx, stop := context.WithCancel(context.Background())
 		o := clustercontroller.HotKeyOptions{SlotShare: 0.4, MaxKeys: 16, MaxWidth: 8, NarrowAfter: 3 * time.Second}
 		if !spread {
 			o.MaxKeys = 0
 		}
-		go m.Watch(ctx, o, func(hs []*meshpb.HotKey) {
+		go m.TrackHotKeys(ctx, o, func(hs []*meshpb.HotKey) {
 			w := 1
 			for _, h := range hs {
 				w = max(w, int(h.Width))
@@ -92,7 +92,7 @@
 		bought := map[string]int{}
 		call := func(kind, path string, aim time.Duration, to *[]time.Duration) {
 			n := m.Nodes[rng.IntN(endpoints)]
-			if n.End.ID == "e11" && kind == "buy" {
+			if n.Endpoint.ID == "e11" && kind == "buy" {
 				n = m.Nodes[0]
 			}
 			wg.Add(1)
@@ -102,15 +102,15 @@
 				if kind == "buy" {
 					method = "POST"
 				}
-				g := m.Call(n, method, path, "", 4*time.Second)
+				g := m.Send(n, method, path, "", 4*time.Second)
 				mu.Lock()
 				defer mu.Unlock()
 				*to = append(*to, g.Took)
 				if kind == "buy" {
-					bought[g.ID] = g.Code
+					bought[g.RequestID] = g.StatusCode
 				}
 				switch {
-				case g.Code != 200 || g.Failed:
+				case g.StatusCode != 200 || g.Failed:
 					c.failed[kind]++
 				case g.Took > aim:
 					c.late[kind]++
@@ -138,38 +138,38 @@
 			if trouble {
 				switch {
 				case s > 4 && s < 4+gap.Seconds():
-					m.TakeOver()
+					m.ReplaceMaster()
 				case crashed == "" && s > 5:
 					// A copy's endpoint breaks off what it runs, then is gone.
 					crashed = "e3"
 					dead.Store(crashed, true)
 				case s > 5.8 && s < 5.8+gap.Seconds():
-					m.Publish(map[string]string{crashed: "gone"})
+					m.PublishView(map[string]string{crashed: "gone"})
 				case s > 7 && s < 7+gap.Seconds():
-					m.Publish(map[string]string{crashed: "gone", "e11": "draining"})
+					m.PublishView(map[string]string{crashed: "gone", "e11": "draining"})
 				}
 			}
 			time.Sleep(gap)
 		}
 		wg.Wait()
 		time.Sleep(20 * time.Second)
-		c.after = m.Hot()
+		c.after = m.HotKeys()
 		stop()
 		time.Sleep(time.Second)
-		runs := m.Runs()
+		runs := m.Executions()
 		per := map[string]map[int]int{}
 		hot := map[string]bool{}
 		total := 0
 		for _, n := range m.Nodes {
-			for _, x := range n.End.Log() {
+			for _, x := range n.Endpoint.Executions() {
 				if strings.HasPrefix(x.Path, "/read/final/") {
-					sec := int(x.From.Sub(t0).Seconds())
-					if per[n.End.ID] == nil {
-						per[n.End.ID] = map[int]int{}
+					sec := int(x.Start.Sub(t0).Seconds())
+					if per[n.Endpoint.ID] == nil {
+						per[n.Endpoint.ID] = map[int]int{}
 					}
-					per[n.End.ID][sec]++
+					per[n.Endpoint.ID][sec]++
 					total++
-					hot[n.End.ID] = true
+					hot[n.Endpoint.ID] = true
 				}
 			}
 		}
--- a/internal/meshtest/session_test.go
+++ b/internal/meshtest/session_test.go
@@ -41,7 +41,7 @@
 		if i >= 5 {
 			svc = "other"
 		}
-		es = append(es, &Endpoint{ID: fmt.Sprint("e", i), Service: svc, Zone: fmt.Sprint("z", i%2), Slots: 12, Work: func(r *http.Request) time.Duration { return 60 * time.Millisecond }})
+		es = append(es, &Endpoint{ID: fmt.Sprint("e", i), Service: svc, Zone: fmt.Sprint("z", i%2), Slots: 12, ServiceTime: func(r *http.Request) time.Duration { return 60 * time.Millisecond }})
 	}
 	return New(es...)
 }
@@ -49,7 +49,7 @@
 type seen struct {
 	session string
 	at      time.Time
-	got     Got
+	got     Response
 }
 
 // rush lets fans buy one seat after the other, each time at another node, while
@@ -68,11 +68,11 @@
 				time.Sleep(time.Duration(20+rng.IntN(200)) * time.Millisecond)
 				for range 4 {
 					t0 := time.Now()
-					g := m.Call(m.Pick(rng.IntN), "POST", "/buy/", name, 3*time.Second)
+					g := m.Send(m.PickNode(rng.IntN), "POST", "/buy/", name, 3*time.Second)
 					mu.Lock()
 					out = append(out, seen{name, t0, g})
 					mu.Unlock()
-					if g.Code != http.StatusServiceUnavailable {
+					if g.StatusCode != http.StatusServiceUnavailable {
 						break
 					}
 					time.Sleep(500 * time.Millisecond)
@@ -87,30 +87,30 @@
 }
 
 // places gives the instances of each session in the order of its runs.
-func places(t *testing.T, m *Mesh, all []seen) map[string][]Ran {
-	by := map[string][]Ran{}
-	runs := m.Runs()
+func places(t *testing.T, m *Mesh, all []seen) map[string][]Execution {
+	by := map[string][]Execution{}
+	runs := m.Executions()
 	for id, rs := range runs {
 		qt.Assert(t, len(rs), qt.Equals, 1, qt.Commentf("request %s ran at %v", id, rs))
 		by[rs[0].Session] = append(by[rs[0].Session], rs[0])
 	}
 	for _, s := range all {
-		n := len(runs[s.got.ID])
-		switch s.got.Code {
+		n := len(runs[s.got.RequestID])
+		switch s.got.StatusCode {
 		case http.StatusOK:
 			qt.Assert(t, n, qt.Equals, 1)
-			qt.Assert(t, s.got.Body, qt.Equals, runs[s.got.ID][0].Endpoint)
+			qt.Assert(t, s.got.Body, qt.Equals, runs[s.got.RequestID][0].Endpoint)
 		case http.StatusServiceUnavailable:
 			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("a promise that was not kept"))
-			qt.Assert(t, s.got.Again, qt.Not(qt.Equals), "")
+			qt.Assert(t, s.got.RetryAfter, qt.Not(qt.Equals), "")
 		default:
-			t.Fatalf("request %s of %s got %d after %v", s.got.ID, s.session, s.got.Code, s.got.Took)
+			t.Fatalf("request %s of %s got %d after %v", s.got.RequestID, s.session, s.got.StatusCode, s.got.Took)
 		}
 	}
 	for _, rs := range by {
-		slices.SortFunc(rs, func(a, b Ran) int { return a.From.Compare(b.From) })
+		slices.SortFunc(rs, func(a, b Execution) int { return a.Start.Compare(b.Start) })
 		for i := 1; i < len(rs); i++ {
-			qt.Assert(t, rs[i].From.Before(rs[i-1].To), qt.IsFalse, qt.Commentf("one session ran at two instances at once"))
+			qt.Assert(t, rs[i].Start.Before(rs[i-1].End), qt.IsFalse, qt.Commentf("one session ran at two instances at once"))
 		}
 	}
 	return by
@@ -121,7 +121,7 @@
 	open, moves = map[string]string{}, map[string]string{}
 	used := map[string]int64{}
 	for _, n := range m.Nodes {
-		ss, ms, _ := n.Cords.Report(since)
+		ss, ms, _ := n.Sessions.Report(since)
 		for _, x := range ms {
 			moves[x.Key] = x.From + " " + x.To + " " + x.Why
 		}
@@ -139,14 +139,14 @@
 func TestChangeAmidThePeakMovesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := house()
-		m.Push(doc(t, 1, "buy", 4, both))
+		m.ApplyConfig(doc(t, 1, "buy", 4, both))
 		all := rush(m, 60, 12, func() {
-			m.Push(doc(t, 2, "buy", 4, swung))
+			m.ApplyConfig(doc(t, 2, "buy", 4, swung))
 			time.Sleep(300 * time.Millisecond)
-			n := m.Add(&Endpoint{ID: "e9", Service: "desk", Zone: "z0", Slots: 12, Work: func(*http.Request) time.Duration { return 60 * time.Millisecond }})
-			n.Plan.Store(m.Nodes[0].Plan.Load())
-			m.Publish(nil)
-			m.Push(doc(t, 3, "purchase", 2.5, swung))
+			n := m.AddNode(&Endpoint{ID: "e9", Service: "desk", Zone: "z0", Slots: 12, ServiceTime: func(*http.Request) time.Duration { return 60 * time.Millisecond }})
+			n.Routes.Store(m.Nodes[0].Routes.Load())
+			m.PublishView(nil)
+			m.ApplyConfig(doc(t, 3, "purchase", 2.5, swung))
 		})
 		by := places(t, m, all)
 		qt.Assert(t, len(by), qt.Equals, 60)
@@ -170,17 +170,17 @@
 func TestOnlyTheSessionsOfADrainedInstanceMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := house()
-		m.Push(doc(t, 1, "buy", 4, alone))
+		m.ApplyConfig(doc(t, 1, "buy", 4, alone))
 		var at time.Time
 		all := rush(m, 60, 14, func() {
-			m.Push(doc(t, 2, "buy", 3, alone))
+			m.ApplyConfig(doc(t, 2, "buy", 3, alone))
 			at = time.Now()
 			n := m.Nodes[1]
-			n.Desk.Deregister("e1")
+			n.Agent.Deregister("e1")
 			time.Sleep(120 * time.Millisecond)
-			m.Publish(map[string]string{"e1": "draining"})
+			m.PublishView(map[string]string{"e1": "draining"})
 			time.Sleep(2 * time.Second)
-			m.Publish(map[string]string{"e1": "gone"})
+			m.PublishView(map[string]string{"e1": "gone"})
 		})
 		by := places(t, m, all)
 		open, moves := report(m, 2)
@@ -201,7 +201,7 @@
 				if i > 0 && r.Endpoint != rs[i-1].Endpoint {
 					hops++
 				}
-				qt.Assert(t, r.Endpoint == "e1" && r.From.After(at.Add(10*time.Millisecond)), qt.IsFalse)
+				qt.Assert(t, r.Endpoint == "e1" && r.Start.After(at.Add(10*time.Millisecond)), qt.IsFalse)
 			}
 			qt.Assert(t, hops, qt.Equals, 1)
 			qt.Assert(t, moves[k], qt.Equals, "e1 "+last+" "+affinity.ReasonDrain)
@@ -217,8 +217,8 @@
 func TestBusyInstanceIsWaitedForNotLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := house()
-		m.Push(doc(t, 1, "buy", 4, alone))
-		first := m.Call(m.Nodes[0], "POST", "/buy/", "one", 3*time.Second)
+		m.ApplyConfig(doc(t, 1, "buy", 4, alone))
+		first := m.Send(m.Nodes[0], "POST", "/buy/", "one", 3*time.Second)
 		var wg sync.WaitGroup
 		codes := map[int]int{}
 		var mu sync.Mutex
@@ -226,10 +226,10 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				g := m.Call(m.Nodes[i%8], "POST", "/buy/", "one", 3*time.Second)
+				g := m.Send(m.Nodes[i%8], "POST", "/buy/", "one", 3*time.Second)
 				mu.Lock()
-				codes[g.Code]++
-				if g.Code == 200 {
+				codes[g.StatusCode]++
+				if g.StatusCode == 200 {
 					qt.Check(t, g.Body, qt.Equals, first.Body)
 				}
 				mu.Unlock()
@@ -239,8 +239,8 @@
 		qt.Assert(t, codes[200] > 24, qt.IsTrue, qt.Commentf("%v", codes))
 		qt.Assert(t, codes[200]+codes[503], qt.Equals, 60)
 		for _, n := range m.Nodes {
-			if n.End.ID != first.Body {
-				qt.Assert(t, len(n.End.Log()), qt.Equals, 0)
+			if n.Endpoint.ID != first.Body {
+				qt.Assert(t, len(n.Endpoint.Executions()), qt.Equals, 0)
 			}
 		}
 		m.Close()
@@ -254,9 +254,9 @@
 		s := string(fmt.Appendf(nil, rules, 1, "buy", 4.0, alone))
 		d, err := routeconfig.Parse([]byte(strings.Replace(s, `,"sessionKey":"header X-Session"`, "", 1)))
 		qt.Assert(t, err, qt.IsNil)
-		m.Push(d)
+		m.ApplyConfig(d)
 		for i := range 20 {
-			qt.Assert(t, m.Call(m.Nodes[i%8], "POST", "/buy/", "one", 3*time.Second).Code, qt.Equals, 200)
+			qt.Assert(t, m.Send(m.Nodes[i%8], "POST", "/buy/", "one", 3*time.Second).StatusCode, qt.Equals, 200)
 		}
 		open, _ := report(m, 0)
 		qt.Assert(t, len(open), qt.Equals, 0)
--- a/internal/replay/file.go
+++ b/internal/replay/file.go
@@ -70,15 +70,15 @@
 	return w.put(p)
 }
 
-func (w *Writer) Node(n *meshpb.RequestRecordsResponse) error {
+func (w *Writer) WriteNode(n *meshpb.RequestRecordsResponse) error {
 	w.nodes++
 	w.tickets += uint64(len(n.Records))
 	return w.part(partNode, n)
 }
 
-func (w *Writer) View(v *meshpb.View) error { return w.part(partView, v) }
+func (w *Writer) WriteView(v *meshpb.View) error { return w.part(partView, v) }
 
-func (w *Writer) Config(d *meshpb.ConfigSnapshot) error { return w.part(partConfig, d) }
+func (w *Writer) WriteConfig(d *meshpb.ConfigSnapshot) error { return w.part(partConfig, d) }
 
 // Close writes the tail; a file without one is cut short.
 func (w *Writer) Close(t *meshpb.ReplayTrailer) error {
@@ -97,13 +97,13 @@
 		return err
 	}
 	for _, n := range c.Nodes {
-		err = errors.Join(err, x.Node(n))
+		err = errors.Join(err, x.WriteNode(n))
 	}
 	for _, v := range c.Views {
-		err = errors.Join(err, x.View(v))
+		err = errors.Join(err, x.WriteView(v))
 	}
 	for _, d := range c.Configs {
-		err = errors.Join(err, x.Config(d))
+		err = errors.Join(err, x.WriteConfig(d))
 	}
 	return errors.Join(err, x.Close(&meshpb.ReplayTrailer{CreatedUs: c.CreatedUs, SpanUs: c.SpanUs, Unreachable: c.Unreachable}))
 }
@@ -201,7 +201,7 @@
 
 func Parse(b []byte) (*meshpb.ReplayFile, error) { return ReadFrom(bytes.NewReader(b)) }
 
-func Read(path string) (*meshpb.ReplayFile, error) {
+func ReadFile(path string) (*meshpb.ReplayFile, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/replay/flag.go
+++ b/internal/replay/flag.go
@@ -14,9 +14,9 @@
 
 // What would happen to a request that must happen once, or must answer quickly.
 const (
-	SentTwice = "sent twice"
-	Dropped   = "dropped"
-	Waiting   = "left waiting"
+	FlagSentTwice   = "sent twice"
+	FlagDropped     = "dropped"
+	FlagLeftWaiting = "left waiting"
 )
 
 // Flag tells of one purchase, refund, payment, upload or check that the new
@@ -28,8 +28,8 @@
 	Route  string `json:"route"`
 	Kind   string `json:"kind"`
 	Parent string `json:"parent,omitempty"`
-	What   string `json:"what"`
-	Why    string `json:"why"`
+	Harm   string `json:"what"`
+	Reason string `json:"why"`
 	Basis  string `json:"basis"`
 	at     int64
 }
@@ -59,46 +59,46 @@
 	return out
 }
 
-func (w watch) has(t *meshpb.RequestRecord, f *Fare, once bool) bool {
-	return once || w.called[t.Route] || slices.Contains(w.named, t.Route) || slices.Contains(w.named, f.Binding)
+func (w watch) has(t *meshpb.RequestRecord, f *Result, once bool) bool {
+	return once || w.called[t.Route] || slices.Contains(w.named, t.Route) || slices.Contains(w.named, f.Route)
 }
 
 // harm gives what the new rules do to a watched request, and why.
-func harm(t *meshpb.RequestRecord, verdicts []string, f *Fare, once bool, aim time.Duration) (what, why string) {
+func harm(t *meshpb.RequestRecord, verdicts []string, f *Result, once bool, aim time.Duration) (what, why string) {
 	has := func(v string) bool { return slices.Contains(verdicts, v) }
 	switch {
-	case has(Doubled):
+	case has(VerdictDuplicated):
 		var at []string
-		for _, r := range f.Runs {
+		for _, r := range f.Attempts {
 			if r.may() {
-				at = append(at, r.Endpoint+" "+r.Fate)
+				at = append(at, r.Endpoint+" "+r.Outcome)
 			}
 		}
-		return SentTwice, fmt.Sprintf("kind %s lets it go on after it may have run: %s", f.Kind, strings.Join(at, ", "))
-	case has(Vanished):
-		return Dropped, fmt.Sprintf("ends with %d after %d ms, and whether it ran is not known%s", f.Code, f.TookMs, cutShort(t, f))
-	case has(Bounced) && !proxy.PromisesNotRun(f.Code):
-		return Dropped, fmt.Sprintf("answered %d by the system: %s", f.Code, ownAnswer(f))
-	case has(Bounced):
-		return Dropped, fmt.Sprintf("refused with %d; it has not run, and its sender is told so", f.Code)
-	case has(Stalled):
-		return Waiting, fmt.Sprintf("takes %d ms, its aim is %d ms%s", f.TookMs, aim.Milliseconds(), cutShort(t, f))
-	case has(Misplaced) && !once && f.answered && f.Code < 500:
-		return Waiting, fmt.Sprintf("takes %d ms, its aim is %d ms", f.TookMs, aim.Milliseconds())
-	case has(Misplaced) && !once:
-		return Dropped, fmt.Sprintf("ends with %d after %d ms", f.Code, f.TookMs)
+		return FlagSentTwice, fmt.Sprintf("kind %s lets it go on after it may have run: %s", f.Kind, strings.Join(at, ", "))
+	case has(VerdictLost):
+		return FlagDropped, fmt.Sprintf("ends with %d after %d ms, and whether it ran is not known%s", f.Code, f.TookMs, cutShort(t, f))
+	case has(VerdictRejected) && !proxy.PromisesNotRun(f.Code):
+		return FlagDropped, fmt.Sprintf("answered %d by the system: %s", f.Code, ownAnswer(f))
+	case has(VerdictRejected):
+		return FlagDropped, fmt.Sprintf("refused with %d; it has not run, and its sender is told so", f.Code)
+	case has(VerdictLate):
+		return FlagLeftWaiting, fmt.Sprintf("takes %d ms, its aim is %d ms%s", f.TookMs, aim.Milliseconds(), cutShort(t, f))
+	case has(VerdictMissedTarget) && !once && f.answered && f.Code < 500:
+		return FlagLeftWaiting, fmt.Sprintf("takes %d ms, its aim is %d ms", f.TookMs, aim.Milliseconds())
+	case has(VerdictMissedTarget) && !once:
+		return FlagDropped, fmt.Sprintf("ends with %d after %d ms", f.Code, f.TookMs)
 	}
 	return "", ""
 }
 
-func cutShort(t *meshpb.RequestRecord, f *Fare) string {
+func cutShort(t *meshpb.RequestRecord, f *Result) string {
 	if f.due > 0 && (t.DueUs == 0 || f.due < time.Duration(t.DueUs)*time.Microsecond) {
 		return fmt.Sprintf(" (the route's timeout is %d ms now)", f.due.Milliseconds())
 	}
 	return ""
 }
 
-func ownAnswer(f *Fare) string {
+func ownAnswer(f *Result) string {
 	switch {
 	case f.Code == proxy.NoRoute.Code():
 		return "no route"
@@ -112,9 +112,9 @@
 
 // once tells that a request must not run twice under the rules it was carried
 // under.
-func once(t *meshpb.RequestRecord, old, then *Fare) bool {
+func once(t *meshpb.RequestRecord, old, then *Result) bool {
 	k, known := routeconfig.ParseRouteKind(cmp.Or(t.Kind, old.Kind))
-	return known && !k.Idempotent() || !known && then.Binding != "" && !then.kind.Idempotent()
+	return known && !k.Idempotent() || !known && then.Route != "" && !then.kind.Idempotent()
 }
 
 func flagsText(fs []Flag, most int) string {
@@ -123,16 +123,16 @@
 	}
 	n := map[string]int{}
 	for _, f := range fs {
-		n[f.What]++
+		n[f.Harm]++
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "\nflagged: %d %s, %d %s, %d %s\n", n[SentTwice], SentTwice, n[Dropped], Dropped, n[Waiting], Waiting)
+	fmt.Fprintf(&b, "\nflagged: %d %s, %d %s, %d %s\n", n[FlagSentTwice], FlagSentTwice, n[FlagDropped], FlagDropped, n[FlagLeftWaiting], FlagLeftWaiting)
 	for i, f := range fs {
 		if i == most {
 			fmt.Fprintf(&b, "and %d more; --most shows them\n", len(fs)-i)
 			break
 		}
-		fmt.Fprintf(&b, "%-12s %-18s %-26s %-16s %-10s %-8s %-13s %s\n", f.At, f.ID, f.Node, f.Route, f.Kind, f.Basis, f.What, f.Why)
+		fmt.Fprintf(&b, "%-12s %-18s %-26s %-16s %-10s %-8s %-13s %s\n", f.At, f.ID, f.Node, f.Route, f.Kind, f.Basis, f.Harm, f.Reason)
 	}
 	return b.String()
 }
--- a/internal/replay/forecast.go
+++ b/internal/replay/forecast.go
@@ -20,31 +20,31 @@
 
 // Forecast is what a rehearsal foretells of a proposal, kept until it is live.
 type Forecast struct {
-	Format   int       `json:"corkcoveForecast"`
-	Made     time.Time `json:"made"`
-	Version  uint64    `json:"configuration"`
-	Sum      string    `json:"configurationSum"`
-	Retries  *Retries  `json:"retries,omitempty"`
-	ByNode   bool      `json:"byNode"`
-	Control  float64   `json:"controlOff"`
-	Coverage float64   `json:"coverage"`
-	Flags    int       `json:"flags"`
-	Flows    []Foretold
+	Format          int            `json:"corkcoveForecast"`
+	CreatedAt       time.Time      `json:"made"`
+	ConfigVersion   uint64         `json:"configuration"`
+	ConfigSum       string         `json:"configurationSum"`
+	Retries         *RetrySettings `json:"retries,omitempty"`
+	ByNode          bool           `json:"byNode"`
+	ControlMismatch float64        `json:"controlOff"`
+	Coverage        float64        `json:"coverage"`
+	FlagCount       int            `json:"flags"`
+	Flows           []FlowForecast
 }
 
-type Foretold struct {
+type FlowForecast struct {
 	Flow
 	Shares *Shares `json:"shares"`
 }
 
 // Foretell keeps what a report says of the flows under the proposal.
-func (r *Report) Foretell(rules Rules, byNode bool, now time.Time) Forecast {
-	f := Forecast{Format: forecastVersion, Made: now.UTC(), Retries: rules.Retries, ByNode: byNode, Control: r.Control, Coverage: r.Coverage, Flags: len(r.Flags)}
-	if rules.Plan != nil {
-		f.Version, f.Sum = rules.Plan.Version, rules.Plan.ContentDigest()
+func (r *Report) Forecast(rules Scenario, byNode bool, now time.Time) Forecast {
+	f := Forecast{Format: forecastVersion, CreatedAt: now.UTC(), Retries: rules.Retries, ByNode: byNode, ControlMismatch: r.ControlMismatch, Coverage: r.Coverage, FlagCount: len(r.Flags)}
+	if rules.Config != nil {
+		f.ConfigVersion, f.ConfigSum = rules.Config.Version, rules.Config.ContentDigest()
 	}
 	for _, s := range r.Shifts {
-		f.Flows = append(f.Flows, Foretold{s.Flow, s.New})
+		f.Flows = append(f.Flows, FlowForecast{s.Flow, s.New})
 	}
 	return f
 }
@@ -82,48 +82,48 @@
 }
 
 // Outside is one share that is not where it was foretold to be.
-type Outside struct {
+type Deviation struct {
 	Flow
-	What     string  `json:"what"`
-	Value    string  `json:"value"`
-	Foretold float64 `json:"foretold"`
-	Actual   float64 `json:"actual"`
-	From     float64 `json:"from"`
-	To       float64 `json:"to"`
+	Dimension string  `json:"what"`
+	Value     string  `json:"value"`
+	Forecast  float64 `json:"foretold"`
+	Actual    float64 `json:"actual"`
+	Low       float64 `json:"from"`
+	High      float64 `json:"to"`
 }
 
 // Compared is a forecast beside what happened.
-type Compared struct {
-	Flows    []ComparedFlow `json:"flows"`
-	Checked  int            `json:"sharesChecked"`
-	Outside  []Outside      `json:"outside"`
-	Unseen   []Flow         `json:"notSeen"`
-	New      []Flow         `json:"notForetold"`
-	Few      []Flow         `json:"tooFew"`
-	Requests int            `json:"requests"`
-	Before   int            `json:"underOtherConfigurations"`
-	Z        float64        `json:"z"`
-	Lost     float64        `json:"coverage"`
+type Comparison struct {
+	Flows         []FlowComparison `json:"flows"`
+	SharesChecked int              `json:"sharesChecked"`
+	Deviations    []Deviation      `json:"outside"`
+	MissingFlows  []Flow           `json:"notSeen"`
+	NewFlows      []Flow           `json:"notForetold"`
+	SparseFlows   []Flow           `json:"tooFew"`
+	Requests      int              `json:"requests"`
+	OtherRequests int              `json:"underOtherConfigurations"`
+	Z             float64          `json:"z"`
+	Coverage      float64          `json:"coverage"`
 }
 
-type ComparedFlow struct {
+type FlowComparison struct {
 	Flow
-	Foretold *Shares `json:"foretold"`
-	Actual   *Shares `json:"actual"`
-	Outside  int     `json:"outside"`
+	Forecast   *Shares `json:"foretold"`
+	Actual     *Shares `json:"actual"`
+	Deviations int     `json:"outside"`
 }
 
 // CompareBars bound a comparison: Miss is the chance that any flow of a right
 // forecast is called outside, Slack what the model may be off beyond chance,
 // Least how many requests a flow must have on both sides, Settle how long after
 // a node took the configuration its requests begin to count.
-type CompareBars struct {
-	Miss     float64
-	Slack    float64
-	Least    int
-	Settle   time.Duration
-	Any      bool
-	Coverage float64
+type CompareOptions struct {
+	FalseAlarmRate float64
+	Tolerance      float64
+	MinRequests    int
+	WarmUp         time.Duration
+	AnyConfig      bool
+	MinCoverage    float64
 }
 
 // happened gathers how the flows of a record were carried under one
@@ -162,7 +162,7 @@
 }
 
 // Matches tells whether the record was taken under the forecast's proposal.
-func (f Forecast) Matches(c *meshpb.ReplayFile) error {
+func (f Forecast) CheckRecording(c *meshpb.ReplayFile) error {
 	if f.Retries != nil {
 		for _, n := range c.Nodes {
 			if n.Ratio != f.Retries.Ratio || n.Slack != f.Retries.Slack || n.WindowS != f.Retries.Window.Seconds() {
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	if f.Sum == "" {
+	if f.ConfigSum == "" {
 		return nil
 	}
 	var had []string
@@ -184,15 +184,15 @@
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		if d.Version == f.Version {
-			if x.ContentDigest() == f.Sum {
+		if d.Version == f.ConfigVersion {
+			if x.ContentDigest() == f.ConfigSum {
 				return nil
 			}
-			return Error.New("the forecast is of another proposal than the %s that is in force: their contents differ", routeconfig.FormatVersion(f.Version))
+			return Error.New("the forecast is of another proposal than the %s that is in force: their contents differ", routeconfig.FormatVersion(f.ConfigVersion))
 		}
 		had = append(had, routeconfig.FormatVersion(d.Version))
 	}
-	return Error.New("the forecast is of %s, which was not in force while the record was taken (%s)", routeconfig.FormatVersion(f.Version), strings.Join(had, ", "))
+	return Error.New("the forecast is of %s, which was not in force while the record was taken (%s)", routeconfig.FormatVersion(f.ConfigVersion), strings.Join(had, ", "))
 }
 
 // newest gives the newest configuration of a record.
@@ -206,21 +206,21 @@
 
 // Compare holds a forecast against a record that was taken once the change was
 // live.
-func (f Forecast) Compare(c *meshpb.ReplayFile, b CompareBars) (*Compared, error) {
-	if err := f.Matches(c); err != nil && !b.Any {
+func (f Forecast) Compare(c *meshpb.ReplayFile, b CompareOptions) (*Comparison, error) {
+	if err := f.CheckRecording(c); err != nil && !b.AnyConfig {
 		return nil, err
 	}
-	version := f.Version
-	if version == 0 || b.Any {
+	version := f.ConfigVersion
+	if version == 0 || b.AnyConfig {
 		version = newest(c)
 	}
-	live, other := happened(c, version, f.ByNode, b.Settle)
-	out := &Compared{Flows: []ComparedFlow{}, Outside: []Outside{}, Unseen: []Flow{}, New: []Flow{}, Few: []Flow{}, Before: other}
+	live, other := happened(c, version, f.ByNode, b.WarmUp)
+	out := &Comparison{Flows: []FlowComparison{}, Deviations: []Deviation{}, MissingFlows: []Flow{}, NewFlows: []Flow{}, SparseFlows: []Flow{}, OtherRequests: other}
 	r := &Report{}
 	r.coverage(c)
-	out.Lost = r.Coverage
-	if r.Coverage < b.Coverage {
-		return nil, Error.New("the record has only %.1f%% of what the nodes carried, %.1f%% is needed", 100*r.Coverage, 100*b.Coverage)
+	out.Coverage = r.Coverage
+	if r.Coverage < b.MinCoverage {
+		return nil, Error.New("the record has only %.1f%% of what the nodes carried, %.1f%% is needed", 100*r.Coverage, 100*b.MinCoverage)
 	}
 	type share struct {
 		what string
@@ -236,7 +236,7 @@
 	}
 	known := map[Flow]bool{}
 	type pair struct {
-		Foretold
+		FlowForecast
 		got *Shares
 	}
 	var ps []pair
@@ -245,33 +245,33 @@
 		got := live[x.Flow]
 		switch {
 		case got == nil:
-			out.Unseen = append(out.Unseen, x.Flow)
-		case min(got.Requests, x.Shares.Requests) < b.Least:
-			out.Few = append(out.Few, x.Flow)
+			out.MissingFlows = append(out.MissingFlows, x.Flow)
+		case min(got.Requests, x.Shares.Requests) < b.MinRequests:
+			out.SparseFlows = append(out.SparseFlows, x.Flow)
 		default:
 			ps = append(ps, pair{x, got})
 			for _, s := range all {
-				out.Checked += len(union(s.of(x.Shares), s.of(got)))
+				out.SharesChecked += len(union(s.of(x.Shares), s.of(got)))
 			}
 		}
 	}
 	for k := range live {
 		if !known[k] {
-			out.New = append(out.New, k)
+			out.NewFlows = append(out.NewFlows, k)
 		}
 	}
-	slices.SortFunc(out.New, Flow.compare)
-	out.Z = math.Sqrt2 * math.Erfinv(1-b.Miss/float64(max(out.Checked, 1)))
+	slices.SortFunc(out.NewFlows, Flow.compare)
+	out.Z = math.Sqrt2 * math.Erfinv(1-b.FalseAlarmRate/float64(max(out.SharesChecked, 1)))
 	for _, p := range ps {
-		cf := ComparedFlow{Flow: p.Flow, Foretold: p.Shares, Actual: p.got}
+		cf := FlowComparison{Flow: p.Flow, Forecast: p.Shares, Actual: p.got}
 		for _, s := range all {
 			m, g := s.of(p.Shares), s.of(p.got)
 			for _, v := range union(m, g) {
-				from, to := within(m[v], p.Shares.Requests, p.got.Requests, p.Shares.Clump, p.got.Clump, out.Z, b.Slack)
+				from, to := within(m[v], p.Shares.Requests, p.got.Requests, p.Shares.Overdispersion, p.got.Overdispersion, out.Z, b.Tolerance)
 				x := float64(g[v]) / float64(p.got.Requests)
 				if x < from || x > to {
-					out.Outside = append(out.Outside, Outside{p.Flow, s.what, v, float64(m[v]) / float64(p.Shares.Requests), x, from, to})
-					cf.Outside++
+					out.Deviations = append(out.Deviations, Deviation{p.Flow, s.what, v, float64(m[v]) / float64(p.Shares.Requests), x, from, to})
+					cf.Deviations++
 				}
 			}
 		}
@@ -301,34 +301,34 @@
 	return max(at-d, 0), min(at+d, 1)
 }
 
-func (c *Compared) Text(most int) string {
+func (c *Comparison) Text(most int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests under the change, %d under others or too early; coverage %.1f%%\n", c.Requests, c.Before, 100*c.Lost)
-	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.Checked, c.Z)
+	fmt.Fprintf(&b, "%d requests under the change, %d under others or too early; coverage %.1f%%\n", c.Requests, c.OtherRequests, 100*c.Coverage)
+	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.SharesChecked, c.Z)
 	fmt.Fprintf(&b, "%-20s %-10s %-26s %9s %9s %8s  %s\n", "route", "kind", "from", "foretold", "carried", "outside", "service, foretold -> carried")
 	for i, f := range c.Flows {
 		if i == most {
 			fmt.Fprintf(&b, "and %d more flows\n", len(c.Flows)-i)
 			break
 		}
-		fmt.Fprintf(&b, "%-20s %-10s %-26s %9d %9d %8d  %s -> %s\n", f.Route, f.Kind, f.Origin, f.Foretold.Requests, f.Actual.Requests, f.Outside,
-			sharesText(f.Foretold.Service, f.Foretold.Requests), sharesText(f.Actual.Service, f.Actual.Requests))
+		fmt.Fprintf(&b, "%-20s %-10s %-26s %9d %9d %8d  %s -> %s\n", f.Route, f.Kind, f.Origin, f.Forecast.Requests, f.Actual.Requests, f.Deviations,
+			sharesText(f.Forecast.Service, f.Forecast.Requests), sharesText(f.Actual.Service, f.Actual.Requests))
 	}
-	for i, o := range c.Outside {
+	for i, o := range c.Deviations {
 		if i == 0 {
 			b.WriteString("\n")
 		}
 		if i == most {
-			fmt.Fprintf(&b, "and %d more outside\n", len(c.Outside)-i)
+			fmt.Fprintf(&b, "and %d more outside\n", len(c.Deviations)-i)
 			break
 		}
-		fmt.Fprintf(&b, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n", o.Flow, o.What, o.Value, 100*o.Foretold, 100*o.Actual,
-			100*o.From, 100*o.To)
+		fmt.Fprintf(&b, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n", o.Flow, o.Dimension, o.Value, 100*o.Forecast, 100*o.Actual,
+			100*o.Low, 100*o.High)
 	}
 	for _, x := range []struct {
 		word string
 		fs   []Flow
-	}{{"not seen since", c.Unseen}, {"not foretold", c.New}, {"too few requests to tell", c.Few}} {
+	}{{"not seen since", c.MissingFlows}, {"not foretold", c.NewFlows}, {"too few requests to tell", c.SparseFlows}} {
 		for i, f := range x.fs {
 			if i == most {
 				fmt.Fprintf(&b, "%s: and %d more flows\n", x.word, len(x.fs)-i)
--- a/internal/replay/forecast_test.go
+++ b/internal/replay/forecast_test.go
@@ -18,15 +18,15 @@
 func live(t *testing.T, n int, then func(m interface{ Retire(string) }), change ...string) (before, after *meshpb.ReplayFile) {
 	synctest.Test(t, func(t *testing.T) {
 		m := busy(nil)
-		m.Push(doc(t, 1))
+		m.ApplyConfig(doc(t, 1))
 		carry(m, n, 9)
-		before = m.Carried()
-		m.Push(doc(t, 2, change...))
+		before = m.Recording()
+		m.ApplyConfig(doc(t, 2, change...))
 		if then != nil {
 			then(m)
 		}
 		carry(m, n, 11)
-		after = m.Carried()
+		after = m.Recording()
 		m.Close()
 		time.Sleep(time.Minute)
 	})
@@ -39,18 +39,18 @@
 func foretell(t *testing.T, c *meshpb.ReplayFile, change ...string) (Forecast, *Report) {
 	t.Helper()
 	d := doc(t, 2, change...)
-	ru := Rules{Plan: &d, Seed: 1}
-	r, err := Play(c, ru, bars)
+	ru := Scenario{Config: &d, Seed: 1}
+	r, err := Simulate(c, ru, bars)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r.Fit, qt.IsTrue)
+	qt.Assert(t, r.Usable, qt.IsTrue)
 	f := filepath.Join(t.TempDir(), "f.json")
-	qt.Assert(t, r.Foretell(ru, false, time.Now()).Save(f), qt.IsNil)
+	qt.Assert(t, r.Forecast(ru, false, time.Now()).Save(f), qt.IsNil)
 	x, err := ReadForecast(f)
 	qt.Assert(t, err, qt.IsNil)
 	return x, r
 }
 
-var cbars = CompareBars{Miss: 0.01, Slack: 0.03, Least: 30, Coverage: 0.9}
+var cbars = CompareOptions{FalseAlarmRate: 0.01, Tolerance: 0.03, MinRequests: 30, MinCoverage: 0.9}
 
 func TestShiftsForetoldAreThoseThatHappen(t *testing.T) {
 	before, after := live(t, 900, nil, moveHalf...)
@@ -69,7 +69,7 @@
 	qt.Assert(t, r.Flags, qt.HasLen, 0)
 	x, err := f.Compare(after, cbars)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, x.Outside, qt.HasLen, 0, qt.Commentf("%s", x.Text(40)))
+	qt.Assert(t, x.Deviations, qt.HasLen, 0, qt.Commentf("%s", x.Text(40)))
 	qt.Assert(t, len(x.Flows), qt.Equals, 4)
 	t.Logf("%s", x.Text(10))
 }
@@ -83,11 +83,11 @@
 	_, err := f.Compare(after, cbars)
 	qt.Assert(t, err, qt.ErrorMatches, ".*another proposal than the r2 that is in force.*")
 	any := cbars
-	any.Any = true
+	any.AnyConfig = true
 	x, err := f.Compare(after, any)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(x.Outside) > 0, qt.IsTrue)
-	for _, o := range x.Outside {
+	qt.Assert(t, len(x.Deviations) > 0, qt.IsTrue)
+	for _, o := range x.Deviations {
 		qt.Check(t, o.Route, qt.Equals, "map")
 	}
 
@@ -96,8 +96,8 @@
 	x, err = f.Compare(after, cbars)
 	qt.Assert(t, err, qt.IsNil)
 	hit := map[string]bool{}
-	for _, o := range x.Outside {
-		hit[o.What] = true
+	for _, o := range x.Deviations {
+		hit[o.Dimension] = true
 		qt.Check(t, o.Route == "up", qt.IsFalse, qt.Commentf("%+v: e0 ran none of these", o))
 	}
 	qt.Assert(t, hit["node"], qt.IsTrue)
@@ -110,8 +110,8 @@
 	}
 	flagged := func(r *Report, what, route string) (ids []string) {
 		for _, f := range r.Flags {
-			if f.What == what && f.Route == route {
-				qt.Check(t, f.Why != "", qt.IsTrue)
+			if f.Harm == what && f.Route == route {
+				qt.Check(t, f.Reason != "", qt.IsTrue)
 				ids = append(ids, f.ID)
 			}
 		}
@@ -126,26 +126,26 @@
 	}
 	r := play(t, c, doc(t, 2, `"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/pay/","bindingKind":"pure"`,
 		`"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":1`, `"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":3`))
-	qt.Assert(t, sorted(flagged(r, SentTwice, "pay")), qt.DeepEquals, sorted(all("pay", unsure)))
+	qt.Assert(t, sorted(flagged(r, FlagSentTwice, "pay")), qt.DeepEquals, sorted(all("pay", unsure)))
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":2`, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":0.01`))
-	qt.Assert(t, sorted(flagged(r, Dropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.RequestRecord) bool { return true })))
-	qt.Assert(t, len(flagged(r, Dropped, "buy")), qt.Equals, 0)
+	qt.Assert(t, sorted(flagged(r, FlagDropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.RequestRecord) bool { return true })))
+	qt.Assert(t, len(flagged(r, FlagDropped, "buy")), qt.Equals, 0)
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/buy/"`, `"pathPrefix":"/purchase/"`))
-	gone := sorted(flagged(r, Dropped, "buy"))
+	gone := sorted(flagged(r, FlagDropped, "buy"))
 	qt.Assert(t, gone, qt.DeepEquals, sorted(all("buy", func(x *meshpb.RequestRecord) bool { return x.Code == 200 })))
-	qt.Assert(t, strings.Contains(r.Flags[0].Why, "404"), qt.IsTrue)
+	qt.Assert(t, strings.Contains(r.Flags[0].Reason, "404"), qt.IsTrue)
 
 	d := doc(t, 2, `"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2`, `"pathPrefix":"/map/","bindingKind":"pure","timeoutS":0.01`)
 	for watch, want := range map[string]bool{"": false, "map": true} {
 		b := bars
 		if watch != "" {
-			b.Watch = []string{watch}
+			b.WatchedRoutes = []string{watch}
 		}
-		r, err := Play(c, Rules{Plan: &d, Seed: 1}, b)
+		r, err := Simulate(c, Scenario{Config: &d, Seed: 1}, b)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, len(flagged(r, Dropped, "map")) > 0, qt.Equals, want)
+		qt.Assert(t, len(flagged(r, FlagDropped, "map")) > 0, qt.Equals, want)
 	}
 }
 
@@ -153,17 +153,17 @@
 	c := record(t, nil, 60)
 	d := doc(t, 2)
 	c.Unreachable = append(c.Unreachable, "node-gone")
-	r, err := Play(c, Rules{Plan: &d, Seed: 1}, bars)
+	r, err := Simulate(c, Scenario{Config: &d, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.Coverage, qt.Equals, 6.0/7)
-	qt.Assert(t, r.Fit, qt.IsFalse)
+	qt.Assert(t, r.Usable, qt.IsFalse)
 	c.Unreachable = nil
 	n := c.Nodes[0]
 	n.LostUs = c.SpanUs
-	r, err = Play(c, Rules{Plan: &d, Seed: 1}, bars)
+	r, err = Simulate(c, Scenario{Config: &d, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r.Fit, qt.IsFalse)
-	qt.Assert(t, r.Lost[0].Node, qt.Equals, n.Node)
+	qt.Assert(t, r.Usable, qt.IsFalse)
+	qt.Assert(t, r.LostSpans[0].Node, qt.Equals, n.Node)
 	qt.Assert(t, strings.Contains(r.Text(Filter{}, 5), "UNFIT"), qt.IsTrue)
 }
 
@@ -201,7 +201,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	// Its home is busier then, and others' requests go elsewhere by load: that is
 	// not foretold (docs/replay.md), and compare must say so.
-	for _, o := range x.Outside {
-		qt.Check(t, o.Route != "map" && o.What == "node", qt.IsTrue, qt.Commentf("%+v", o))
+	for _, o := range x.Deviations {
+		qt.Check(t, o.Route != "map" && o.Dimension == "node", qt.IsTrue, qt.Commentf("%+v", o))
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -28,7 +28,7 @@
 {"variant":"serviceList","metadata":{"name":"desk"},"specification":{"soundnessPath":"/h"}},
 {"variant":"serviceList","metadata":{"name":"seats"},"specification":{"soundnessPath":"/h"}}]}`
 
-var bars = Bars{Off: 0.02, Coverage: 0.9}
+var bars = Options{MaxMismatch: 0.02, MinCoverage: 0.9}
 
 func doc(t *testing.T, version int, edits ...string) routeconfig.Config {
 	t.Helper()
@@ -52,7 +52,7 @@
 		if i >= 3 {
 			svc = "seats"
 		}
-		es = append(es, &meshtest.Endpoint{ID: fmt.Sprint("e", i), Service: svc, Zone: "z", Slots: 4, Breaks: broken, Work: func(r *http.Request) time.Duration {
+		es = append(es, &meshtest.Endpoint{ID: fmt.Sprint("e", i), Service: svc, Zone: "z", Slots: 4, BreaksOff: broken, ServiceTime: func(r *http.Request) time.Duration {
 			return 20*time.Millisecond + time.Duration(len(r.Header.Get("X-Request-Id"))*7)*time.Millisecond
 		}})
 	}
@@ -61,9 +61,9 @@
 
 // carry sends n requests of all kinds and gives what user agents got, in the
 // order that they were sent.
-func carry(m *meshtest.Mesh, n int, seed uint64) []meshtest.Got {
+func carry(m *meshtest.Mesh, n int, seed uint64) []meshtest.Response {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	out := make([]meshtest.Got, n)
+	out := make([]meshtest.Response, n)
 	var wg sync.WaitGroup
 	paths := []string{"/buy/", "/pay/", "/map/x", "/up/y", "/map/pay/z"}
 	for i := range n {
@@ -80,7 +80,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out[i] = m.Call(at, method, p, sess, 3*time.Second)
+			out[i] = m.Send(at, method, p, sess, 3*time.Second)
 		}()
 	}
 	wg.Wait()
@@ -97,9 +97,9 @@
 func record(t *testing.T, broken func(*http.Request) bool, n int) (c *meshpb.ReplayFile) {
 	synctest.Test(t, func(t *testing.T) {
 		m := busy(broken)
-		m.Push(doc(t, 1))
+		m.ApplyConfig(doc(t, 1))
 		carry(m, n, 3)
-		c = m.Carried()
+		c = m.Recording()
 		m.Close()
 		time.Sleep(time.Minute)
 	})
@@ -112,16 +112,16 @@
 
 func play(t *testing.T, c *meshpb.ReplayFile, d routeconfig.Config) *Report {
 	t.Helper()
-	r, err := Play(c, Rules{Plan: &d, Seed: 1}, bars)
+	r, err := Simulate(c, Scenario{Config: &d, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r.Fit, qt.IsTrue, qt.Commentf("control is off by %v", r.Control))
+	qt.Assert(t, r.Usable, qt.IsTrue, qt.Commentf("control is off by %v", r.ControlMismatch))
 	return r
 }
 
 // with gives the requests that have a verdict, and those that the record says
 // should.
 func with(r *Report, v string) (out []string) {
-	for _, l := range r.Lines {
+	for _, l := range r.ChangedRequests {
 		if slices.Contains(l.Verdicts, v) {
 			out = append(out, l.ID)
 		}
@@ -153,29 +153,29 @@
 
 	pure := []string{`"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/pay/","bindingKind":"pure"`}
 	r := play(t, c, doc(t, 2, pure...))
-	qt.Assert(t, len(with(r, Doubled)), qt.Equals, 0, qt.Commentf("one attempt can't double"))
+	qt.Assert(t, len(with(r, VerdictDuplicated)), qt.Equals, 0, qt.Commentf("one attempt can't double"))
 	raised := append(pure, `"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":1`,
 		`"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":3`)
 	r = play(t, c, doc(t, 2, raised...))
-	qt.Assert(t, with(r, Doubled), qt.DeepEquals, hit)
-	qt.Assert(t, r.Grave() >= len(hit), qt.IsTrue)
-	for _, l := range r.Lines {
-		if slices.Contains(l.Verdicts, Doubled) {
+	qt.Assert(t, with(r, VerdictDuplicated), qt.DeepEquals, hit)
+	qt.Assert(t, r.SevereCount() >= len(hit), qt.IsTrue)
+	for _, l := range r.ChangedRequests {
+		if slices.Contains(l.Verdicts, VerdictDuplicated) {
 			qt.Assert(t, l.Old.Kind, qt.Equals, "effectful")
 			qt.Assert(t, l.Basis, qt.Equals, "model")
 		}
 	}
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":2`, `"pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":0.01`))
-	qt.Assert(t, with(r, Vanished), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "buy" }))
-	qt.Assert(t, with(r, Stalled), qt.DeepEquals, with(r, Vanished))
+	qt.Assert(t, with(r, VerdictLost), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "buy" }))
+	qt.Assert(t, with(r, VerdictLate), qt.DeepEquals, with(r, VerdictLost))
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/map/pay/","bindingKind":"effectful"`))
 	swallowed := tickets(c, func(x *meshpb.RequestRecord) bool { return strings.HasPrefix(x.Target, "/map/pay/") })
-	qt.Assert(t, with(r, Elsewhere), qt.DeepEquals, swallowed)
+	qt.Assert(t, with(r, VerdictRerouted), qt.DeepEquals, swallowed)
 	var dropped []string
-	for _, l := range r.Lines {
-		if slices.Contains(l.Verdicts, Bounced) {
+	for _, l := range r.ChangedRequests {
+		if slices.Contains(l.Verdicts, VerdictRejected) {
 			qt.Assert(t, l.New.Code, qt.Equals, 404)
 			dropped = append(dropped, l.ID)
 		}
@@ -185,7 +185,7 @@
 
 	r = play(t, c, doc(t, 2, `"bindingKind":"upload","timeoutS":2,"targetS":0.4,"rank":2,"serviceName":"seats"`,
 		`"bindingKind":"upload","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":0},{"serviceName":"desk","share":1}]`))
-	qt.Assert(t, with(r, Elsewhere), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "up" }))
+	qt.Assert(t, with(r, VerdictRerouted), qt.DeepEquals, tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "up" }))
 }
 
 func TestHarmlessChangeShowsNothing(t *testing.T) {
@@ -193,10 +193,10 @@
 	r := play(t, c, doc(t, 2, `"timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":2`, `"timeoutS":1.9,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":2`,
 		`{"variant":"serviceList","metadata":{"name":"desk"}`, `{"variant":"bindingList","metadata":{"name":"new"},"specification":{"hostname":"b","pathPrefix":"/","bindingKind":"pure","serviceName":"desk"}},
 {"variant":"serviceList","metadata":{"name":"desk"}`, `"metadata":{"name":"buy"}`, `"metadata":{"name":"purchase"}`))
-	qt.Assert(t, r.Lines, qt.HasLen, 0, qt.Commentf("%s", r.Text(Filter{}, 10)))
-	qt.Assert(t, r.Grave(), qt.Equals, 0)
-	qt.Assert(t, r.Control, qt.Equals, 0.0)
-	qt.Assert(t, len(r.Moves), qt.Equals, 0)
+	qt.Assert(t, r.ChangedRequests, qt.HasLen, 0, qt.Commentf("%s", r.Text(Filter{}, 10)))
+	qt.Assert(t, r.SevereCount(), qt.Equals, 0)
+	qt.Assert(t, r.ControlMismatch, qt.Equals, 0.0)
+	qt.Assert(t, len(r.SessionMoves), qt.Equals, 0)
 	qt.Assert(t, r.Sessions > 0, qt.IsTrue)
 }
 
@@ -210,9 +210,9 @@
 func TestFewerRetriesAreForetold(t *testing.T) {
 	c := record(t, everyTenth("/map/"), 300)
 	hit := tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == "map" && unsure(x) && x.Code == 200 })
-	r, err := Play(c, Rules{Retries: &Retries{Window: time.Second}, Seed: 1}, bars)
+	r, err := Simulate(c, Scenario{Retries: &RetrySettings{Window: time.Second}, Seed: 1}, bars)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, with(r, Misplaced), qt.DeepEquals, hit)
+	qt.Assert(t, with(r, VerdictMissedTarget), qt.DeepEquals, hit)
 }
 
 // What the replay foretells of a change is compared with what the same traffic
@@ -222,16 +222,16 @@
 		`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":50},{"serviceName":"desk","share":50}]`,
 		`"pathPrefix":"/up/","bindingKind":"upload","timeoutS":2`, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":0.03`}
 	var c *meshpb.ReplayFile
-	var gots []meshtest.Got
+	var gots []meshtest.Response
 	var lates, asks, else_ int
 	synctest.Test(t, func(t *testing.T) {
 		m := busy(nil)
-		m.Push(doc(t, 1))
+		m.ApplyConfig(doc(t, 1))
 		carry(m, 400, 9)
-		c = m.Carried()
-		m.Push(doc(t, 2, change...))
+		c = m.Recording()
+		m.ApplyConfig(doc(t, 2, change...))
 		gots = carry(m, 400, 9)
-		for _, n := range m.Carried().Nodes {
+		for _, n := range m.Recording().Nodes {
 			for _, x := range n.Records {
 				if x.Config != 2 {
 					continue
@@ -249,7 +249,7 @@
 				}
 			}
 		}
-		for id, rs := range m.Runs() {
+		for id, rs := range m.Executions() {
 			qt.Check(t, len(rs), qt.Equals, 1, qt.Commentf("%s", id))
 		}
 		m.Close()
@@ -258,12 +258,12 @@
 	r := play(t, c, doc(t, 2, change...))
 	qt.Assert(t, asks > 40, qt.IsTrue)
 	qt.Assert(t, lates, qt.Equals, asks)
-	qt.Assert(t, r.Counts[Vanished], qt.Equals, lates)
-	n := r.Counts[Elsewhere]
+	qt.Assert(t, r.Verdicts[VerdictLost], qt.Equals, lates)
+	n := r.Verdicts[VerdictRerouted]
 	d := float64(n - else_)
 	qt.Assert(t, d*d <= 9*float64(n), qt.IsTrue, qt.Commentf("foretold %d sent elsewhere, %d were", n, else_))
 	qt.Assert(t, len(gots), qt.Equals, 400)
-	t.Logf("uploads past their time: foretold %d, happened %d; lookups sent elsewhere: foretold %d, happened %d", r.Counts[Vanished], lates, n, else_)
+	t.Logf("uploads past their time: foretold %d, happened %d; lookups sent elsewhere: foretold %d, happened %d", r.Verdicts[VerdictLost], lates, n, else_)
 }
 
 func TestCallsAreJoinedToTheRequestThatMadeThem(t *testing.T) {
@@ -312,6 +312,6 @@
 		_, err := Parse(whole[:i])
 		qt.Assert(t, err, qt.IsNotNil)
 	}
-	_, err := Read(t.TempDir() + "/none")
+	_, err := ReadFile(t.TempDir() + "/none")
 	qt.Assert(t, os.IsNotExist(err) || err != nil, qt.IsTrue)
 }
--- a/internal/replay/shift.go
+++ b/internal/replay/shift.go
@@ -49,12 +49,12 @@
 	Attempts map[string]int `json:"attempts"`
 	// Clump tells how much more the shares vary from moment to moment than if
 	// requests were drawn one by one.
-	Clump  float64 `json:"clump"`
-	blocks map[int64]map[string]int
+	Overdispersion float64 `json:"clump"`
+	blocks         map[int64]map[string]int
 }
 
 func newShares() *Shares {
-	return &Shares{Service: map[string]int{}, Node: map[string]int{}, Path: map[string]int{}, Attempts: map[string]int{}, blocks: map[int64]map[string]int{}, Clump: 1}
+	return &Shares{Service: map[string]int{}, Node: map[string]int{}, Path: map[string]int{}, Attempts: map[string]int{}, blocks: map[int64]map[string]int{}, Overdispersion: 1}
 }
 
 func (s *Shares) add(w way, block int64) {
@@ -109,7 +109,7 @@
 		}
 	}
 	if df >= 4 {
-		s.Clump = min(max(chi/df, 1), mostClump)
+		s.Overdispersion = min(max(chi/df, 1), mostClump)
 	}
 }
 
@@ -157,9 +157,9 @@
 // reached tells that a dispatch came to an endpoint.
 func reached(f proxy.Outcome) bool { return f != proxy.Rejected && f != proxy.Unreachable }
 
-func (a atlas) played(f *Fare, zone string) way {
+func (a atlas) played(f *Result, zone string) way {
 	service, end, n := "", "", 0
-	for _, r := range f.Runs {
+	for _, r := range f.Attempts {
 		if reached(r.fate) {
 			n++
 			if end == "" || r.fate == proxy.Answered {
@@ -201,11 +201,11 @@
 	return n.Zone
 }
 
-func (s *flows) add(n *meshpb.RequestRecordsResponse, t *meshpb.RequestRecord, old, then *Fare) {
+func (s *flows) add(n *meshpb.RequestRecordsResponse, t *meshpb.RequestRecord, old, then *Result) {
 	if then.quit || old.quit || t.AtUs < s.from {
 		return
 	}
-	k := Flow{cmp.Or(then.Binding, old.Binding, "(none)"), cmp.Or(then.Kind, old.Kind), s.origin(n)}
+	k := Flow{cmp.Or(then.Route, old.Route, "(none)"), cmp.Or(then.Kind, old.Kind), s.origin(n)}
 	x := s.m[k]
 	if x == nil {
 		x = &Shift{Flow: k, Old: newShares(), New: newShares()}
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -28,7 +28,7 @@
 	if *update {
 		writeStored(t)
 	}
-	carried, err := Read(storedFile)
+	carried, err := ReadFile(storedFile)
 	qt.Assert(t, err, qt.IsNil)
 	want, err := os.ReadFile(storedText)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -22,54 +22,54 @@
 )
 
 // Rules are what a playing goes by: nil parts are taken from the record.
-type Rules struct {
-	Plan    *routeconfig.Config
-	Retries *Retries
+type Scenario struct {
+	Config  *routeconfig.Config
+	Retries *RetrySettings
 	Seed    uint64
 	// Hot bounds the widths that a proposal's keys are given in the playing.
-	Hot clustercontroller.HotKeyOptions
+	HotKeys clustercontroller.HotKeyOptions
 }
 
 // Retries are the settings of the retry budget.
-type Retries struct {
+type RetrySettings struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
 // Run is one arrival of a request at an endpoint, or a try at one.
-type Run struct {
-	Endpoint string `json:"endpoint"`
-	Service  string `json:"service"`
-	Fate     string `json:"fate"`
-	AtMs     int64  `json:"atMs"`
-	TookMs   int64  `json:"tookMs"`
-	Model    bool   `json:"fromModel,omitempty"`
-	fate     proxy.Outcome
-	code     int
+type Attempt struct {
+	Endpoint  string `json:"endpoint"`
+	Service   string `json:"service"`
+	Outcome   string `json:"fate"`
+	AtMs      int64  `json:"atMs"`
+	TookMs    int64  `json:"tookMs"`
+	FromModel bool   `json:"fromModel,omitempty"`
+	fate      proxy.Outcome
+	code      int
 }
 
 // may tells that the request has run there, or may have.
-func (r Run) may() bool {
+func (r Attempt) may() bool {
 	return r.fate == proxy.Answered || r.fate == proxy.Failed || r.fate == proxy.TimedOut || r.fate == proxy.ClientGone
 }
 
 // Fare is what became of one request in one playing.
-type Fare struct {
-	Binding  string `json:"binding"`
-	Kind     string `json:"kind"`
-	Service  string `json:"service"`
-	Code     int    `json:"code"`
-	TookMs   int64  `json:"tookMs"`
-	Runs     []Run  `json:"dispatches"`
-	Model    bool   `json:"fromModel"`
-	Seat     string `json:"-"`
-	SeatWhy  string `json:"-"`
-	kind     routeconfig.RouteKind
-	aim      time.Duration
-	due      time.Duration
-	took     time.Duration
-	quit     bool
-	answered bool
+type Result struct {
+	Route           string    `json:"binding"`
+	Kind            string    `json:"kind"`
+	Service         string    `json:"service"`
+	Code            int       `json:"code"`
+	TookMs          int64     `json:"tookMs"`
+	Attempts        []Attempt `json:"dispatches"`
+	FromModel       bool      `json:"fromModel"`
+	SessionEndpoint string    `json:"-"`
+	SeatWhy         string    `json:"-"`
+	kind            routeconfig.RouteKind
+	aim             time.Duration
+	due             time.Duration
+	took            time.Duration
+	quit            bool
+	answered        bool
 }
 
 type node struct {
@@ -125,7 +125,7 @@
 // world plays in virtual time; one seed gives one course of events.
 type world struct {
 	c      *meshpb.ReplayFile
-	rules  Rules
+	rules  Scenario
 	now    int64
 	seq    int
 	ag     agenda
@@ -134,7 +134,7 @@
 	usual  map[string]time.Duration
 	work   map[string]time.Duration
 	pins   *coordination.Table
-	fares  map[*meshpb.RequestRecord]*Fare
+	fares  map[*meshpb.RequestRecord]*Result
 	rng    *rand.Rand
 	speeds map[string]float64
 	docs   map[uint64]*routeconfig.Table
@@ -151,9 +151,9 @@
 
 // newWorld learns from the record how fast endpoints answer and when they
 // failed.
-func newWorld(c *meshpb.ReplayFile, r Rules) (*world, error) {
+func newWorld(c *meshpb.ReplayFile, r Scenario) (*world, error) {
 	w := &world{c: c, rules: r, places: map[string]*place{}, usual: map[string]time.Duration{}, work: map[string]time.Duration{}, pins: coordination.NewTable(time.Minute),
-		fares: map[*meshpb.RequestRecord]*Fare{}, rng: rand.New(rand.NewPCG(r.Seed, 7)), speeds: map[string]float64{}}
+		fares: map[*meshpb.RequestRecord]*Result{}, rng: rand.New(rand.NewPCG(r.Seed, 7)), speeds: map[string]float64{}}
 	type sum struct {
 		n int
 		d time.Duration
@@ -218,8 +218,8 @@
 		docs[d.Version] = routeconfig.Compile(x)
 	}
 	var plan *routeconfig.Table
-	if r.Plan != nil {
-		plan = routeconfig.Compile(*r.Plan)
+	if r.Config != nil {
+		plan = routeconfig.Compile(*r.Config)
 	}
 	w.now = first
 	clock := func() time.Time { return time.UnixMicro(w.now) }
@@ -232,7 +232,7 @@
 		}
 		rng := rand.New(rand.NewPCG(r.Seed, hash(t.Node)))
 		n.pools.SetRandomAndClock(rng.Float64, func() int64 { return w.now * 1000 })
-		ry := Retries{t.Ratio, t.Slack, time.Duration(t.WindowS * float64(time.Second))}
+		ry := RetrySettings{t.Ratio, t.Slack, time.Duration(t.WindowS * float64(time.Second))}
 		if r.Retries != nil {
 			ry = *r.Retries
 		}
@@ -313,7 +313,7 @@
 // heat plays the master's part for hot keys: nodes tell their reads once a
 // second, and widths follow.
 func (w *world) heat(last int64) {
-	w.hots = clustercontroller.NewHotKeyTracker(w.rules.Hot)
+	w.hots = clustercontroller.NewHotKeyTracker(w.rules.HotKeys)
 	start := w.now
 	said := map[string][]*meshpb.KeyRate{}
 	var judge func()
@@ -353,7 +353,7 @@
 			last = max(last, t.AtUs)
 		}
 	}
-	if p := w.rules.Plan; p != nil && p.HasHotKeys() {
+	if p := w.rules.Config; p != nil && p.HasHotKeys() {
 		w.heat(last)
 	}
 	for _, n := range w.nodes {
@@ -373,7 +373,7 @@
 	w      *world
 	n      *node
 	t      *meshpb.RequestRecord
-	f      *Fare
+	f      *Result
 	plan   *routeconfig.Table
 	route  *routeconfig.CompiledRoute
 	course proxy.AttemptPlan
@@ -388,7 +388,7 @@
 }
 
 func (w *world) begin(n *node, t *meshpb.RequestRecord) {
-	f := &Fare{}
+	f := &Result{}
 	w.fares[t] = f
 	x := &ride{w: w, n: n, t: t, f: f, plan: n.plan, at: w.now, left: slices.Clone(t.Attempts), rng: rand.New(rand.NewPCG(w.rules.Seed, hash(t.Id)))}
 	if x.plan == nil {
@@ -406,7 +406,7 @@
 		return
 	}
 	r := x.route
-	f.Binding, f.Kind, f.kind, f.aim = r.Name, r.Kind.String(), r.Kind, r.LatencyTarget
+	f.Route, f.Kind, f.kind, f.aim = r.Name, r.Kind.String(), r.Kind, r.LatencyTarget
 	ix, ok := r.PickService(t.Draw)
 	if !ok {
 		x.end(proxy.NoEndpoint.Code())
@@ -436,7 +436,7 @@
 	if t.Session != "" && !x.seat() {
 		return
 	}
-	if f.Binding == t.Route && f.Kind == t.Kind && len(t.Attempts) == 0 && t.Code != 0 && t.Code != 404 && f.Service == t.Service {
+	if f.Route == t.Route && f.Kind == t.Kind && len(t.Attempts) == 0 && t.Code != 0 && t.Code != 404 && f.Service == t.Service {
 		x.end(int(t.Code))
 		return
 	}
@@ -480,7 +480,7 @@
 func (x *ride) header(h string) string {
 	v, ok := x.t.Headers[h]
 	if !ok {
-		x.f.Model = true
+		x.f.FromModel = true
 	}
 	return v
 }
@@ -501,7 +501,7 @@
 		x.end(proxy.NoEndpoint.Code())
 		return false
 	}
-	x.f.Service, x.only, x.f.Seat = p.Service, p.Endpoint, p.Endpoint
+	x.f.Service, x.only, x.f.SessionEndpoint = p.Service, p.Endpoint, p.Endpoint
 	return true
 }
 
@@ -547,21 +547,21 @@
 	default:
 		x.second = false
 		done := false
-		x.dispatch(s, func(r Run) {
+		x.dispatch(s, func(r Attempt) {
 			done = true
 			x.landed(s, r, false)
 		})
 		if !x.course.MayHedge() {
 			return
 		}
-		late := x.w.now + min(proxy.HedgeDelay(x.w.usual[x.f.Binding]), time.Duration(x.due-x.w.now)*time.Microsecond/2).Microseconds()
+		late := x.w.now + min(proxy.HedgeDelay(x.w.usual[x.f.Route]), time.Duration(x.due-x.w.now)*time.Microsecond/2).Microseconds()
 		x.w.at(late, func() {
 			if done || x.over {
 				return
 			}
 			if o, ok := x.course.NextHedge(); ok {
 				x.second = true
-				x.dispatch(o, func(r Run) { x.landed(o, r, true) })
+				x.dispatch(o, func(r Attempt) { x.landed(o, r, true) })
 			}
 		})
 	}
@@ -569,8 +569,8 @@
 
 // landed takes the end of a dispatch; of two that race the first good one
 // counts.
-func (x *ride) landed(s proxy.Endpoint, r Run, raced bool) {
-	x.f.Runs = append(x.f.Runs, r)
+func (x *ride) landed(s proxy.Endpoint, r Attempt, raced bool) {
+	x.f.Attempts = append(x.f.Attempts, r)
 	if x.over {
 		return
 	}
@@ -600,13 +600,13 @@
 
 // dispatch follows the record where the request went to that endpoint, and the
 // model where it did not.
-func (x *ride) dispatch(s proxy.Endpoint, done func(Run)) {
+func (x *ride) dispatch(s proxy.Endpoint, done func(Attempt)) {
 	w, id := x.w, s.ID()
 	p := w.place(id)
 	at := w.now
 	s.BeginRequest()
-	finish := func(r Run) {
-		s.EndRequest(p.run+len(p.wait), time.Duration(float64(w.usual[x.f.Binding])*p.speed), w.now*1000)
+	finish := func(r Attempt) {
+		s.EndRequest(p.run+len(p.wait), time.Duration(float64(w.usual[x.f.Route])*p.speed), w.now*1000)
 		done(r)
 	}
 	for i, d := range x.left {
@@ -615,10 +615,10 @@
 		}
 		x.left = slices.Delete(x.left, i, i+1)
 		f, _ := proxy.ParseOutcome(d.Outcome)
-		r := Run{Endpoint: id, Service: x.f.Service, Fate: d.Outcome, fate: f, code: int(d.Code), AtMs: (at - x.at) / 1000, TookMs: d.TookUs / 1000}
+		r := Attempt{Endpoint: id, Service: x.f.Service, Outcome: d.Outcome, fate: f, code: int(d.Code), AtMs: (at - x.at) / 1000, TookMs: d.TookUs / 1000}
 		end := at + d.TookUs
 		if end > x.due && f != proxy.ClientGone {
-			end, r.fate, r.Fate, r.TookMs = x.due, proxy.TimedOut, "late", (x.due-at)/1000
+			end, r.fate, r.Outcome, r.TookMs = x.due, proxy.TimedOut, "late", (x.due-at)/1000
 		}
 		p.run++
 		w.at(end, func() {
@@ -627,9 +627,9 @@
 		})
 		return
 	}
-	x.f.Model = true
+	x.f.FromModel = true
 	left := time.Duration(x.due-at) * time.Microsecond
-	usual := w.usual[x.f.Binding]
+	usual := w.usual[x.f.Route]
 	if usual == 0 {
 		usual = 50 * time.Millisecond
 	}
@@ -643,7 +643,7 @@
 		}
 		w.at(end, func() {
 			w.free(p)
-			finish(Run{Endpoint: id, Service: x.f.Service, Fate: fate.String(), fate: fate, code: code, Model: true, AtMs: (at - x.at) / 1000, TookMs: (end - at) / 1000})
+			finish(Attempt{Endpoint: id, Service: x.f.Service, Outcome: fate.String(), fate: fate, code: code, FromModel: true, AtMs: (at - x.at) / 1000, TookMs: (end - at) / 1000})
 		})
 	}
 	if p.run < p.slots {
@@ -660,7 +660,7 @@
 			fate = proxy.Declined
 		}
 		w.at(at+1000, func() {
-			finish(Run{Endpoint: id, Service: x.f.Service, Fate: fate.String(), fate: fate, Model: true, AtMs: (at - x.at) / 1000, TookMs: 1})
+			finish(Attempt{Endpoint: id, Service: x.f.Service, Outcome: fate.String(), fate: fate, FromModel: true, AtMs: (at - x.at) / 1000, TookMs: 1})
 		})
 		return
 	}
