--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -97,7 +97,7 @@
 		Logf: p.note("subscriber"), OnChange: func(l endpointagent.Status) {
 			ag.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
-					Slots: uint32(l.Slots), State: l.State, WarmupMs: uint64(l.Warmup / time.Millisecond), SoftwareVersion: l.SoftwareVersion, Healthy: l.Healthy, FailurePercent: uint32(l.FailurePercent)}
+					Slots: uint32(l.Slots), State: string(l.State), WarmupMs: uint64(l.Warmup / time.Millisecond), SoftwareVersion: l.SoftwareVersion, Healthy: l.Healthy, FailurePercent: uint32(l.FailurePercent)}
 			})
 		}})
 
--- a/internal/controlapi/beats.go
+++ b/internal/controlapi/beats.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"corkcove/internal/endpointagent"
+	"corkcove/internal/lifecycle"
 )
 
 // Beats is the interface for the endpoint beside a node.
@@ -31,14 +32,14 @@
 }
 
 func (b *EndpointServer) beat(c call, q beatReq) verdict {
-	if q.State != "ready" && q.State != "draining" {
+	if s := lifecycle.State(q.State); s != lifecycle.Ready && s != lifecycle.Draining {
 		return verdict{out: malformed, why: "state is neither ready nor draining"}
 	}
 	if q.SlotCount < 1 {
 		return verdict{out: malformed, why: "slotCount must be 1 at least"}
 	}
 	b.sub.RecordHeartbeat(endpointagent.Heartbeat{ID: c.id, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, SoftwareVersion: q.Version,
-		Slots: q.SlotCount, State: q.State, Warmup: time.Duration(q.ColdLeftS * float64(time.Second)), Seq: q.CallSeq})
+		Slots: q.SlotCount, State: lifecycle.State(q.State), Warmup: time.Duration(q.ColdLeftS * float64(time.Second)), Seq: q.CallSeq})
 	return verdict{body: none{}}
 }
 
