--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -21,6 +21,7 @@
 	"corkcove/internal/controlapi"
 	"corkcove/internal/coordination"
 	"corkcove/internal/discovery"
+	"corkcove/internal/hotkeys"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -298,8 +299,8 @@
 	}
 }
 
-func hotOptions(h settings.HotKeys) clustercontroller.HotKeyOptions {
-	return clustercontroller.HotKeyOptions{SlotShare: h.SlotShare, MaxKeys: h.MaxKeys, MaxWidth: h.MaxEndpoints, NarrowAfter: settings.Seconds(h.DecaySeconds)}
+func hotOptions(h settings.HotKeys) hotkeys.Options {
+	return hotkeys.Options{SlotShare: h.SlotShare, MaxKeys: h.MaxKeys, MaxWidth: h.MaxEndpoints, NarrowAfter: settings.Seconds(h.DecaySeconds)}
 }
 
 func runCore(p *process) error {
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -9,6 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"corkcove/internal/hotkeys"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -33,7 +34,7 @@
 	CrashWindow       time.Duration
 	CrashLimit        int
 	PollFailureLimit  int
-	HotKeys           HotKeyOptions
+	HotKeys           hotkeys.Options
 	SelfAddr          string
 	Now               func() time.Duration
 	// Held tells whether shard 0 is held right now; a master that is not sure
@@ -72,7 +73,7 @@
 	ills   verdicts
 	judged time.Duration
 	heated time.Duration
-	hots   *HotKeyTracker
+	hots   *hotkeys.Tracker
 	hot    []*meshpb.HotKey
 	view   *meshpb.View
 	inner  []*meshpb.Endpoint
@@ -136,7 +137,7 @@
 )
 
 func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
-	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeyTracker(o.HotKeys),
+	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: hotkeys.NewTracker(o.HotKeys),
 		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
 
@@ -576,7 +577,7 @@
 	if m.dirty {
 		return
 	}
-	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && sameWidths(m.hot, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.hs) {
+	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && hotkeys.SameWidths(m.hot, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.hs) {
 		return
 	}
 	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.SelfAddr, HotKeys: m.hot}
@@ -610,11 +611,11 @@
 		return
 	}
 	m.heated = now
-	hot, steps := m.hots.Update(m.reads, m.inner, now, time.Now().UnixMicro())
-	for _, s := range steps {
-		m.note("%s", s)
+	hot, changes := m.hots.Update(m.reads, m.inner, now, time.Now().UnixMicro())
+	for _, c := range changes {
+		m.note("hot key width changed key=%016x service=%s from=%d to=%d reason=%q", c.Key, c.Service, c.From, c.To, c.Reason)
 	}
-	if !sameWidths(hot, m.hot) {
+	if !hotkeys.SameWidths(hot, m.hot) {
 		m.changed = now
 	}
 	m.hot = hot
@@ -630,7 +631,7 @@
 
 // Hot gives the hot keys and how many widths were raised and lowered.
 func (m *Master) HotKeys() ([]*meshpb.HotKey, *meshpb.HotCounts) {
-	return m.hot, &meshpb.HotCounts{Widened: m.hots.widened, Narrowed: m.hots.narrowed, Refused: m.hots.refused}
+	return m.hot, m.hots.Counts()
 }
 
 func (m *Master) publish(v *meshpb.View) {
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"corkcove/internal/affinity"
-	"corkcove/internal/clustercontroller"
 	"corkcove/internal/coordination"
 	"corkcove/internal/endpointagent"
+	"corkcove/internal/hotkeys"
 	"corkcove/internal/proxy"
 	"corkcove/internal/requestlog"
 	"corkcove/internal/routeconfig"
@@ -167,17 +167,17 @@
 	seq    uint64
 	ids    atomic.Int64
 	states map[string]string
-	hots   *clustercontroller.HotKeyTracker
+	hots   *hotkeys.Tracker
 	hot    []*meshpb.HotKey
-	ho     clustercontroller.HotKeyOptions
+	ho     hotkeys.Options
 }
 
 // Watch lets the mesh set widths for hot keys every quarter of a second, as a
 // master does, from what the nodes say each half second; it ends with the
 // context. Widths gives each view's to seen.
-func (m *Mesh) Watch(ctx context.Context, o clustercontroller.HotKeyOptions, seen func([]*meshpb.HotKey)) {
+func (m *Mesh) Watch(ctx context.Context, o hotkeys.Options, seen func([]*meshpb.HotKey)) {
 	m.mu.Lock()
-	m.ho, m.hots = o, clustercontroller.NewHotKeyTracker(o)
+	m.ho, m.hots = o, hotkeys.NewTracker(o)
 	m.mu.Unlock()
 	said := map[string][]*meshpb.KeyRate{}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -204,7 +204,7 @@
 func (m *Mesh) TakeOver() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hots = clustercontroller.NewHotKeyTracker(m.ho)
+	m.hots = hotkeys.NewTracker(m.ho)
 	m.hots.Restore(m.view.HotKeys, time.Since(m.t0))
 }
 
--- a/internal/meshtest/hot_test.go
+++ b/internal/meshtest/hot_test.go
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"corkcove/internal/clustercontroller"
+	"corkcove/internal/hotkeys"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -74,7 +74,7 @@
 		m := New(es...)
 		m.Push(crowdRules(t, keyed))
 		ctx, stop := context.WithCancel(context.Background())
-		o := clustercontroller.HotKeyOptions{SlotShare: 0.4, MaxKeys: 16, MaxWidth: 8, NarrowAfter: 3 * time.Second}
+		o := hotkeys.Options{SlotShare: 0.4, MaxKeys: 16, MaxWidth: 8, NarrowAfter: 3 * time.Second}
 		if !spread {
 			o.MaxKeys = 0
 		}
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"corkcove/internal/affinity"
-	"corkcove/internal/clustercontroller"
 	"corkcove/internal/coordination"
+	"corkcove/internal/hotkeys"
 	"corkcove/internal/proxy"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc"
@@ -27,7 +27,7 @@
 	Retries *Retries
 	Seed    uint64
 	// Hot bounds the widths that a proposal's keys are given in the playing.
-	Hot clustercontroller.HotKeyOptions
+	Hot hotkeys.Options
 }
 
 // Retries are the settings of the retry budget.
@@ -138,7 +138,7 @@
 	rng    *rand.Rand
 	speeds map[string]float64
 	docs   map[uint64]*routeconfig.Table
-	hots   *clustercontroller.HotKeyTracker
+	hots   *hotkeys.Tracker
 	hot    []*meshpb.HotKey
 }
 
@@ -313,7 +313,7 @@
 // heat plays the master's part for hot keys: nodes tell their reads once a
 // second, and widths follow.
 func (w *world) heat(last int64) {
-	w.hots = clustercontroller.NewHotKeyTracker(w.rules.Hot)
+	w.hots = hotkeys.NewTracker(w.rules.Hot)
 	start := w.now
 	said := map[string][]*meshpb.KeyRate{}
 	var judge func()
