--- a/internal/clustercontroller/redeliver_test.go
+++ b/internal/clustercontroller/redeliver_test.go
@@ -29,7 +29,7 @@
 	lose int
 }
 
-func (l *lossy) Deliver(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func (l *lossy) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	l.mu.Lock()
 	lost := l.lose > 0
 	l.lose--
@@ -135,6 +135,11 @@
 			pass(50 * time.Millisecond)
 		}
 		t.Logf("all have it after %v", took)
+		for i, l := range lossies {
+			l.mu.Lock()
+			qt.Check(t, l.lose < 1, qt.IsTrue, qt.Commentf("no call to lossy node %d was lost", i))
+			l.mu.Unlock()
+		}
 		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", s.behind(7), took))
 	})
 }
@@ -164,6 +169,7 @@
 				s.restart(1, "l2")
 				slow.answerPolls()
 				pass(c.within)
+				qt.Check(t, slow.delayed(), qt.IsTrue, qt.Commentf("the acknowledgement came without delay"))
 				qt.Check(t, s.ns[1].current().ConfigVersion(), qt.Equals, uint64(5))
 				qt.Check(t, s.ns[1].current().View().GetEpoch(), qt.Equals, uint64(2))
 			})
@@ -177,7 +183,15 @@
 	*fakeNode
 	mu     sync.Mutex
 	polled bool
-	delay  time.Duration
+	// acked tells that a configuration was acknowledged through it.
+	acked bool
+	delay time.Duration
+}
+
+func (n *slowNode) delayed() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.acked
 }
 
 func (n *slowNode) answerPolls() {
@@ -196,12 +210,13 @@
 	return n.fakeNode.Poll(c, q)
 }
 
-func (n *slowNode) Deliver(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func (n *slowNode) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	r, err := n.fakeNode.DeliverConfig(c, q)
 	n.mu.Lock()
 	delay := n.delay
 	if r.GetOk() {
 		n.delay = 0
+		n.acked = true
 	}
 	n.mu.Unlock()
 	if r.GetOk() {
