--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -21,6 +21,7 @@
 	"corkcove/internal/controlapi"
 	"corkcove/internal/coordination"
 	"corkcove/internal/discovery"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -55,7 +56,7 @@
 
 type coreNode struct {
 	*process
-	loop   *replication.Mailbox
+	loop   *mailbox.Mailbox
 	board  *replication.Replica
 	svc    *coordination.Service
 	master *clustercontroller.Master
@@ -96,7 +97,7 @@
 // bundle gives what this member's copy of shard 0 holds of what the master names.
 func (c *coreNode) bundle(k *meshpb.StoredVersions) clustercontroller.StoredPayloads {
 	type pair struct{ conf, view *meshpb.Blob }
-	p, _ := replication.Call(c.loop, func() pair {
+	p, _ := mailbox.Call(c.loop, func() pair {
 		t := c.board.StateMachine(0)
 		return pair{t.Blob(controlapi.ConfigBlob), t.Blob(viewBlob)}
 	})
@@ -169,7 +170,7 @@
 		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	held := c.board.HoldsMasterLease()
-	known, _ := replication.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(q.Node) })
+	known, _ := mailbox.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(q.Node) })
 	if !held {
 		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.masterAddr()}, nil
 	}
@@ -197,7 +198,7 @@
 }
 
 func (c *coreNode) masterAddr() string {
-	a, _ := replication.Call(c.loop, func() string {
+	a, _ := mailbox.Call(c.loop, func() string {
 		if m, ok := c.board.Owner(0); ok {
 			return m.Addr
 		}
@@ -207,11 +208,11 @@
 }
 
 func (c *coreNode) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	r, _ := replication.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
+	r, _ := mailbox.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
 		l, is := c.master.RegisterNode(q.Node)
 		return &meshpb.RegisterNodeResponse{Master: is, LastEndpoint: l}
 	})
-	r.Membership, _ = replication.Call(c.loop, func() *meshpb.Membership { return c.board.Membership() })
+	r.Membership, _ = mailbox.Call(c.loop, func() *meshpb.Membership { return c.board.Membership() })
 	if !r.Master {
 		r.MasterAddr = c.masterAddr()
 	}
@@ -228,7 +229,7 @@
 func (c *coreNode) await(ctx context.Context, f func() (done, never bool)) bool {
 	for end := time.Now().Add(followWait); ; {
 		var never bool
-		done, _ := replication.Call(c.loop, func() (d bool) {
+		done, _ := mailbox.Call(c.loop, func() (d bool) {
 			d, never = f()
 			return d
 		})
@@ -269,7 +270,7 @@
 	period := min(max(settings.Seconds(c.o.Requirements.Bounds.DrainSeconds)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
 	duty := func() bool {
-		is, _ := replication.Call(c.master.Mailbox, c.master.IsMaster)
+		is, _ := mailbox.Call(c.master.Mailbox, c.master.IsMaster)
 		return is && c.board.HoldsMasterLease()
 	}
 	for ctx.Err() == nil {
@@ -316,7 +317,7 @@
 		return err
 	}
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
-	loop := replication.NewMailbox()
+	loop := mailbox.New()
 	c := &coreNode{process: p, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
 	c.master = clustercontroller.NewMaster(clustercontroller.Options{
 		ViewInterval: 250 * time.Millisecond, SendTimePerNode: 4 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond, PollLinger: 2 * time.Second, PollLingerPerNode: 36 * time.Millisecond, MaxPollLinger: 10 * time.Second,
@@ -324,7 +325,7 @@
 		HotKeys:  hotOptions(o.HotKeys),
 		SelfAddr: o.InternalAddr(), Now: p.now, Logf: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.View, what, epoch, version) },
 		HoldsLease: func() bool { return c.board.HoldsMasterLease() }, InContact: func(a string) bool { return c.board.InContact(a) }, ReadStored: c.bundle,
-	}, replication.NewMailbox(), lines, c)
+	}, mailbox.New(), lines, c)
 	hist := settings.Seconds(o.Requirements.Bounds.HistorySeconds)
 	c.board, err = replication.New(replication.Options{
 		Self:  &meshpb.Member{Addr: o.InternalAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
@@ -359,7 +360,7 @@
 	go cs.Serve(ctl)
 	go c.master.Mailbox.Run(tick, c.master.Tick)
 	go loop.Run(tick, c.board.Tick)
-	go p.reseed(func() bool { out, _ := replication.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
+	go p.reseed(func() bool { out, _ := mailbox.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
 		loop.Post(func() { c.board.SetExtraSeeds(members(o)) })
 	})
 
@@ -375,7 +376,7 @@
 	loop.Post(c.board.Leave)
 	end := time.Now().Add(min(settings.Seconds(o.Requirements.Bounds.GraceSeconds)*3/4, 6*time.Second))
 	for time.Now().Before(end) {
-		if done, _ := replication.Call(loop, c.board.LeaveComplete); done {
+		if done, _ := mailbox.Call(loop, c.board.LeaveComplete); done {
 			break
 		}
 		time.Sleep(tick)
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -9,6 +9,7 @@
 	"corkcove/internal/affinity"
 	"corkcove/internal/changetrace"
 	"corkcove/internal/clustercontroller"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -22,7 +23,7 @@
 	}
 	p, err := c.svc.PinSession(ctx, q)
 	if errors.Is(err, replication.ErrNotOwner) {
-		a, _ := replication.Call(c.loop, func() string {
+		a, _ := mailbox.Call(c.loop, func() string {
 			if m, ok := c.board.Owner(c.svc.SessionShard(q.Key)); ok && m.Id != c.board.Self().Id {
 				return m.Addr
 			}
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -7,8 +7,8 @@
 	"corkcove/internal/affinity"
 	"corkcove/internal/changetrace"
 	"corkcove/internal/controlapi"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/proxy"
-	"corkcove/internal/replication"
 	"corkcove/internal/requestlog"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -70,14 +70,14 @@
 
 func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
 	r := &meshpb.StatusResponse{Node: c.o.Self.NodeName}
-	replication.Call(c.loop, func() bool {
+	mailbox.Call(c.loop, func() bool {
 		r.Membership, r.Shards, r.DiskSound, r.Member = c.board.Membership(), c.board.ShardStatuses(), c.board.DiskHealthy(), !c.board.IsLearner()
 		if m, ok := c.board.Owner(0); ok {
 			r.MasterAddr = m.Addr
 		}
 		return true
 	})
-	replication.Call(c.master.Mailbox, func() bool {
+	mailbox.Call(c.master.Mailbox, func() bool {
 		r.Master = c.master.IsMaster() && c.board.HoldsMasterLease()
 		v := c.master.View()
 		r.Epoch, r.View = v.Epoch, v.Version
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/replication"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -55,7 +55,7 @@
 // Master runs on its own mailbox; all its fields belong to that goroutine.
 type Master struct {
 	o       Options
-	Mailbox *replication.Mailbox
+	Mailbox *mailbox.Mailbox
 	lines   *rpc.Clients
 	store   ViewStore
 
@@ -115,7 +115,7 @@
 	again time.Duration
 }
 
-func NewMaster(o Options, l *replication.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
+func NewMaster(o Options, l *mailbox.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
 	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: NewHotKeyTracker(o.HotKeys),
 		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
 }
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/replication"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -135,7 +135,7 @@
 	s := &stage{st: &saved{}, last: make([][]*meshpb.Endpoint, n)}
 	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
 	s.m = NewMaster(Options{ViewInterval: 250 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond,
-		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, replication.NewMailbox(), lines, s.st)
+		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, mailbox.New(), lines, s.st)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
 		a := &Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Logf: func(string, ...any) {}, Clients: lines}
@@ -170,7 +170,7 @@
 }
 
 func (s *stage) do(f func()) {
-	replication.Call(s.m.Mailbox, func() bool { f(); return true })
+	mailbox.Call(s.m.Mailbox, func() bool { f(); return true })
 	synctest.Wait()
 }
 
--- a/internal/controlapi/core.go
+++ b/internal/controlapi/core.go
@@ -15,6 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc"
@@ -119,7 +120,7 @@
 				m  *meshpb.Member
 				ok bool
 			}
-			o, _ := replication.Call(d.Coordination.Loop, func() who {
+			o, _ := mailbox.Call(d.Coordination.Loop, func() who {
 				m, ok := d.Coordination.Replica.Owner(shard)
 				if ok && m.Id == d.Coordination.Replica.Self().Id {
 					return who{}
--- a/internal/controlapi/core_test.go
+++ b/internal/controlapi/core_test.go
@@ -14,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -67,7 +68,7 @@
 // writer is one life's way to its shelf.
 type writer struct {
 	s  *shelf
-	l  *replication.Mailbox
+	l  *mailbox.Mailbox
 	ch chan job
 }
 
@@ -101,7 +102,7 @@
 }
 
 type life struct {
-	l   *replication.Mailbox
+	l   *mailbox.Mailbox
 	b   *replication.Replica
 	d   *CoreServer
 	end chan struct{}
@@ -146,7 +147,7 @@
 	for _, x := range w.ms {
 		seeds = append(seeds, &meshpb.Member{Addr: x.addr, Control: x.addr})
 	}
-	l, end := replication.NewMailbox(), make(chan struct{})
+	l, end := mailbox.New(), make(chan struct{})
 	wr := writer{m.disk, l, make(chan job, 1<<16)}
 	w.wg.Go(func() { wr.run(end) })
 	s := coordination.NewService(l, 4)
@@ -201,7 +202,7 @@
 			if !up {
 				continue
 			}
-			if own, _ := replication.Call(x.l, func() bool { _, own := x.b.OwnedEpoch(0); return own }); own {
+			if own, _ := mailbox.Call(x.l, func() bool { _, own := x.b.OwnedEpoch(0); return own }); own {
 				return m
 			}
 		}
@@ -213,7 +214,7 @@
 
 type tube struct {
 	m *member
-	l *replication.Mailbox
+	l *mailbox.Mailbox
 }
 
 func pass[Q, R proto.Message](x tube, to string, q Q, cb func(R), f func(replication.Handler, context.Context, Q) (R, error)) {
--- a/internal/controlapi/desk_test.go
+++ b/internal/controlapi/desk_test.go
@@ -13,22 +13,23 @@
 	qt "github.com/frankban/quicktest"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
 
-type book struct{ l *replication.Mailbox }
+type book struct{ l *mailbox.Mailbox }
 
 func (b book) Append(_ []byte, f func(error))       { go b.l.Post(func() { f(nil) }) }
 func (b book) Checkpoint(_ [][]byte, f func(error)) { go b.l.Post(func() { f(nil) }) }
 
 type office struct {
 	d *CoreServer
-	l *replication.Mailbox
+	l *mailbox.Mailbox
 }
 
 func open(t *testing.T) *office {
-	l := replication.NewMailbox()
+	l := mailbox.New()
 	t0 := time.Now()
 	me := &meshpb.Member{Addr: "a", Control: "c"}
 	s := coordination.NewService(l, 4)
--- a/internal/controlapi/growth_test.go
+++ b/internal/controlapi/growth_test.go
@@ -11,6 +11,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -62,8 +63,8 @@
 			away.start(false)
 			x, _ := w.at(away.addr)
 			same := func() bool {
-				a, _ := replication.Call(own.l, func() uint64 { return own.b.ShardStatuses()[0].Version })
-				b, _ := replication.Call(x.l, func() uint64 { return x.b.ShardStatuses()[0].Version })
+				a, _ := mailbox.Call(own.l, func() uint64 { return own.b.ShardStatuses()[0].Version })
+				b, _ := mailbox.Call(x.l, func() uint64 { return x.b.ShardStatuses()[0].Version })
 				return a == b
 			}
 			for !same() && time.Since(t0) < 20*time.Second {
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -8,6 +8,7 @@
 
 	"github.com/zeebo/errs"
 
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -24,14 +25,14 @@
 // Service serves locks, numbers, cells and watches from the shards that this
 // process owns. The watchers belong to the board's goroutine.
 type Service struct {
-	Loop       *replication.Mailbox
+	Loop       *mailbox.Mailbox
 	Replica    *replication.Replica
 	ShardCount int
 
 	watchers map[int][]*watcher
 }
 
-func NewService(l *replication.Mailbox, shards int) *Service {
+func NewService(l *mailbox.Mailbox, shards int) *Service {
 	return &Service{Loop: l, ShardCount: shards, watchers: map[int][]*watcher{}}
 }
 
@@ -59,7 +60,7 @@
 // there from an earlier sending. That one may yet take effect while it isn't
 // safe, so failing to see it so is ErrUnsure.
 func TransactRepeatable[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R, bool)) (R, error) {
-	o, ok := replication.CallAsync(ctx, s.Loop, func(reply func(out[R])) {
+	o, ok := mailbox.CallAsync(ctx, s.Loop, func(reply func(out[R])) {
 		var r R
 		var found bool
 		s.Replica.Execute(shard, func(t replication.StateMachine, now time.Duration) (c *meshpb.Change) {
@@ -128,7 +129,7 @@
 	w := &watcher{group: group, after: after}
 	wctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	o, ok := replication.CallAsync(wctx, s.Loop, func(reply func(out[EventList])) {
+	o, ok := mailbox.CallAsync(wctx, s.Loop, func(reply func(out[EventList])) {
 		w.cb = func(e EventList, err error) { reply(out[EventList]{e, err}) }
 		s.watchers[sh] = append(s.watchers[sh], w)
 		s.ring(sh, w)
--- a/internal/replication/loop.go
+++ b/internal/replication/loop.go
@@ -2,75 +2,16 @@
 
 import (
 	"context"
-	"sync"
 	"time"
 
+	"corkcove/internal/mailbox"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 	"corkcove/internal/wal"
 )
 
-// Loop is the board's mailbox: one goroutine runs all that is put in.
-type Mailbox struct {
-	ch   chan func()
-	end  chan struct{}
-	once sync.Once
-}
-
-func NewMailbox() *Mailbox { return &Mailbox{ch: make(chan func(), 4096), end: make(chan struct{})} }
-
-func (l *Mailbox) Post(f func()) {
-	select {
-	case l.ch <- f:
-	case <-l.end:
-	}
-}
-
-func (l *Mailbox) Close() { l.once.Do(func() { close(l.end) }) }
-
-func (l *Mailbox) Run(tick time.Duration, on func()) {
-	t := time.NewTicker(tick)
-	defer t.Stop()
-	for {
-		select {
-		case f := <-l.ch:
-			f()
-		case <-t.C:
-			on()
-		case <-l.end:
-			return
-		}
-	}
-}
-
-// Ask runs f on the loop and waits for its answer.
-func Call[R any](l *Mailbox, f func() R) (r R, ok bool) {
-	c := make(chan R, 1)
-	l.Post(func() { c <- f() })
-	select {
-	case r = <-c:
-		return r, true
-	case <-l.end:
-		return r, false
-	}
-}
-
-// Later runs f on the loop; f hands its answer to reply when it is ready.
-func CallAsync[R any](ctx context.Context, l *Mailbox, f func(reply func(R))) (r R, ok bool) {
-	c := make(chan R, 1)
-	l.Post(func() { f(func(r R) { c <- r }) })
-	select {
-	case r = <-c:
-		return r, true
-	case <-ctx.Done():
-		return r, false
-	case <-l.end:
-		return r, false
-	}
-}
-
 type WALStorage struct {
-	Mailbox *Mailbox
+	Mailbox *mailbox.Mailbox
 	Log     *wal.Log
 }
 
@@ -83,7 +24,7 @@
 }
 
 type PeerClient struct {
-	Mailbox          *Mailbox
+	Mailbox          *mailbox.Mailbox
 	Clients          *rpc.Clients
 	CallTimeout      time.Duration
 	ReplicateTimeout time.Duration
@@ -125,7 +66,7 @@
 
 // Door answers other members' calls.
 type Handler struct {
-	Mailbox *Mailbox
+	Mailbox *mailbox.Mailbox
 	Replica *Replica
 }
 
@@ -158,7 +99,7 @@
 		return nil, errHead
 	}
 	q.Watermarks = fit(d, q.Watermarks)
-	return answer(Call(d.Mailbox, func() *meshpb.RenewLeasesResponse { return d.Replica.HandleRenewLeases(q) }))
+	return answer(mailbox.Call(d.Mailbox, func() *meshpb.RenewLeasesResponse { return d.Replica.HandleRenewLeases(q) }))
 }
 
 func (d Handler) Replicate(ctx context.Context, q *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
@@ -166,7 +107,7 @@
 		return nil, errHead
 	}
 	q.States, q.Entries, q.EpochChanges = fit(d, q.States), fit(d, q.Entries), fit(d, q.EpochChanges)
-	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.ReplicateResponse)) { d.Replica.HandleReplicate(q, f) }))
+	return answer(mailbox.CallAsync(ctx, d.Mailbox, func(f func(*meshpb.ReplicateResponse)) { d.Replica.HandleReplicate(q, f) }))
 }
 
 func (d Handler) RequestVotes(ctx context.Context, q *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
@@ -174,7 +115,7 @@
 		return nil, errHead
 	}
 	q.Votes = fit(d, q.Votes)
-	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.RequestVotesResponse)) { d.Replica.HandleRequestVotes(q, f) }))
+	return answer(mailbox.CallAsync(ctx, d.Mailbox, func(f func(*meshpb.RequestVotesResponse)) { d.Replica.HandleRequestVotes(q, f) }))
 }
 
 func (d Handler) TransferOwnership(_ context.Context, q *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
@@ -182,19 +123,19 @@
 		return nil, errHead
 	}
 	q.Watermarks = fit(d, q.Watermarks)
-	return answer(Call(d.Mailbox, func() *meshpb.TransferOwnershipResponse { return d.Replica.HandleTransferOwnership(q) }))
+	return answer(mailbox.Call(d.Mailbox, func() *meshpb.TransferOwnershipResponse { return d.Replica.HandleTransferOwnership(q) }))
 }
 
 func (d Handler) AcceptMembership(ctx context.Context, q *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
 	if len(q.GetMembership().GetMembers()) == 0 {
 		return nil, errHead
 	}
-	return answer(CallAsync(ctx, d.Mailbox, func(f func(*meshpb.AcceptMembershipResponse)) { d.Replica.HandleAcceptMembership(q, f) }))
+	return answer(mailbox.CallAsync(ctx, d.Mailbox, func(f func(*meshpb.AcceptMembershipResponse)) { d.Replica.HandleAcceptMembership(q, f) }))
 }
 
 func (d Handler) Join(_ context.Context, q *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
 	if q.GetFrom().GetId() == "" || q.From.Addr == "" {
 		return nil, errHead
 	}
-	return answer(Call(d.Mailbox, func() *meshpb.JoinResponse { return d.Replica.HandleJoin(q) }))
+	return answer(mailbox.Call(d.Mailbox, func() *meshpb.JoinResponse { return d.Replica.HandleJoin(q) }))
 }
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -14,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -859,7 +860,7 @@
 func TestMalformedCallsHarmNobody(t *testing.T) {
 	w := newWorld(t, 7, 1)
 	w.run(time.Second)
-	l := replication.NewMailbox()
+	l := mailbox.New()
 	go l.Run(time.Hour, func() {})
 	defer l.Close()
 	d := replication.Handler{Mailbox: l, Replica: w.ms["m0"].board}
--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -256,7 +256,8 @@
 
 func (silentWire) RenewLeases(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
 }
-func (silentWire) Replicate(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {}
+func (silentWire) Replicate(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {
+}
 func (silentWire) RequestVotes(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
 }
 func (silentWire) TransferOwnership(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
