--- /dev/null
+++ b/internal/replication/heartbeat.go
@@ -0,0 +1,145 @@
+package replication
+
+import (
+	"time"
+
+	"corkcove/internal/rpc/meshpb"
+)
+
+// sendHeartbeats asks all peers to renew the leases of the shards that this
+// member serves, but for those whom replication has just asked. A learner's
+// answer grants nothing.
+func (r *Replica) sendHeartbeats() {
+	watermarks := r.watermarks()
+	due := r.heartbeatDue
+	r.heartbeatDue = false
+	for _, p := range r.replicationTargets() {
+		if p.heartbeatInFlight || !due && r.isVoter(p) && r.replicationStandsFor(p) {
+			continue
+		}
+		r.sendHeartbeat(p, watermarks)
+	}
+}
+
+// watermarks tell of each shard that this member serves how far it is committed.
+func (r *Replica) watermarks() []*meshpb.Watermark {
+	var watermarks []*meshpb.Watermark
+	for _, s := range r.shards {
+		if s.role == owner && s.ownership.serving {
+			watermarks = append(watermarks, &meshpb.Watermark{
+				Shard:     uint32(s.id),
+				Epoch:     s.log.epoch,
+				Version:   s.ownership.commit,
+				Committed: s.ownership.replicatedMembership,
+			})
+		}
+	}
+	return watermarks
+}
+
+func (r *Replica) sendHeartbeat(p *peer, watermarks []*meshpb.Watermark) {
+	sentAt := r.now()
+	p.heartbeatInFlight, p.lastHeartbeat = true, sentAt
+	request := &meshpb.RenewLeasesRequest{Header: r.header(p), Watermarks: watermarks, Healthy: r.isHealthy(r.self.Id)}
+	r.transport.RenewLeases(p.member, request, func(response *meshpb.RenewLeasesResponse) {
+		p.heartbeatInFlight = false
+		if response == nil || response.Id != p.member.Id {
+			return
+		}
+		r.handleHeartbeatResponse(p, sentAt, response)
+	})
+}
+
+func (r *Replica) handleHeartbeatResponse(p *peer, sentAt time.Duration, response *meshpb.RenewLeasesResponse) {
+	r.recordContact(p, response.Healthy, response.Leaving)
+	if response.Membership != r.membership.Version {
+		r.offerMembership(p.member, response.Membership)
+		return
+	}
+	for _, id := range response.Granted {
+		r.recordLease(p, r.shards[id], sentAt)
+	}
+	for _, superseded := range response.Superseded {
+		if s := r.shards[superseded.Shard]; superseded.Epoch > s.log.epoch && s.isOwned() {
+			r.stepDown(s, superseded.Epoch, "a member voted in a higher epoch")
+		}
+	}
+}
+
+// replicationStandsFor tells that entries which went to the peer of late, and were
+// acknowledged, renewed all the leases that a heartbeat would.
+func (r *Replica) replicationStandsFor(p *peer) bool {
+	now, interval := r.now(), r.options.HeartbeatInterval
+	if now-p.lastHeartbeat >= heartbeatsByReplication*interval || now-p.lastContact >= interval {
+		return false
+	}
+	served := 0
+	for _, s := range r.shards {
+		if s.role == owner && s.ownership.serving {
+			served++
+			if now-p.progress[s.id].leaseFrom >= interval {
+				return false
+			}
+		}
+	}
+	return served > 0
+}
+
+// HandleRenewLeases answers another member's heartbeat: it grants leases to the
+// owners that this member voted for.
+func (r *Replica) HandleRenewLeases(request *meshpb.RenewLeasesRequest) *meshpb.RenewLeasesResponse {
+	header := request.Header
+	response := &meshpb.RenewLeasesResponse{
+		Membership: r.membership.Version,
+		Healthy:    r.isHealthy(r.self.Id),
+		Member:     r.isMember(),
+		Id:         r.self.Id,
+		Leaving:    r.leaving,
+	}
+	if header.To != r.self.Id {
+		return response
+	}
+	if header.Membership != r.membership.Version {
+		r.offerMembership(header.From, header.Membership)
+		return response
+	}
+	p := r.peers[header.From.Id]
+	if p == nil || header.NotReceiving {
+		return response
+	}
+	r.recordContact(p, request.Healthy, header.Leaving)
+	for _, watermark := range request.Watermarks {
+		r.handleWatermark(header.From.Id, watermark, response)
+	}
+	return response
+}
+
+// handleWatermark notes what a member says of a shard that it owns.
+func (r *Replica) handleWatermark(from string, watermark *meshpb.Watermark, response *meshpb.RenewLeasesResponse) {
+	s := r.shards[watermark.Shard]
+	if watermark.Epoch == s.log.epoch {
+		s.catchUp.advance(watermark.Version, s.log.synced, r.now())
+	}
+	switch {
+	case watermark.Epoch <= s.lease.endedEpoch:
+	case watermark.Epoch == s.vote.epoch && s.vote.candidate == from:
+		r.grantLease(s)
+		response.Granted = append(response.Granted, watermark.Shard)
+		r.membershipChange.recordReplicated(s, watermark.Committed)
+	case watermark.Epoch > s.vote.epoch:
+		s.lease.hint, s.lease.hintUntil = from, r.now()+r.options.ownerHintDuration()
+		s.election.epoch = max(s.election.epoch, watermark.Epoch)
+	case watermark.Epoch < s.vote.epoch:
+		response.Superseded = append(response.Superseded, &meshpb.Watermark{Shard: watermark.Shard, Epoch: s.vote.epoch})
+	}
+}
+
+// advance notes that the owner has committed all up to version. What it had
+// committed a heartbeat ago has had time to come: if that is synced here, the
+// replica is caught up.
+func (c *catchUp) advance(version, synced uint64, now time.Duration) {
+	if synced >= min(c.watermark, version) {
+		c.at = now
+	}
+	c.watermark = version
+}
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -1,87 +1,84 @@
 package replication
 
 import (
-	"time"
-
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/rpc/meshpb"
 )
 
-// How much of a shard's log is kept for members that lag, and how many ends of
-// epochs in it.
+// How much of a shard's log is kept in memory for members that lag: others get
+// the full state. The memory is what bounds it.
 const (
-	logMost  = 1024
-	logBytes = 1 << 20
-	pastMost = 16
+	maxLogEntries = 1024
+	maxLogBytes   = 1 << 20
+	// maxEpochEnds is how many ends of earlier epochs are remembered.
+	maxEpochEnds = 16
 )
 
-func (s *shard) take(e *meshpb.Entry, now time.Duration) {
-	s.version = e.Version
-	s.table.Apply(e.Change, now)
-	s.log = append(s.log, e)
-	if s.size += proto.Size(e); len(s.log) > logMost || s.size > logBytes {
-		s.trim()
+// replicaLog is the position of a replica and the last entries that led there.
+type replicaLog struct {
+	position
+	// synced is the version up to which all is on disk.
+	synced uint64
+	// entries are the last ones; size is the sum of their sizes in bytes.
+	entries []*meshpb.Entry
+	size    int
+	// epochEnds are the positions at which earlier epochs ended in this replica,
+	// the latest at the end.
+	epochEnds []position
+}
+
+// append takes the next entry.
+func (l *replicaLog) append(entry *meshpb.Entry) {
+	l.version = entry.Version
+	l.entries = append(l.entries, entry)
+	if l.size += proto.Size(entry); len(l.entries) > maxLogEntries || l.size > maxLogBytes {
+		l.trim()
 	}
 }
 
-// trim lets half of the log go, so that it is not done for each entry.
-func (s *shard) trim() {
-	for n := 0; n < len(s.log); n++ {
-		if len(s.log)-n <= logMost/2 && s.size <= logBytes/2 {
-			s.log = append([]*meshpb.Entry(nil), s.log[n:]...)
+// trim drops half of the entries, so that it isn't done for each new one.
+func (l *replicaLog) trim() {
+	for i := range l.entries {
+		if len(l.entries)-i <= maxLogEntries/2 && l.size <= maxLogBytes/2 {
+			l.entries = append([]*meshpb.Entry(nil), l.entries[i:]...)
 			return
 		}
-		s.size -= proto.Size(s.log[n])
+		l.size -= proto.Size(l.entries[i])
 	}
-	s.log, s.size = nil, 0
+	l.entries, l.size = nil, 0
 }
 
-func (s *shard) forget() { s.log, s.size, s.past = nil, 0, nil }
+// reset drops the entries and the past epochs.
+func (l *replicaLog) reset() { l.entries, l.size, l.epochEnds = nil, 0, nil }
 
-// raise takes the copy on to the epoch of x, whose entries bring it to what
-// that epoch began with.
-func (s *shard) raise(x *meshpb.EpochChange, now time.Duration) {
-	s.past = append(s.past, span{s.epoch, s.version})
-	if n := len(s.past); n > pastMost {
-		s.past = append([]span(nil), s.past[n-pastMost:]...)
-	}
-	s.epoch = x.Epoch
-	for _, e := range x.Entries {
-		s.take(e, now)
+// beginEpoch notes where the present epoch ended, and begins another.
+func (l *replicaLog) beginEpoch(epoch uint64) {
+	l.epochEnds = append(l.epochEnds, l.position)
+	if n := len(l.epochEnds); n > maxEpochEnds {
+		l.epochEnds = append([]position(nil), l.epochEnds[n-maxEpochEnds:]...)
 	}
+	l.epoch = epoch
 }
 
-// after gives the entries that lead from a copy's content to this one's, if that
-// content is known to be a beginning of this one's and the log reaches back to
-// it. One epoch has one log, so a copy at an epoch that is part of this one's
-// past, no further than it went here, is a beginning.
-func (s *shard) after(h span) ([]*meshpb.Entry, bool) {
-	ok := h.epoch == s.epoch && h.version <= s.version
-	for _, p := range s.past {
-		ok = ok || p.epoch == h.epoch && h.version <= p.version
-	}
-	n := s.version - h.version
-	if !ok || h.version > s.version || n > uint64(len(s.log)) {
-		return nil, false
-	}
-	return s.log[uint64(len(s.log))-n:], true
-}
+// markSynced notes that all up to version is on disk.
+func (l *replicaLog) markSynced(version uint64) { l.synced = max(l.synced, version) }
+
+// lastEpochEnd is where the epoch before this one ended.
+func (l *replicaLog) lastEpochEnd() position { return l.epochEnds[len(l.epochEnds)-1] }
 
-// raiseFor makes what brings a copy at h on to this owner's epoch: all up to
-// its beginning in one, since a copy at a new epoch must hold all that came
-// before that epoch.
-func (s *shard) raiseFor(h span) *meshpb.EpochChange {
-	es, ok := s.after(h)
-	if !ok {
-		return nil
+// entriesAfter returns the entries that lead from a replica at from to this one,
+// if from is known to be part of this one's history and the log reaches back to
+// it. An epoch has one history, so a replica at an epoch that is part of this
+// one's past, no further than that epoch went here, holds a part of this one.
+func (l *replicaLog) entriesAfter(from position) ([]*meshpb.Entry, bool) {
+	known := from.epoch == l.epoch && from.version <= l.version
+	for _, end := range l.epochEnds {
+		known = known || end.epoch == from.epoch && from.version <= end.version
 	}
-	x := &meshpb.EpochChange{Shard: uint32(s.ix), Epoch: s.epoch, FromEpoch: h.epoch, FromVersion: h.version}
-	for _, e := range es {
-		if e.Version > s.begin {
-			break
-		}
-		x.Entries = append(x.Entries, &meshpb.Entry{Shard: e.Shard, Epoch: s.epoch, Version: e.Version, Change: e.Change})
+	n := l.version - from.version
+	if !known || from.version > l.version || n > uint64(len(l.entries)) {
+		return nil, false
 	}
-	return x
+	return l.entries[uint64(len(l.entries))-n:], true
 }
--- /dev/null
+++ b/internal/replication/tick.go
@@ -0,0 +1,96 @@
+package replication
+
+import "time"
+
+// tickState is what a replica knows of its own processor time.
+type tickState struct {
+	lastTick time.Duration
+	// lastStarved is when a tick last came late.
+	lastStarved time.Duration
+}
+
+// Tick does what time brings: heartbeats, the ends of leases and elections,
+// replication to those that lag, transfers, and membership changes. It must be
+// called a few times in each heartbeat interval.
+func (r *Replica) Tick() {
+	r.recordTick()
+	r.retryDisk()
+	r.expireLearners()
+	if r.learner {
+		r.requestPlace()
+		return
+	}
+	r.tickHeartbeat()
+	for _, s := range r.shards {
+		r.tickShard(s)
+	}
+	r.replicateToLagging()
+	r.startDueElections()
+	r.retryVoteRequests()
+	r.manageMembership()
+}
+
+// recordTick notes a tick; one that comes late means that the processor was
+// short.
+func (r *Replica) recordTick() {
+	now := r.now()
+	if r.clock.lastTick > 0 && now-r.clock.lastTick > r.options.HeartbeatInterval {
+		r.clock.lastStarved = now
+	}
+	r.clock.lastTick = now
+}
+
+func (r *Replica) tickHeartbeat() {
+	now := r.now()
+	isolated := !r.reachesQuorum()
+	if isolated {
+		r.lastWithoutQuorum = now
+	}
+	sinceLast := now - r.lastHeartbeat
+	if r.heartbeatDue || sinceLast >= r.options.HeartbeatInterval || isolated && sinceLast >= r.options.isolatedHeartbeatInterval() {
+		r.lastHeartbeat = now
+		r.sendHeartbeats()
+		r.publishContacts()
+	}
+}
+
+func (r *Replica) tickShard(s *shard) {
+	switch s.role {
+	case owner:
+		r.tickOwner(s)
+	case transferring:
+		r.tickTransferring(s)
+	case candidate:
+		r.tickCandidate(s)
+	}
+}
+
+func (r *Replica) tickOwner(s *shard) {
+	r.renewLease(s)
+	r.resolvePending(s)
+	now := r.now()
+	if !s.ownership.serving && now-s.roleSince > r.options.takeoverTimeout() {
+		r.stepDown(s, s.log.epoch, "takeover timed out")
+		return
+	}
+	if s.ownership.serving && now > max(s.ownership.leaseUntil, s.roleSince)+r.options.quorumLossTimeout() {
+		r.stepDown(s, s.log.epoch, "no lease from a quorum")
+		return
+	}
+	r.maybeTransfer(s)
+}
+
+func (r *Replica) tickTransferring(s *shard) {
+	r.resolvePending(s)
+	now := r.now()
+	if now-s.roleSince > r.options.transferTimeout() {
+		s.role, s.roleSince = owner, now
+	}
+}
+
+func (r *Replica) tickCandidate(s *shard) {
+	elapsed := r.now() - s.roleSince
+	if elapsed > r.options.electionTimeout() || s.election.preVote && elapsed > r.options.preVoteTimeout() {
+		r.stepDown(s, s.election.epoch, "election timed out")
+	}
+}
