--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -72,8 +72,8 @@
 		return err
 	}
 	data = rpc.Pack(data)
-	_, err = coordination.Transact(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, bool) {
-		return &meshpb.Change{Blob: &meshpb.Blob{Name: viewBlob, Version: v.Version, Data: data}}, true
+	_, err = coordination.Transact(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[struct{}] {
+		return coordination.Decision[struct{}]{Change: &meshpb.Change{Blob: &meshpb.Blob{Name: viewBlob, Version: v.Version, Data: data}}}
 	})
 	return err
 }
@@ -181,7 +181,7 @@
 	if !known {
 		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
 	}
-	u, err := coordination.Transact(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, map[string]string) {
+	u, err := coordination.Transact(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[map[string]string] {
 		u := users(t)
 		if q.State == clustercontroller.Up {
 			delete(u, q.Node)
@@ -190,11 +190,11 @@
 		}
 		data, err := proto.Marshal(&meshpb.UserStates{States: u})
 		if err != nil {
-			return nil, nil
+			return coordination.Decision[map[string]string]{Err: err}
 		}
-		return &meshpb.Change{Blob: &meshpb.Blob{Name: usersBlob, Data: data}}, u
+		return coordination.Decision[map[string]string]{Change: &meshpb.Change{Blob: &meshpb.Blob{Name: usersBlob, Data: data}}, Result: u}
 	})
-	if err != nil || u == nil {
+	if err != nil {
 		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
 	}
 	c.master.Mailbox.Post(func() { c.master.SetUserStates(u, q.Node) })
--- a/internal/affinity/cord_test.go
+++ b/internal/affinity/cord_test.go
@@ -98,11 +98,11 @@
 }
 
 func (c *core) answer(q *meshpb.PinRequest) *meshpb.PinResponse {
-	ch, p := c.t.PinSession(q, 0)
-	if ch != nil {
-		c.t.Apply(ch, 0)
+	d := c.t.PinSession(q, 0)
+	if d.Change != nil {
+		c.t.Apply(d.Change, 0)
 	}
-	return p.Response()
+	return d.Result.Response()
 }
 
 type player struct {
@@ -295,11 +295,11 @@
 	tb := coordination.NewTable(time.Minute)
 	tb.SetPinLimits(10*time.Second, 3)
 	ask := func(key string, now time.Duration) coordination.PinResult {
-		c, p := tb.PinSession(&meshpb.PinRequest{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
-		if c != nil {
-			tb.Apply(c, now)
+		d := tb.PinSession(&meshpb.PinRequest{Key: key, Allowed: []string{"s"}, Service: "s", Want: "e"}, now)
+		if d.Change != nil {
+			tb.Apply(d.Change, now)
 		}
-		return p
+		return d.Result
 	}
 	for i := range 3 {
 		qt.Assert(t, ask(fmt.Sprint(i), 0).Endpoint, qt.Equals, "e")
--- a/internal/controlapi/core.go
+++ b/internal/controlapi/core.go
@@ -119,7 +119,7 @@
 				m  *meshpb.Member
 				ok bool
 			}
-			o, _ := replication.Call(d.Coordination.Loop, func() who {
+			o, _ := replication.Call(d.Coordination.Mailbox, func() who {
 				m, ok := d.Coordination.Replica.Owner(shard)
 				if ok && m.Id == d.Coordination.Replica.Self().Id {
 					return who{}
@@ -131,7 +131,7 @@
 			}
 		case errors.Is(err, replication.ErrUnavailable):
 		default:
-			return r, verdict{out: unsure}, false
+			return r, refusal(err), false
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			return r, verdict{out: busy}, false
@@ -145,6 +145,21 @@
 	}
 }
 
+func refusal(err error) verdict {
+	var mismatch *coordination.RevisionMismatchError
+	switch {
+	case errors.Is(err, coordination.ErrLockHeld), errors.Is(err, coordination.ErrLockLost):
+		return verdict{out: held}
+	case errors.Is(err, coordination.ErrNotFound):
+		return verdict{out: absent}
+	case errors.Is(err, coordination.ErrCompacted):
+		return verdict{out: gone}
+	case errors.As(err, &mismatch):
+		return verdict{out: moved, body: cellResp{mismatch.Current}}
+	}
+	return verdict{out: unsure}
+}
+
 func hold(f *float64) (time.Duration, bool) {
 	if f == nil || !(*f > 0) || *f > 86400 {
 		return 0, false
@@ -156,9 +171,6 @@
 	if !done {
 		return v
 	}
-	if g.Outcome == coordination.Held || g.Outcome == coordination.Lost {
-		return verdict{out: held}
-	}
 	return verdict{body: lockResp{g.FencingToken}}
 }
 
@@ -210,9 +222,6 @@
 	if !done {
 		return v
 	}
-	if r.Outcome == coordination.Moved {
-		return verdict{out: moved, body: cellResp{r.Revision}}
-	}
 	return verdict{body: cellResp{r.Revision}}
 }
 
@@ -221,9 +230,6 @@
 	if !done {
 		return v
 	}
-	if r.Outcome == coordination.Absent {
-		return verdict{out: absent}
-	}
 	return verdict{body: readResp{r.Payload, r.Revision}}
 }
 
@@ -246,9 +252,6 @@
 	if !done {
 		return v
 	}
-	if e.Outcome == coordination.Gone {
-		return verdict{out: gone}
-	}
 	r := watchResp{EventList: []event{}, Revision: max(e.Revision, after)}
 	for _, p := range e.Events {
 		r.EventList = append(r.EventList, event{p.Name, p.Payload, p.Revision})
@@ -277,8 +280,8 @@
 
 func (d *CoreServer) config(c call, _ none) verdict {
 	b, v, done := at(d, c, 0, func(ctx context.Context) (*meshpb.Blob, error) {
-		return coordination.Transact(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, *meshpb.Blob) {
-			return nil, t.Blob(ConfigBlob)
+		return coordination.Transact(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[*meshpb.Blob] {
+			return coordination.Decision[*meshpb.Blob]{Result: t.Blob(ConfigBlob)}
 		})
 	})
 	if !done {
@@ -339,20 +342,23 @@
 
 // look reads, in one step, whether the order was taken and what is in force.
 func (d *CoreServer) look(ctx context.Context, o order) (standing, error) {
-	return coordination.TransactRepeatable(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, standing, bool) {
+	return coordination.Transact(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[standing] {
 		s := o.standing(t)
-		return nil, s, s.taken
+		return coordination.Decision[standing]{Result: s, AlreadyApplied: s.taken}
 	})
 }
 
 // decide takes the order if what it was checked against is still in force.
 func (d *CoreServer) decide(ctx context.Context, o order, next *meshpb.Blob) (standing, error) {
-	return coordination.TransactRepeatable(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) (*meshpb.Change, standing, bool) {
+	return coordination.Transact(ctx, d.Coordination, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[standing] {
 		s := o.standing(t)
 		if s.taken || s.cur.GetVersion() != o.on {
-			return nil, s, s.taken
+			return coordination.Decision[standing]{Result: s, AlreadyApplied: s.taken}
+		}
+		return coordination.Decision[standing]{
+			Change: &meshpb.Change{Blob: next, Accepted: &meshpb.AcceptedChange{Version: next.Version, Digest: o.sum}},
+			Result: standing{cur: next, taken: true},
 		}
-		return &meshpb.Change{Blob: next, Accepted: &meshpb.AcceptedChange{Version: next.Version, Digest: o.sum}}, standing{cur: next, taken: true}, false
 	})
 }
 
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -6,181 +6,127 @@
 	"hash/fnv"
 	"time"
 
-	"github.com/zeebo/errs"
-
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
 )
 
-var Error = errs.Class("numbering")
+// ConfigShard is the shard of the configuration and the cluster controller's
+// state; locks, counters, cells and sessions are spread over the others.
+const ConfigShard = 0
 
-type watcher struct {
-	group string
-	after uint64
-	done  bool
-	cb    func(EventList, error)
-}
+// sessionPrefix sets the hash of session keys apart from that of other names.
+const sessionPrefix = "pin "
 
-// Service serves locks, numbers, cells and watches from the shards that this
-// process owns. The watchers belong to the board's goroutine.
+// Service answers requests about the shards that this process owns. Its methods
+// may be called from any goroutine.
 type Service struct {
-	Loop       *replication.Mailbox
-	Replica    *replication.Replica
+	// Mailbox runs all that touches Replica.
+	Mailbox *replication.Mailbox
+	// Replica is set once, before the first request.
+	Replica *replication.Replica
+	// ShardCount is the number of shards, ConfigShard included; 2 at least.
 	ShardCount int
 
+	// watchers wait for events, by shard; only the mailbox's goroutine touches them.
 	watchers map[int][]*watcher
 }
 
-func NewService(l *replication.Mailbox, shards int) *Service {
-	return &Service{Loop: l, ShardCount: shards, watchers: map[int][]*watcher{}}
+// NewService returns a service whose Replica is still to be set.
+func NewService(mailbox *replication.Mailbox, shardCount int) *Service {
+	return &Service{Mailbox: mailbox, ShardCount: shardCount, watchers: map[int][]*watcher{}}
 }
 
+// ShardOf is the shard of a lock, a counter or a group of keys.
 func (s *Service) ShardOf(name string) int {
 	h := fnv.New32a()
-	h.Write([]byte(name))
+	h.Write([]byte(name)) // never fails
 	return 1 + int(h.Sum32())%(s.ShardCount-1)
 }
 
-type out[R any] struct {
-	r   R
-	err error
-}
+// SessionShard is the shard of a session's pins.
+func (s *Service) SessionShard(key string) int { return s.ShardOf(sessionPrefix + key) }
 
-// Run calls f on the shard's table; its answer comes back once it is safe. An
-// f that makes no change has done nothing: if it fails, it is ErrBusy.
-func Transact[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R)) (R, error) {
-	return TransactRepeatable(ctx, s, shard, func(t *Table, now time.Duration) (*meshpb.Change, R, bool) {
-		c, r := f(t, now)
-		return c, r, false
-	})
+type result[R any] struct {
+	value R
+	err   error
 }
 
-// RunAgain is Run for what may come again: f also tells that it found the same
-// there from an earlier sending. That one may yet take effect while it isn't
-// safe, so failing to see it so is ErrUnsure.
-func TransactRepeatable[R any](ctx context.Context, s *Service, shard int, f func(t *Table, now time.Duration) (*meshpb.Change, R, bool)) (R, error) {
-	o, ok := replication.CallAsync(ctx, s.Loop, func(reply func(out[R])) {
-		var r R
-		var found bool
-		s.Replica.Execute(shard, func(t replication.StateMachine, now time.Duration) (c *meshpb.Change) {
-			c, r, found = f(t.(*Table), now)
-			return c
-		}, func(err error) {
-			if found && errors.Is(err, replication.ErrUnavailable) {
-				err = replication.ErrOutcomeUnknown
-			}
-			reply(out[R]{r, err})
-		})
+// Transact lets the shard's table decide a request, and returns its result once
+// that is committed. Other errors than the decision's own are
+// replication.ErrNotOwner and replication.ErrUnavailable (nothing was done) and
+// replication.ErrOutcomeUnknown (the change may still be applied).
+func Transact[R any](ctx context.Context, s *Service, shard int, decide func(t *Table, now time.Duration) Decision[R]) (R, error) {
+	answer, ok := replication.CallAsync(ctx, s.Mailbox, func(reply func(result[R])) {
+		transactOnMailbox(s, shard, decide, func(value R, err error) { reply(result[R]{value, err}) })
 	})
 	if !ok {
-		var r R
-		return r, replication.ErrOutcomeUnknown
+		return answer.value, replication.ErrOutcomeUnknown
 	}
-	return o.r, o.err
+	return answer.value, answer.err
+}
+
+// transactOnMailbox is Transact on the mailbox's goroutine; reply runs there too.
+func transactOnMailbox[R any](s *Service, shard int, decide func(*Table, time.Duration) Decision[R], reply func(R, error)) {
+	var d Decision[R]
+	s.Replica.Execute(shard, func(t replication.StateMachine, now time.Duration) *meshpb.Change {
+		d = decide(t.(*Table), now)
+		return d.Change
+	}, func(err error) {
+		if d.AlreadyApplied && errors.Is(err, replication.ErrUnavailable) {
+			err = replication.ErrOutcomeUnknown
+		}
+		if err == nil {
+			err = d.Err
+		}
+		reply(d.Result, err)
+	})
 }
 
-func (s *Service) AcquireLock(ctx context.Context, name, holder string, hold time.Duration) (LockGrant, error) {
-	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) (*meshpb.Change, LockGrant) {
-		return t.AcquireLock(name, holder, hold, now)
+// AcquireLock is Table.AcquireLock in the lock's shard.
+func (s *Service) AcquireLock(ctx context.Context, name, owner string, ttl time.Duration) (LockGrant, error) {
+	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) Decision[LockGrant] {
+		return t.AcquireLock(name, owner, ttl, now)
 	})
 }
 
-func (s *Service) RenewLock(ctx context.Context, name, holder string, fence uint64, hold time.Duration) (LockGrant, error) {
-	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) (*meshpb.Change, LockGrant) {
-		return t.RenewLock(name, holder, fence, hold, now)
+// RenewLock is Table.RenewLock in the lock's shard.
+func (s *Service) RenewLock(ctx context.Context, name, owner string, fencingToken uint64, ttl time.Duration) (LockGrant, error) {
+	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) Decision[LockGrant] {
+		return t.RenewLock(name, owner, fencingToken, ttl, now)
 	})
 }
 
-func (s *Service) ReleaseLock(ctx context.Context, name, holder string, fence uint64) (LockGrant, error) {
-	return TransactRepeatable(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) (*meshpb.Change, LockGrant, bool) {
-		c, g := t.ReleaseLock(name, holder, fence)
-		return c, g, c == nil
+// ReleaseLock is Table.ReleaseLock in the lock's shard.
+func (s *Service) ReleaseLock(ctx context.Context, name, owner string, fencingToken uint64) (LockGrant, error) {
+	return Transact(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) Decision[LockGrant] {
+		return t.ReleaseLock(name, owner, fencingToken)
 	})
 }
 
+// NextNumber is Table.NextNumber in the counter's shard.
 func (s *Service) NextNumber(ctx context.Context, name string) (uint64, error) {
-	return Transact(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) (*meshpb.Change, uint64) { return t.NextNumber(name) })
+	return Transact(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) Decision[uint64] {
+		return t.NextNumber(name)
+	})
 }
 
-func (s *Service) Put(ctx context.Context, name, payload string, on *uint64) (Cell, error) {
-	return TransactRepeatable(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, now time.Duration) (*meshpb.Change, Cell, bool) {
-		c, r := t.Put(name, payload, on, now)
-		return c, r, c == nil && r.Outcome == Done
+// Put is Table.Put in the shard of the key's group.
+func (s *Service) Put(ctx context.Context, name, payload string, expected *uint64) (Cell, error) {
+	return Transact(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, now time.Duration) Decision[Cell] {
+		return t.Put(name, payload, expected, now)
 	})
 }
 
+// Get is Table.Get in the shard of the key's group.
 func (s *Service) Get(ctx context.Context, name string) (Cell, error) {
-	return Transact(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, _ time.Duration) (*meshpb.Change, Cell) { return nil, t.Get(name) })
-}
-
-func (s *Service) since(ctx context.Context, group string, after uint64) (EventList, error) {
-	return Transact(ctx, s, s.ShardOf(group), func(t *Table, _ time.Duration) (*meshpb.Change, EventList) { return nil, t.EventsSince(group, after) })
-}
-
-// Watch answers as soon as the group has an event above after, or with none
-// once wait is over.
-func (s *Service) Watch(ctx context.Context, group string, after uint64, wait time.Duration) (EventList, error) {
-	e, err := s.since(ctx, group, after)
-	if err != nil || e.Outcome != Waiting || wait <= 0 {
-		return e, err
-	}
-	sh := s.ShardOf(group)
-	w := &watcher{group: group, after: after}
-	wctx, stop := context.WithTimeout(ctx, wait)
-	defer stop()
-	o, ok := replication.CallAsync(wctx, s.Loop, func(reply func(out[EventList])) {
-		w.cb = func(e EventList, err error) { reply(out[EventList]{e, err}) }
-		s.watchers[sh] = append(s.watchers[sh], w)
-		s.ring(sh, w)
+	return Transact(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, _ time.Duration) Decision[Cell] {
+		return t.Get(name)
 	})
-	if ok {
-		return o.r, o.err
-	}
-	s.Loop.Post(func() { s.drop(sh, w) })
-	return s.since(ctx, group, after)
 }
 
-func (s *Service) drop(sh int, w *watcher) {
-	w.done = true
-	ws := s.watchers[sh]
-	for i, x := range ws {
-		if x == w {
-			s.watchers[sh] = append(append([]*watcher(nil), ws[:i]...), ws[i+1:]...)
-			return
-		}
-	}
-}
-
-func (s *Service) ring(sh int, w *watcher) {
-	if w.done {
-		return
-	}
-	t := s.Replica.StateMachine(sh).(*Table)
-	if t.EventsSince(w.group, w.after).Outcome == Waiting {
-		return
-	}
-	s.drop(sh, w)
-	var e EventList
-	s.Replica.Execute(sh, func(t replication.StateMachine, _ time.Duration) *meshpb.Change {
-		e = t.(*Table).EventsSince(w.group, w.after)
-		return nil
-	}, func(err error) { w.cb(e, err) })
-}
-
-// Committed and Moved are called on the board's goroutine.
-func (s *Service) OnCommit(sh int) {
-	for _, w := range append([]*watcher(nil), s.watchers[sh]...) {
-		s.ring(sh, w)
-	}
-}
-
-func (s *Service) OnOwnerChange(sh int) {
-	ws := s.watchers[sh]
-	delete(s.watchers, sh)
-	for _, w := range ws {
-		if !w.done {
-			w.done = true
-			w.cb(EventList{}, replication.ErrNotOwner)
-		}
-	}
+// PinSession is Table.PinSession in the session's shard.
+func (s *Service) PinSession(ctx context.Context, q *meshpb.PinRequest) (PinResult, error) {
+	return Transact(ctx, s, s.SessionShard(q.Key), func(t *Table, now time.Duration) Decision[PinResult] {
+		return t.PinSession(q, now)
+	})
 }
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -238,11 +238,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c, p := m.pins.PinSession(q, time.Since(m.t0))
-	if c != nil {
-		m.pins.Apply(c, time.Since(m.t0))
+	d := m.pins.PinSession(q, time.Since(m.t0))
+	if d.Change != nil {
+		m.pins.Apply(d.Change, time.Since(m.t0))
 	}
-	return p.Response(), nil
+	return d.Result.Response(), nil
 }
 
 // Add starts a node beside e; it is in force with the next view.
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -239,11 +239,11 @@
 		n.budget = proxy.NewBudget(ry.Ratio, ry.Slack, ry.Window, n.pools.NodeCount, since)
 		n.cords = affinity.New(affinity.Options{Now: clock, ConfigVersion: func() uint64 { return versionOf(n.plan) }, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 1 << 20,
 			Pin: func(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-				ch, p := w.pins.PinSession(q, since())
-				if ch != nil {
-					w.pins.Apply(ch, since())
+				d := w.pins.PinSession(q, since())
+				if d.Change != nil {
+					w.pins.Apply(d.Change, since())
 				}
-				return p.Response(), nil
+				return d.Result.Response(), nil
 			}})
 		for i, v := range t.Views {
 			x := views[[2]uint64{v.Epoch, v.Version}]
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -516,7 +516,11 @@
 func (r *rules) number() {
 	top := r.numTop
 	var n uint64
-	r.call(1, func(t *coordination.Table, _ time.Duration) (c *meshpb.Change) { c, n = t.NextNumber("n"); return c }, func(err error) {
+	r.call(1, func(t *coordination.Table, _ time.Duration) *meshpb.Change {
+		d := t.NextNumber("n")
+		n = d.Result
+		return d.Change
+	}, func(err error) {
 		if err != nil {
 			return
 		}
@@ -538,9 +542,10 @@
 	r.values[k][v] = true
 	top := r.grpTop
 	var c coordination.Cell
-	r.call(2, func(t *coordination.Table, now time.Duration) (x *meshpb.Change) {
-		x, c = t.Put(k, v, nil, now)
-		return x
+	r.call(2, func(t *coordination.Table, now time.Duration) *meshpb.Change {
+		d := t.Put(k, v, nil, now)
+		c = d.Result
+		return d.Change
 	}, func(err error) {
 		if err != nil {
 			return
@@ -558,7 +563,7 @@
 	k := fmt.Sprintf("g.%d", r.w.rng.Intn(3))
 	top := r.revTop[k]
 	var c coordination.Cell
-	r.call(2, func(t *coordination.Table, _ time.Duration) *meshpb.Change { c = t.Get(k); return nil }, func(err error) {
+	r.call(2, func(t *coordination.Table, _ time.Duration) *meshpb.Change { c = t.Get(k).Result; return nil }, func(err error) {
 		if err != nil {
 			return
 		}
@@ -581,14 +586,15 @@
 	old := r.fence[k]
 	oldWho := r.holder[k]
 	hold := time.Duration(300+r.w.rng.Intn(1500)) * time.Millisecond
-	var g coordination.LockGrant
-	r.call(3, func(t *coordination.Table, now time.Duration) (x *meshpb.Change) {
-		x, g = t.AcquireLock(k, who, hold, now)
-		return x
+	var d coordination.Decision[coordination.LockGrant]
+	r.call(3, func(t *coordination.Table, now time.Duration) *meshpb.Change {
+		d = t.AcquireLock(k, who, hold, now)
+		return d.Change
 	}, func(err error) {
-		if err != nil || g.Outcome != coordination.Done {
+		if err != nil || d.Err != nil {
 			return
 		}
+		g := d.Result
 		if r.w.now >= sent+hold {
 			return
 		}
--- a/internal/replication/worlds_test.go
+++ b/internal/replication/worlds_test.go
@@ -567,9 +567,10 @@
 	var try func()
 	try = func() {
 		var c coordination.Cell
-		g.r.call(2, func(t *coordination.Table, now time.Duration) (x *meshpb.Change) {
-			x, c = t.Put(k, v, nil, now)
-			return x
+		g.r.call(2, func(t *coordination.Table, now time.Duration) *meshpb.Change {
+			d := t.Put(k, v, nil, now)
+			c = d.Result
+			return d.Change
 		}, func(err error) {
 			if err == nil && !done {
 				done = true
@@ -589,7 +590,7 @@
 	g := h.g
 	at := int64(g.now)
 	var c coordination.Cell
-	g.r.call(2, func(t *coordination.Table, _ time.Duration) *meshpb.Change { c = t.Get(k); return nil }, func(err error) {
+	g.r.call(2, func(t *coordination.Table, _ time.Duration) *meshpb.Change { c = t.Get(k).Result; return nil }, func(err error) {
 		if err == nil {
 			h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: keyCall{key: k}, Call: at, Output: keyAnswer{c.Payload, c.Revision, true}, Return: int64(g.now)})
 		}
