--- a/cmd/corkcove/core_test.go
+++ b/cmd/corkcove/core_test.go
@@ -64,8 +64,8 @@
 
 		gate := func(on bool) { replication.Call(loop, func() bool { book.gated = on; return on }) }
 		propose := func(b *meshpb.Blob) {
-			go coordination.Transact(context.Background(), c.svc, 0, func(*coordination.Table, time.Duration) (*meshpb.Change, bool) {
-				return &meshpb.Change{Blob: b}, true
+			go coordination.Transact(context.Background(), c.svc, 0, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
+				return coordination.Decision[struct{}]{Change: &meshpb.Change{Blob: b}}
 			})
 			synctest.Wait()
 		}
