--- a/cmd/corkcove/core_test.go
+++ b/cmd/corkcove/core_test.go
@@ -15,6 +15,7 @@
 	"corkcove/internal/controlapi"
 	"corkcove/internal/coordination"
 	"corkcove/internal/logring"
+	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -22,7 +23,7 @@
 
 // gatedBook syncs a record only when the test says so, once it is gated.
 type gatedBook struct {
-	loop    *replication.Mailbox
+	loop    *mailbox.Mailbox
 	gated   bool
 	pending []func(error)
 }
@@ -43,12 +44,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		t0 := time.Now()
 		now := func() time.Duration { return time.Since(t0) }
-		loop := replication.NewMailbox()
+		loop := mailbox.New()
 		defer loop.Close()
 		book := &gatedBook{loop: loop}
 		lines := rpc.NewClients(&http.Client{})
 		c := &coreNode{process: &process{ring: logring.New(100, time.Second, false), steps: changetrace.NewRing(100), t0: t0}, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
-		c.master = clustercontroller.NewMaster(clustercontroller.Options{Now: now}, replication.NewMailbox(), lines, c)
+		c.master = clustercontroller.NewMaster(clustercontroller.Options{Now: now}, mailbox.New(), lines, c)
 		defer c.master.Mailbox.Close()
 		go c.master.Mailbox.Run(time.Hour, func() {})
 		me := &meshpb.Member{Addr: "m", Control: "m"}
