--- a/internal/clustercontroller/agent.go
+++ b/internal/clustercontroller/agent.go
@@ -29,40 +29,40 @@
 	OnConfig func(version uint64, data []byte) error
 	OnPatch  func(version uint64, patches [][]byte) error
 
-	mu     sync.Mutex
-	node   *meshpb.NodeState
-	wake   chan struct{}
-	cut    chan struct{}
-	epoch  uint64
-	view   *meshpb.View
-	conf   uint64
-	polled time.Duration
-	cmu    sync.Mutex
-	last   *meshpb.Endpoint
+	mu             sync.Mutex
+	state          *meshpb.NodeState
+	stateChanged   chan struct{}
+	pollSuperseded chan struct{}
+	masterEpoch    uint64
+	view           *meshpb.View
+	configVersion  uint64
+	polledUntil    time.Duration
+	configMu       sync.Mutex
+	lastEndpoint   *meshpb.Endpoint
 }
 
 func (a *Agent) Start(n *meshpb.NodeState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node = n
-	a.node.Seq = 1
-	a.wake = make(chan struct{})
-	a.polled = -1 << 40
+	a.state = n
+	a.state.Seq = 1
+	a.stateChanged = make(chan struct{})
+	a.polledUntil = -1 << 40
 }
 
 // Set changes the node's own account and answers the lingering poll.
 func (a *Agent) UpdateState(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.node).(*meshpb.NodeState)
+	n := proto.Clone(a.state).(*meshpb.NodeState)
 	f(n)
-	if proto.Equal(n, a.node) {
+	if proto.Equal(n, a.state) {
 		return
 	}
 	n.Seq++
-	a.node = n
-	close(a.wake)
-	a.wake = make(chan struct{})
+	a.state = n
+	close(a.stateChanged)
+	a.stateChanged = make(chan struct{})
 }
 
 // Murmur changes what the node's next answer to a poll says, without answering
@@ -70,40 +70,40 @@
 func (a *Agent) UpdateStateWithoutWake(f func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.node).(*meshpb.NodeState)
+	n := proto.Clone(a.state).(*meshpb.NodeState)
 	f(n)
-	a.node = n
+	a.state = n
 }
 
-func (a *Agent) fence(epoch uint64) bool {
-	if epoch < a.epoch {
+func (a *Agent) acceptEpoch(epoch uint64) bool {
+	if epoch < a.masterEpoch {
 		return false
 	}
-	a.epoch = epoch
+	a.masterEpoch = epoch
 	return true
 }
 
 func (a *Agent) Poll(ctx context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	a.mu.Lock()
-	if q.Name != a.Name || !a.fence(q.Epoch) {
-		r := &meshpb.PollResponse{Stale: true, Epoch: a.epoch}
+	if q.Name != a.Name || !a.acceptEpoch(q.Epoch) {
+		r := &meshpb.PollResponse{Stale: true, Epoch: a.masterEpoch}
 		a.mu.Unlock()
 		return r, nil
 	}
 	// While a poll lingers, or another is promised, no other master is looked for.
 	promised := time.Duration(q.NextPollMs) * time.Millisecond
-	a.polled = a.Now() + promised
-	if q.Incarnation == a.node.Incarnation && q.Seq == a.node.Seq {
-		a.polled += time.Duration(q.LingerMs) * time.Millisecond
+	a.polledUntil = a.Now() + promised
+	if q.Incarnation == a.state.Incarnation && q.Seq == a.state.Seq {
+		a.polledUntil += time.Duration(q.LingerMs) * time.Millisecond
 	}
-	if a.cut != nil {
-		close(a.cut)
+	if a.pollSuperseded != nil {
+		close(a.pollSuperseded)
 	}
 	c := make(chan struct{})
-	a.cut = c
-	n, w := a.node, a.wake
-	if a.last == nil {
-		a.last = q.LastEndpoint
+	a.pollSuperseded = c
+	n, w := a.state, a.stateChanged
+	if a.lastEndpoint == nil {
+		a.lastEndpoint = q.LastEndpoint
 	}
 	a.mu.Unlock()
 	if q.Incarnation == n.Incarnation && q.Seq == n.Seq {
@@ -118,24 +118,24 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.cut == c {
-		a.cut = nil
+	if a.pollSuperseded == c {
+		a.pollSuperseded = nil
 		if ctx.Err() != nil {
-			a.polled = -1 << 40
+			a.polledUntil = -1 << 40
 			return nil, ctx.Err()
 		}
 	}
-	a.polled = max(a.Now()+promised, a.polledUnless(c))
-	out := proto.Clone(a.node).(*meshpb.NodeState)
-	out.ViewEpoch, out.ViewVersion, out.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.conf
-	return &meshpb.PollResponse{Node: out, Epoch: a.epoch}, nil
+	a.polledUntil = max(a.Now()+promised, a.promisedByNewerPoll(c))
+	out := proto.Clone(a.state).(*meshpb.NodeState)
+	out.ViewEpoch, out.ViewVersion, out.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.configVersion
+	return &meshpb.PollResponse{Node: out, Epoch: a.masterEpoch}, nil
 }
 
 // polledUnless is what a poll that came since the one with that mark has
 // promised.
-func (a *Agent) polledUnless(c chan struct{}) time.Duration {
-	if a.cut != nil && a.cut != c {
-		return a.polled
+func (a *Agent) promisedByNewerPoll(c chan struct{}) time.Duration {
+	if a.pollSuperseded != nil && a.pollSuperseded != c {
+		return a.polledUntil
 	}
 	return 0
 }
@@ -145,7 +145,7 @@
 	if err := proto.Unmarshal(q.Packed, v); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	ok := a.take(v, max(q.Epoch, v.Epoch), q.To)
+	ok := a.applyView(v, max(q.Epoch, v.Epoch), q.To)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return &meshpb.PublishViewResponse{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
@@ -153,12 +153,12 @@
 
 // take takes a view from a master under an epoch, which may be later than the
 // view's own.
-func (a *Agent) take(v *meshpb.View, epoch uint64, to string) bool {
+func (a *Agent) applyView(v *meshpb.View, epoch uint64, to string) bool {
 	if v == nil || to != "" && to != a.Name {
 		return false
 	}
 	a.mu.Lock()
-	if !a.fence(epoch) {
+	if !a.acceptEpoch(epoch) {
 		a.mu.Unlock()
 		return false
 	}
@@ -188,17 +188,17 @@
 	if q.To != "" && q.To != a.Name {
 		return &meshpb.DeliverConfigResponse{}, nil
 	}
-	ok := a.configure(q.Epoch, q.Version, q.BaseVersion, q.Data, q.Patches)
+	ok := a.applyConfig(q.Epoch, q.Version, q.BaseVersion, q.Data, q.Patches)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.conf}, nil
+	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.configVersion}, nil
 }
 
-func (a *Agent) configure(epoch, version, base uint64, data []byte, patches [][]byte) bool {
-	a.cmu.Lock()
-	defer a.cmu.Unlock()
+func (a *Agent) applyConfig(epoch, version, base uint64, data []byte, patches [][]byte) bool {
+	a.configMu.Lock()
+	defer a.configMu.Unlock()
 	a.mu.Lock()
-	old := a.conf
+	old := a.configVersion
 	a.mu.Unlock()
 	if version <= old {
 		return true
@@ -226,7 +226,7 @@
 		return false
 	}
 	a.mu.Lock()
-	a.conf = version
+	a.configVersion = version
 	a.mu.Unlock()
 	if a.Trace != nil {
 		a.Trace("configuration", "applied", epoch, version)
@@ -237,21 +237,21 @@
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.view != nil && a.conf > 0
+	return a.view != nil && a.configVersion > 0
 }
 
 // Last is the endpoint that the master knew beside this node before it started.
 func (a *Agent) LastEndpoint() *meshpb.Endpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last
+	return a.lastEndpoint
 }
 
 // Config is the version of the configuration in force here.
 func (a *Agent) ConfigVersion() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.conf
+	return a.configVersion
 }
 
 func (a *Agent) View() *meshpb.View {
@@ -295,10 +295,10 @@
 	wait := gap
 	for {
 		a.mu.Lock()
-		quiet := a.Now()-a.polled > a.RegisterAfter
+		quiet := a.Now()-a.polledUntil > a.RegisterAfter
 		a.mu.Unlock()
 		if quiet {
-			if a.hello(ctx) {
+			if a.register(ctx) {
 				wait = max(a.RegisterAfter/3, gap)
 			} else {
 				wait = min(wait*5/4, 5*gap)
@@ -318,16 +318,16 @@
 
 // helloMost bounds how many core nodes one hello asks.
 const (
-	helloMost = 4
-	helloWait = 500 * time.Millisecond
+	maxRegisterCalls = 4
+	registerTimeout  = 500 * time.Millisecond
 )
 
 // hello looks for the master among the core nodes: first the one last heard of,
 // then the one that another names, then others in turns. So hundreds of nodes
 // that start at once do not all ask the whole core.
-func (a *Agent) hello(ctx context.Context) bool {
+func (a *Agent) register(ctx context.Context) bool {
 	a.mu.Lock()
-	n := a.node
+	n := a.state
 	a.mu.Unlock()
 	todo := a.CoreAddresses()
 	first := 0
@@ -336,21 +336,21 @@
 	}
 	rand.Shuffle(len(todo)-first, func(i, j int) { todo[first+i], todo[first+j] = todo[first+j], todo[first+i] })
 	asked := map[string]bool{}
-	for len(todo) > 0 && len(asked) < helloMost && ctx.Err() == nil {
+	for len(todo) > 0 && len(asked) < maxRegisterCalls && ctx.Err() == nil {
 		c := todo[0]
 		todo = todo[1:]
 		if c == "" || asked[c] {
 			continue
 		}
 		asked[c] = true
-		r, err := rpc.Call(helloWait, a.Clients.Control(c).RegisterNode, &meshpb.RegisterNodeRequest{Node: n})
+		r, err := rpc.Call(registerTimeout, a.Clients.Control(c).RegisterNode, &meshpb.RegisterNodeRequest{Node: n})
 		if err != nil {
 			continue
 		}
 		if r.Master {
 			a.mu.Lock()
-			if a.last == nil {
-				a.last = r.LastEndpoint
+			if a.lastEndpoint == nil {
+				a.lastEndpoint = r.LastEndpoint
 			}
 			a.mu.Unlock()
 			return true
--- a/internal/clustercontroller/delta_test.go
+++ b/internal/clustercontroller/delta_test.go
@@ -17,48 +17,48 @@
 )
 
 // eavesdrop counts what goes to one node.
-type eavesdrop struct {
+type recordingNode struct {
 	meshpb.Node
-	mu     sync.Mutex
-	views  []*meshpb.View
-	wholes int
-	steps  int
-	bytes  int
-	drop   bool
+	mu          sync.Mutex
+	views       []*meshpb.View
+	fullConfigs int
+	patches     int
+	patchBytes  int
+	failing     bool
 }
 
-func (e *eavesdrop) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
+func (e *recordingNode) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	e.mu.Lock()
 	v := &meshpb.View{}
 	proto.Unmarshal(q.Packed, v)
 	e.views = append(e.views, v)
-	d := e.drop
+	d := e.failing
 	e.mu.Unlock()
 	if d {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	return e.Node.PublishView(c, q)
 }
 
-func (e *eavesdrop) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func (e *recordingNode) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	e.mu.Lock()
 	if q.BaseVersion > 0 {
-		e.steps += len(q.Patches)
+		e.patches += len(q.Patches)
 		for _, p := range q.Patches {
-			e.bytes += len(p)
+			e.patchBytes += len(p)
 		}
 	} else {
-		e.wholes++
+		e.fullConfigs++
 	}
-	d := e.drop
+	d := e.failing
 	e.mu.Unlock()
 	if d {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	return e.Node.DeliverConfig(c, q)
 }
 
-func config(version, routes int, timeout float64) []byte {
+func configDocument(version, routes int, timeout float64) []byte {
 	b := fmt.Appendf(nil, `{"stamp":"r%d","resourceList":[{"variant":"serviceList","metadata":{"name":"s"},"specification":{"soundnessPath":"/h"}}`, version)
 	for i := range routes {
 		t := 2.0
@@ -70,13 +70,13 @@
 	return append(b, "]}"...)
 }
 
-func TestNodesGetOnlyWhatChanged(t *testing.T) {
+func TestNodesReceiveOnlyPatchesAndViewDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStage(t, 12)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
-		e := &eavesdrop{Node: s.ns[0]}
-		a := s.ns[0].agent
+		s := newTestCluster(t, 12)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
+		e := &recordingNode{Node: s.nodes[0]}
+		a := s.nodes[0].agent
 		var doc routeconfig.Config
 		a.OnConfig = func(_ uint64, b []byte) (err error) { doc, err = routeconfig.Parse(b); return err }
 		a.OnPatch = func(_ uint64, ps [][]byte) error {
@@ -91,84 +91,86 @@
 			}
 			return nil
 		}
-		s.m.lines.PutNode("a0", e)
-		last := &meshpb.Config{Version: 3, Packed: rpc.Pack(config(3, 400, 2))}
-		s.do(func() {
-			s.m.BecomeMaster(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
+		s.master.clients.PutNode("a0", e)
+		last := &meshpb.Config{Version: 3, Packed: rpc.Pack(configDocument(3, 400, 2))}
+		s.run(func() {
+			s.master.BecomeMaster(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
 		})
-		s.hello()
-		pass(3 * time.Second)
-		qt.Assert(t, e.wholes, qt.Equals, 1)
-		whole := len(s.m.packed)
+		s.registerAll()
+		advance(3 * time.Second)
+		qt.Assert(t, e.fullConfigs, qt.Equals, 1)
+		whole := len(s.master.packedConfig)
 		for i := range 5 {
-			old, err := routeconfig.Parse(config(3+i, 400, 2+float64(i)))
+			old, err := routeconfig.Parse(configDocument(3+i, 400, 2+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
-			now, err := routeconfig.Parse(config(4+i, 400, 3+float64(i)))
+			now, err := routeconfig.Parse(configDocument(4+i, 400, 3+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
 			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Marshal()), Patches: append(last.Patches, &meshpb.ConfigPatch{BaseVersion: old.Version, Version: now.Version, Patch: rpc.Pack(now.PatchFrom(old))})}
 			if i == 4 {
 				// Another master, which has never led, knows the way from the control state.
-				s.do(s.m.StepDown)
-				s.m.conf, s.m.packed, s.m.steps = 0, nil, nil
-				s.do(func() { s.m.BecomeMaster(2, s.st.v, map[string]string{}, last, &meshpb.Membership{Version: 1}) })
+				s.run(s.master.StepDown)
+				s.master.configVersion, s.master.packedConfig, s.master.configPatches = 0, nil, nil
+				s.run(func() {
+					s.master.BecomeMaster(2, s.store.view, map[string]string{}, last, &meshpb.Membership{Version: 1})
+				})
 			} else {
-				s.do(func() { s.m.SetConfig(last) })
+				s.run(func() { s.master.SetConfig(last) })
 			}
-			pass(200 * time.Millisecond)
+			advance(200 * time.Millisecond)
 		}
-		qt.Assert(t, e.wholes, qt.Equals, 1)
-		qt.Assert(t, e.steps, qt.Equals, 5)
-		qt.Assert(t, e.bytes < whole/2, qt.IsTrue)
+		qt.Assert(t, e.fullConfigs, qt.Equals, 1)
+		qt.Assert(t, e.patches, qt.Equals, 5)
+		qt.Assert(t, e.patchBytes < whole/2, qt.IsTrue)
 		qt.Assert(t, doc.Version, qt.Equals, uint64(8))
 		got := routeconfig.Compile(doc).Match("a", "/p7/x")
 		qt.Assert(t, got.Timeout, qt.Equals, 7*time.Second)
 
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		n := len(e.views)
-		s.ns[3].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
-		pass(time.Second)
+		s.nodes[3].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+		advance(time.Second)
 		qt.Assert(t, len(e.views), qt.Equals, n+1)
 		qt.Assert(t, e.views[n].BaseVersion > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
-		qt.Assert(t, s.count(0), qt.Equals, 12)
+		qt.Assert(t, s.endpointCount(0), qt.Equals, 12)
 
 		e.mu.Lock()
-		e.drop = true
+		e.failing = true
 		e.mu.Unlock()
 		// An answer that got lost leaves the master with an older version; the node
 		// then says which one it holds, and gets the difference from that.
-		s.ns[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
-		pass(1600 * time.Millisecond)
-		for older := false; !older; pass(time.Millisecond) {
-			s.do(func() {
-				if c := s.m.courier("n0"); !c.busy {
-					c.view--
+		s.nodes[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+		advance(1600 * time.Millisecond)
+		for older := false; !older; advance(time.Millisecond) {
+			s.run(func() {
+				if c := s.master.progressOf("n0"); !c.viewInFlight {
+					c.viewVersion--
 					older = true
 				}
 			})
 		}
 		e.mu.Lock()
 		n = len(e.views)
-		e.drop = false
+		e.failing = false
 		e.mu.Unlock()
-		pass(time.Second)
+		advance(time.Second)
 		for _, v := range e.views[n:] {
 			qt.Assert(t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("a whole view was sent"))
 		}
-		qt.Assert(t, a.View().Version, qt.Equals, s.st.v.Version)
+		qt.Assert(t, a.View().Version, qt.Equals, s.store.view.Version)
 		e.mu.Lock()
-		e.drop = true
+		e.failing = true
 		e.mu.Unlock()
-		for i := range keepViews + 4 {
-			s.ns[4+i%8].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
-			pass(600 * time.Millisecond)
+		for i := range maxRecentViews + 4 {
+			s.nodes[4+i%8].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+			advance(600 * time.Millisecond)
 		}
 		e.mu.Lock()
-		e.drop = false
+		e.failing = false
 		e.mu.Unlock()
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		qt.Assert(t, e.views[len(e.views)-1].BaseVersion, qt.Equals, uint64(0), qt.Commentf("whole on a gap"))
-		s.ns[0].mu.Lock()
-		defer s.ns[0].mu.Unlock()
-		qt.Assert(t, a.View().Version, qt.Equals, s.st.v.Version)
+		s.nodes[0].mu.Lock()
+		defer s.nodes[0].mu.Unlock()
+		qt.Assert(t, a.View().Version, qt.Equals, s.store.view.Version)
 	})
 }
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -49,78 +49,78 @@
 	Trace      func(what string, epoch, version uint64)
 }
 
-func (o Options) rules() rules {
-	return rules{o.CrashWindow, o.CrashLimit, o.PollFailureLimit, o.UnreachableAfter}
+func (o Options) historyRules() historyRules {
+	return historyRules{o.CrashWindow, o.CrashLimit, o.PollFailureLimit, o.UnreachableAfter}
 }
 
 // Master runs on its own mailbox; all its fields belong to that goroutine.
 type Master struct {
-	o       Options
+	options Options
 	Mailbox *mailbox.Mailbox
-	lines   *rpc.Clients
+	clients *rpc.Clients
 	store   ViewStore
 
-	leading    bool
-	paused     bool
-	epoch      uint64
-	since      time.Duration
-	hs         map[string]*history
-	users      map[string]string
-	polls      map[string]context.CancelFunc
-	membership *meshpb.Membership
-
-	listed []*meshpb.Endpoint
-	ills   verdicts
-	judged time.Duration
-	heated time.Duration
-	hots   *hotkeys.Tracker
-	hot    []*meshpb.HotKey
-	view   *meshpb.View
-	inner  []*meshpb.Endpoint
-	kept   *meshpb.StoredVersions
-	dirty  bool
+	leading     bool
+	suspended   bool
+	epoch       uint64
+	masterSince time.Duration
+	histories   map[string]*nodeHistory
+	userStates  map[string]string
+	pollCancels map[string]context.CancelFunc
+	membership  *meshpb.Membership
+
+	listedEndpoints    []*meshpb.Endpoint
+	ejections          ejections
+	ejectionsUpdatedAt time.Duration
+	hotKeysUpdatedAt   time.Duration
+	hotKeyTracker      *hotkeys.Tracker
+	hotKeys            []*meshpb.HotKey
+	view               *meshpb.View
+	endpoints          []*meshpb.Endpoint
+	storedVersions     *meshpb.StoredVersions
+	mergePending       bool
 	// rejoining: endpoints that nodes have not found again count as they were.
-	rejoining bool
-	changed   time.Duration
-	made      time.Duration
-	making    bool
+	rejoining          bool
+	endpointsChangedAt time.Duration
+	lastViewAt         time.Duration
+	savingView         bool
 
-	conf    uint64
-	packed  []byte
-	steps   []*meshpb.ConfigPatch
-	sends   map[string]*courier
-	views   []*meshpb.View
-	packs   map[uint64][]byte
-	packsOf uint64
-	packsIn uint64
-	parcels map[string]*parcel
-	shunned map[string]time.Duration
+	configVersion     uint64
+	packedConfig      []byte
+	configPatches     []*meshpb.ConfigPatch
+	progress          map[string]*nodeProgress
+	recentViews       []*meshpb.View
+	packedViews       map[uint64][]byte
+	packedViewVersion uint64
+	packedViewEpoch   uint64
+	batches           map[string]*batch
+	relayRetryAt      map[string]time.Duration
 }
 
-const keepViews = 24
+const maxRecentViews = 24
 
 // rejoin is how long after a takeover a node that has lost its memory may take to
 // find its endpoint: a beat and a little more.
-const rejoin = 2 * time.Second
+const rejoinTimeout = 2 * time.Second
 
 // courier is what the master knows that one life of a node has.
-type courier struct {
-	life string
-	view uint64
-	conf uint64
+type nodeProgress struct {
+	incarnation   string
+	viewVersion   uint64
+	configVersion uint64
 	// bare: it has no view at all.
-	bare  bool
-	busy  bool
-	cbusy bool
-	whole bool
-	large bool
-	again time.Duration
+	withoutView     bool
+	viewInFlight    bool
+	configInFlight  bool
+	needsFullConfig bool
+	sentFullConfig  bool
+	retryConfigAt   time.Duration
 	// sent is when a configuration was last sent, acked when one was acknowledged.
-	sent  time.Duration
-	acked time.Duration
+	configSentAt  time.Duration
+	configAckedAt time.Duration
 	// attempt numbers all sendings, unanswered counts those since the last answer.
-	attempt    uint64
-	unanswered int
+	configAttempt      uint64
+	unansweredAttempts int
 }
 
 // A configuration without an answer is sent again by another way while the
@@ -128,86 +128,86 @@
 // shortest time that a site gives its nodes to apply a version.
 const (
 	// redeliverPatch is twice what a relay waits for its next node.
-	redeliverPatch = 2 * relayStill
+	patchRetryAfter = 2 * relayIdleTimeout
 	// redeliverFull leaves a large configuration time on a full link.
-	redeliverFull = 1500 * time.Millisecond
+	fullConfigRetryAfter = 1500 * time.Millisecond
 	// relayChoices is how many relays take turns for one node, so that sendings to many
 	// nodes still go together.
 	relayChoices = 3
 )
 
 func NewMaster(o Options, l *mailbox.Mailbox, lines *rpc.Clients, st ViewStore) *Master {
-	return &Master{o: o, Mailbox: l, lines: lines, store: st, hs: map[string]*history{}, users: map[string]string{}, hots: hotkeys.NewTracker(o.HotKeys),
-		polls: map[string]context.CancelFunc{}, ills: verdicts{}, view: &meshpb.View{}, sends: map[string]*courier{}, shunned: map[string]time.Duration{}}
+	return &Master{options: o, Mailbox: l, clients: lines, store: st, histories: map[string]*nodeHistory{}, userStates: map[string]string{}, hotKeyTracker: hotkeys.NewTracker(o.HotKeys),
+		pollCancels: map[string]context.CancelFunc{}, ejections: ejections{}, view: &meshpb.View{}, progress: map[string]*nodeProgress{}, relayRetryAt: map[string]time.Duration{}}
 }
 
-func (m *Master) note(f string, a ...any) {
-	if m.o.Logf != nil {
-		m.o.Logf(f, a...)
+func (m *Master) logf(f string, a ...any) {
+	if m.options.Logf != nil {
+		m.options.Logf(f, a...)
 	}
 }
 
 func (m *Master) trace(what string, version uint64) {
-	if m.o.Trace != nil {
-		m.o.Trace(what, m.epoch, version)
+	if m.options.Trace != nil {
+		m.options.Trace(what, m.epoch, version)
 	}
 }
 
 // Lead makes this process the master under the epoch of shard 0, which also
 // keeps the last view that was published.
 func (m *Master) BecomeMaster(epoch uint64, kept *meshpb.View, users map[string]string, conf *meshpb.Config, membership *meshpb.Membership) {
-	now := m.o.Now()
+	now := m.options.Now()
 	if kept.GetVersion() > m.view.Version {
 		m.view = kept
 	}
-	m.note("master under epoch %d, view %d, configuration %d", epoch, m.view.Version, conf.GetVersion())
-	m.paused = false
-	m.leading, m.epoch, m.since, m.made, m.changed = true, epoch, now, now, now
-	m.users, m.membership = users, membership
+	m.logf("master under epoch %d, view %d, configuration %d", epoch, m.view.Version, conf.GetVersion())
+	m.suspended = false
+	m.leading, m.epoch, m.masterSince, m.lastViewAt, m.endpointsChangedAt = true, epoch, now, now, now
+	m.userStates, m.membership = users, membership
 	v := m.view
-	m.making = false
-	m.sends, m.views, m.packs = map[string]*courier{}, nil, nil
-	m.listed = nil
-	m.hot = v.HotKeys
-	m.hots.Restore(v.HotKeys, now)
+	m.savingView = false
+	m.progress, m.recentViews, m.packedViews = map[string]*nodeProgress{}, nil, nil
+	m.listedEndpoints = nil
+	m.hotKeys = v.HotKeys
+	m.hotKeyTracker.Restore(v.HotKeys, now)
 	for _, e := range v.Endpoints {
 		if e.Node == "" {
-			m.listed = append(m.listed, e)
+			m.listedEndpoints = append(m.listedEndpoints, e)
 			continue
 		}
-		was := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: back(e.State), Healthy: true, SoftwareVersion: e.SoftwareVersion}
-		h := m.hs[e.Node]
+		was := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: reportedState(e.State), Healthy: true, SoftwareVersion: e.SoftwareVersion}
+		h := m.histories[e.Node]
 		if h == nil {
-			h = &history{state: &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: was}, endpoint: e.Id, last: was}
-			m.hs[e.Node] = h
+			h = &nodeHistory{state: &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: was}, endpointID: e.Id, lastEndpoint: was}
+			m.histories[e.Node] = h
 		}
-		h.seen, h.fails, h.reached, h.kept = now, 0, true, true
+		h.lastContact, h.pollFailures, h.reachable, h.restoredFromView = now, 0, true, true
 	}
 	m.rejoining = true
 	for _, l := range v.NodeAddresses {
-		name, addr := cut(l)
-		h := m.hs[name]
+		name, addr := splitNodeAddress(l)
+		h := m.histories[name]
 		if h == nil {
-			h = &history{state: &meshpb.NodeState{Name: name}, seen: now}
-			m.hs[name] = h
+			h = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
+			m.histories[name] = h
 		}
 		if h.state.Addr == "" {
 			h.state.Addr = addr
 		}
 	}
-	m.sweep()
-	m.put()
+	m.pollAllOnce()
+	m.mergeStates()
 	m.SetConfig(conf)
 }
 
-func back(s string) string {
+func reportedState(s string) string {
 	if s == Up {
 		return "ready"
 	}
 	return s
 }
 
-func cut(l string) (string, string) {
+func splitNodeAddress(l string) (string, string) {
 	for i := range l {
 		if l[i] == ' ' {
 			return l[:i], l[i+1:]
@@ -217,18 +217,18 @@
 }
 
 // SetKept names what shard 0 keeps; it is called before Lead.
-func (m *Master) SetStoredVersions(k *meshpb.StoredVersions) { m.kept = k }
+func (m *Master) SetStoredVersions(k *meshpb.StoredVersions) { m.storedVersions = k }
 
 func (m *Master) StepDown() {
 	if !m.leading {
 		return
 	}
-	m.kept = nil
-	m.note("no longer master under epoch %d", m.epoch)
+	m.storedVersions = nil
+	m.logf("no longer master under epoch %d", m.epoch)
 	m.leading = false
-	for n, stop := range m.polls {
+	for n, stop := range m.pollCancels {
 		stop()
-		delete(m.polls, n)
+		delete(m.pollCancels, n)
 	}
 }
 
@@ -239,12 +239,12 @@
 // SetUsers takes all user states; the node just set to up starts with a clean
 // history.
 func (m *Master) SetUserStates(u map[string]string, node string) {
-	if h := m.hs[node]; h != nil && u[node] == "" {
-		h.setOut, h.unproven, h.crashes = false, false, nil
+	if h := m.histories[node]; h != nil && u[node] == "" {
+		h.crashLooping, h.awaitingWarmup, h.crashes = false, false, nil
 	}
-	m.note("user state of %s: %q", node, u[node])
-	m.users = u
-	m.touch()
+	m.logf("user state of %s: %q", node, u[node])
+	m.userStates = u
+	m.scheduleMerge()
 }
 
 // SetListed takes a whole reading of the platform's list; until the next one
@@ -253,25 +253,25 @@
 	if !m.leading {
 		return
 	}
-	m.listed = es
-	m.touch()
+	m.listedEndpoints = es
+	m.scheduleMerge()
 }
 
-func (m *Master) KnowsNode(node string) bool { return m.hs[node] != nil }
+func (m *Master) KnowsNode(node string) bool { return m.histories[node] != nil }
 
 // Nodes tells what the master knows of each node, and why a state was lowered.
 func (m *Master) NodeStatuses() []*meshpb.NodeStatus {
 	var out []*meshpb.NodeStatus
-	for n, h := range m.hs {
+	for n, h := range m.histories {
 		e := h.state.GetEndpoint()
 		l := &meshpb.NodeStatus{Name: n, Addr: h.state.GetAddr(), Zone: h.state.GetZone(), Service: h.state.GetService(), Endpoint: e.GetId(),
-			Reported: e.GetState(), Official: h.official(m.users[n]), User: m.users[n], Slots: e.GetSlots(), Reached: h.reached}
+			Reported: e.GetState(), Official: h.officialState(m.userStates[n]), User: m.userStates[n], Slots: e.GetSlots(), Reached: h.reachable}
 		switch {
-		case !h.reached:
+		case !h.reachable:
 			l.Why = "does not answer polls"
-		case h.setOut:
+		case h.crashLooping:
 			l.Why = "set out: ended too often"
-		case h.unproven:
+		case h.awaitingWarmup:
 			l.Why = "died cold; down until warm"
 		case e == nil && h.state.GetService() == "":
 			l.Why = "an edge: no endpoint beside it"
@@ -290,136 +290,136 @@
 
 // SetConfig hands a newly committed configuration to all nodes at once.
 func (m *Master) SetConfig(c *meshpb.Config) {
-	if c.GetVersion() > m.conf {
-		m.conf, m.packed, m.steps = c.Version, c.Packed, c.Patches
+	if c.GetVersion() > m.configVersion {
+		m.configVersion, m.packedConfig, m.configPatches = c.Version, c.Packed, c.Patches
 	}
 	if !m.leading {
 		return
 	}
-	for n, h := range m.hs {
-		m.deliver(n, h)
+	for n, h := range m.histories {
+		m.sendConfig(n, h)
 	}
 }
 
 // way gives the patches from a version to the configuration in force.
-func (m *Master) way(from uint64) [][]byte {
+func (m *Master) patchesFrom(from uint64) [][]byte {
 	var out [][]byte
 	size := 0
-	for _, s := range m.steps {
+	for _, s := range m.configPatches {
 		if s.BaseVersion == from || out != nil {
 			out = append(out, s.Patch)
 			size += len(s.Patch)
 		}
 	}
-	if size > len(m.packed) {
+	if size > len(m.packedConfig) {
 		return nil
 	}
 	return out
 }
 
 // Config is the version of the configuration in force.
-func (m *Master) ConfigVersion() uint64 { return m.conf }
+func (m *Master) ConfigVersion() uint64 { return m.configVersion }
 
 func (m *Master) View() *meshpb.View { return m.view }
 
 // Hello makes a node known; it gives back the endpoint that the node had last.
 func (m *Master) RegisterNode(n *meshpb.NodeState) (*meshpb.Endpoint, bool) {
-	if !m.leading || !m.sure() {
+	if !m.leading || !m.checkLease() {
 		return nil, false
 	}
-	h := m.hs[n.Name]
+	h := m.histories[n.Name]
 	if h == nil {
-		h = &history{}
-		m.hs[n.Name] = h
+		h = &nodeHistory{}
+		m.histories[n.Name] = h
 	}
 	if h.state == nil || h.state.Incarnation != n.Incarnation || h.state.Addr != n.Addr {
-		h.report(n, m.o.Now(), m.o.rules())
-		delete(m.sends, n.Name)
-		if stop := m.polls[n.Name]; stop != nil {
+		h.recordReport(n, m.options.Now(), m.options.historyRules())
+		delete(m.progress, n.Name)
+		if stop := m.pollCancels[n.Name]; stop != nil {
 			stop()
-			delete(m.polls, n.Name)
+			delete(m.pollCancels, n.Name)
 		}
-		m.touch()
+		m.scheduleMerge()
 	}
-	m.poll(n.Name, n.Addr)
-	m.follow(n.Name, h)
-	return h.last, true
+	m.startPolling(n.Name, n.Addr)
+	m.sendUpdates(n.Name, h)
+	return h.lastEndpoint, true
 }
 
 // sweep asks all nodes at once how they are; the polls that linger follow one
 // after the other.
-func (m *Master) sweep() {
+func (m *Master) pollAllOnce() {
 	ep := m.epoch
 	i := 0
-	next := m.linger()
-	for name, h := range m.hs {
-		if h.state.GetAddr() == "" || m.polls[name] != nil {
+	next := m.pollLinger()
+	for name, h := range m.histories {
+		if h.state.GetAddr() == "" || m.pollCancels[name] != nil {
 			continue
 		}
 		i++
-		after := time.Duration(i) * m.o.SendTimePerNode
-		req := &meshpb.RelayRequest{Poll: &meshpb.PollRequest{Epoch: ep, NextPollMs: uint64(min(m.spread(), next) / time.Millisecond)}, Stored: m.kept}
-		m.send("poll", req, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr, LastEndpoint: h.last}, func(a *meshpb.RelayAck) {
-			if m.epoch != ep || !m.leading || m.hs[name] != h || m.polls[name] != nil {
+		after := time.Duration(i) * m.options.SendTimePerNode
+		req := &meshpb.RelayRequest{Poll: &meshpb.PollRequest{Epoch: ep, NextPollMs: uint64(min(m.directSendTime(), next) / time.Millisecond)}, Stored: m.storedVersions}
+		m.enqueue("poll", req, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr, LastEndpoint: h.lastEndpoint}, func(a *meshpb.RelayAck) {
+			if m.epoch != ep || !m.leading || m.histories[name] != h || m.pollCancels[name] != nil {
 				return
 			}
 			if r := a.GetPoll(); r.GetNode() != nil && !r.Stale {
-				m.heard(name, h, r.Node)
-				m.pollAfter(name, h.state.GetAddr(), after, r.Node)
+				m.handlePollAnswer(name, h, r.Node)
+				m.startPollingAfter(name, h.state.GetAddr(), after, r.Node)
 				return
 			}
-			m.poll(name, h.state.GetAddr())
+			m.startPolling(name, h.state.GetAddr())
 		})
 	}
 }
 
 // linger is how long a poll stays at a node: with many nodes longer, so that a
 // quiet mesh costs the master little.
-func (m *Master) linger() time.Duration {
-	return max(m.o.PollLinger, min(time.Duration(len(m.hs))*m.o.PollLingerPerNode, m.o.MaxPollLinger))
+func (m *Master) pollLinger() time.Duration {
+	return max(m.options.PollLinger, min(time.Duration(len(m.histories))*m.options.PollLingerPerNode, m.options.MaxPollLinger))
 }
 
 // sure stops all polls while the lease of shard 0 is not certain, so that the
 // nodes look for another master, and takes them up again after.
-func (m *Master) sure() bool {
-	ok := m.o.HoldsLease == nil || m.o.HoldsLease()
-	if m.leading && !ok && !m.paused {
-		m.note("the lease of shard 0 is not certain; silent")
-		m.paused = true
-		for n, stop := range m.polls {
+func (m *Master) checkLease() bool {
+	ok := m.options.HoldsLease == nil || m.options.HoldsLease()
+	if m.leading && !ok && !m.suspended {
+		m.logf("the lease of shard 0 is not certain; silent")
+		m.suspended = true
+		for n, stop := range m.pollCancels {
 			stop()
-			delete(m.polls, n)
+			delete(m.pollCancels, n)
 		}
 	}
-	if m.leading && ok && m.paused {
-		m.paused = false
-		for _, h := range m.hs {
-			h.seen = m.o.Now()
+	if m.leading && ok && m.suspended {
+		m.suspended = false
+		for _, h := range m.histories {
+			h.lastContact = m.options.Now()
 		}
-		m.sweep()
+		m.pollAllOnce()
 	}
 	return ok
 }
 
-func (m *Master) poll(name, addr string) { m.pollAfter(name, addr, 0, nil) }
+func (m *Master) startPolling(name, addr string) { m.startPollingAfter(name, addr, 0, nil) }
 
 // pollAfter begins to poll a node in a while; n is what it said just now.
-func (m *Master) pollAfter(name, addr string, wait time.Duration, n *meshpb.NodeState) {
-	if m.polls[name] != nil || addr == "" || m.paused {
+func (m *Master) startPollingAfter(name, addr string, wait time.Duration, n *meshpb.NodeState) {
+	if m.pollCancels[name] != nil || addr == "" || m.suspended {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m.polls[name] = stop
+	m.pollCancels[name] = stop
 	ep := m.epoch
-	c := m.lines.Node(addr)
-	st := m.hs[name].state
+	c := m.clients.Node(addr)
+	st := m.histories[name].state
 	life, seq := st.GetIncarnation(), uint64(0)
 	if n != nil {
 		life, seq = n.Incarnation, n.Seq
 	}
-	late := 2 * m.spread()
-	last := m.hs[name].last
-	most := m.linger()
+	late := 2 * m.directSendTime()
+	last := m.histories[name].lastEndpoint
+	most := m.pollLinger()
 	go func() {
 		if wait > 0 {
 			select {
@@ -433,7 +433,7 @@
 			if seq == 0 {
 				linger = 0
 			}
-			cx, cancel := context.WithTimeout(ctx, linger+m.o.PollGrace+late)
+			cx, cancel := context.WithTimeout(ctx, linger+m.options.PollGrace+late)
 			r, err := c.Poll(cx, &meshpb.PollRequest{Epoch: ep, Incarnation: life, Seq: seq, LingerMs: uint64(linger / time.Millisecond), Name: name, LastEndpoint: last})
 			cancel()
 			if ctx.Err() != nil {
@@ -446,23 +446,23 @@
 				if ctx.Err() != nil || !m.leading || m.epoch != ep {
 					return
 				}
-				h := m.hs[name]
+				h := m.histories[name]
 				if err == nil && r.Stale {
 					if r.Epoch > ep {
-						m.note("node %s has heard of epoch %d", name, r.Epoch)
+						m.logf("node %s has heard of epoch %d", name, r.Epoch)
 						return
 					}
 					h.state.Addr = ""
 				}
 				if bad {
-					m.missed(name, h)
+					m.handlePollFailure(name, h)
 					return
 				}
-				m.heard(name, h, r.Node)
+				m.handlePollAnswer(name, h, r.Node)
 				life, seq, last = r.Node.Incarnation, r.Node.Seq, nil
-				most = m.linger()
+				most = m.pollLinger()
 				if r.Node.Endpoint == nil {
-					last = h.last
+					last = h.lastEndpoint
 				}
 			})
 			select {
@@ -472,7 +472,7 @@
 			}
 			if bad {
 				select {
-				case <-time.After(m.o.PollGrace / 2):
+				case <-time.After(m.options.PollGrace / 2):
 				case <-ctx.Done():
 				}
 			}
@@ -480,112 +480,112 @@
 	}()
 }
 
-func (m *Master) heard(name string, h *history, n *meshpb.NodeState) {
-	was := h.official(m.users[name])
-	same := h.reached && h.state.GetIncarnation() == n.Incarnation && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
-	h.report(n, m.o.Now(), m.o.rules())
-	m.met(name, n)
-	if now := h.official(m.users[name]); now != was {
-		m.note("node %s: endpoint %s %s -> %s (reported %s)", name, n.Endpoint.GetId(), was, now, n.Endpoint.GetState())
+func (m *Master) handlePollAnswer(name string, h *nodeHistory, n *meshpb.NodeState) {
+	was := h.officialState(m.userStates[name])
+	same := h.reachable && h.state.GetIncarnation() == n.Incarnation && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
+	h.recordReport(n, m.options.Now(), m.options.historyRules())
+	m.updateProgress(name, n)
+	if now := h.officialState(m.userStates[name]); now != was {
+		m.logf("node %s: endpoint %s %s -> %s (reported %s)", name, n.Endpoint.GetId(), was, now, n.Endpoint.GetState())
 	}
 	if !same {
-		m.touch()
+		m.scheduleMerge()
 	}
-	m.follow(name, h)
+	m.sendUpdates(name, h)
 }
 
-func (m *Master) missed(name string, h *history) {
-	was := h.reached
-	h.missed(m.o.Now(), m.o.rules())
-	if was && !h.reached {
-		m.note("node %s: silent after %d polls", name, h.fails)
-		delete(m.sends, name)
+func (m *Master) handlePollFailure(name string, h *nodeHistory) {
+	was := h.reachable
+	h.recordPollFailure(m.options.Now(), m.options.historyRules())
+	if was && !h.reachable {
+		m.logf("node %s: silent after %d polls", name, h.pollFailures)
+		delete(m.progress, name)
 	}
-	if !h.reached && m.o.Now()-h.seen > 10*m.o.PollLinger {
-		if stop := m.polls[name]; stop != nil {
+	if !h.reachable && m.options.Now()-h.lastContact > 10*m.options.PollLinger {
+		if stop := m.pollCancels[name]; stop != nil {
 			stop()
-			delete(m.polls, name)
+			delete(m.pollCancels, name)
 		}
-		delete(m.hs, name)
+		delete(m.histories, name)
 	}
-	m.touch()
+	m.scheduleMerge()
 }
 
 // touch has the states put together anew, once for all that is heard meanwhile.
-func (m *Master) touch() {
-	if m.dirty {
+func (m *Master) scheduleMerge() {
+	if m.mergePending {
 		return
 	}
-	m.dirty = true
-	time.AfterFunc(gatherFor, func() { m.Mailbox.Post(m.put) })
+	m.mergePending = true
+	time.AfterFunc(batchWindow, func() { m.Mailbox.Post(m.mergeStates) })
 }
 
-func (m *Master) put() {
-	m.dirty = false
+func (m *Master) mergeStates() {
+	m.mergePending = false
 	if !m.leading {
 		return
 	}
-	es := compose(m.hs, m.users, m.listed)
+	es := mergeEndpoints(m.histories, m.userStates, m.listedEndpoints)
 	ill := map[string]uint32{}
-	if len(m.listed) > 0 {
-		ill = m.ills.judge(m.hs, m.o.Now())
+	if len(m.listedEndpoints) > 0 {
+		ill = m.ejections.update(m.histories, m.options.Now())
 	}
 	for _, e := range es {
 		if e.FailurePercent > 0 {
 			ill[e.Id] = e.FailurePercent
 		}
 	}
-	in := shade(es, ill)
-	if matters(in, m.inner) {
-		m.inner = in
-		m.changed = m.o.Now()
+	in := markOutliers(es, ill)
+	if endpointsDiffer(in, m.endpoints) {
+		m.endpoints = in
+		m.endpointsChangedAt = m.options.Now()
 	}
 }
 
 // Tick makes a new official view once enough time has passed since the last
 // one and the states have settled.
 func (m *Master) Tick() {
-	now := m.o.Now()
-	if !m.leading || !m.sure() {
+	now := m.options.Now()
+	if !m.leading || !m.checkLease() {
 		return
 	}
-	if m.making || now-m.since < max(m.o.TakeoverDelay, 2*m.cast()) {
+	if m.savingView || now-m.masterSince < max(m.options.TakeoverDelay, 2*m.relayedSendTime()) {
 		// Configurations do not wait for views.
-		for n, h := range m.hs {
-			m.deliver(n, h)
+		for n, h := range m.histories {
+			m.sendConfig(n, h)
 		}
 		return
 	}
-	if m.rejoining && now-m.since > rejoin {
+	if m.rejoining && now-m.masterSince > rejoinTimeout {
 		m.rejoining = false
-		for _, h := range m.hs {
-			h.kept = false
+		for _, h := range m.histories {
+			h.restoredFromView = false
 		}
-		m.touch()
+		m.scheduleMerge()
 	}
-	for n, h := range m.hs {
-		m.follow(n, h)
+	for n, h := range m.histories {
+		m.sendUpdates(n, h)
 	}
-	if len(m.ills) > 0 && now-m.judged > m.o.ViewInterval {
-		m.judged = now
-		m.touch()
+	if len(m.ejections) > 0 && now-m.ejectionsUpdatedAt > m.options.ViewInterval {
+		m.ejectionsUpdatedAt = now
+		m.scheduleMerge()
 	}
-	m.widen(now)
-	if now-m.made < max(m.o.ViewInterval, m.cast()) || now-m.changed < m.o.SettleTime {
+	m.updateHotKeys(now)
+	if now-m.lastViewAt < max(m.options.ViewInterval, m.relayedSendTime()) || now-m.endpointsChangedAt < m.options.SettleTime {
 		return
 	}
-	if m.dirty {
+	if m.mergePending {
 		return
 	}
-	if m.view.Epoch == m.epoch && !matters(m.inner, m.view.Endpoints) && hotkeys.SameWidths(m.hot, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.hs) {
+	if m.view.Epoch == m.epoch && !endpointsDiffer(m.endpoints, m.view.Endpoints) && hotkeys.SameWidths(m.hotKeys, m.view.HotKeys) && m.view.Membership.GetVersion() == m.membership.GetVersion() && len(m.view.NodeAddresses) == len(m.histories) {
 		return
 	}
-	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.inner, Membership: m.membership, ConfigVersion: m.conf, Master: m.o.SelfAddr, HotKeys: m.hot}
-	for n, h := range m.hs {
+	v := &meshpb.View{Epoch: m.epoch, Version: m.view.Version + 1, Endpoints: m.endpoints, Membership: m.membership, ConfigVersion: m.configVersion, Master: m.options.SelfAddr, HotKeys: m.hotKeys}
+	for n, h := range m.histories {
 		v.NodeAddresses = append(v.NodeAddresses, n+" "+h.state.GetAddr())
 	}
-	v.Nodes = uint32(len(m.hs))
-	m.making = true
+	v.Nodes = uint32(len(m.histories))
+	m.savingView = true
 	ep := m.epoch
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
@@ -595,35 +595,35 @@
 			if m.epoch != ep || !m.leading {
 				return
 			}
-			m.making = false
+			m.savingView = false
 			if err != nil {
-				m.made = m.o.Now()
+				m.lastViewAt = m.options.Now()
 				return
 			}
-			m.publish(v)
+			m.publishView(v)
 		})
 	}()
 }
 
 // widen looks at the keys that nodes read most, once in an interval.
-func (m *Master) widen(now time.Duration) {
-	if now-m.heated < m.o.ViewInterval {
+func (m *Master) updateHotKeys(now time.Duration) {
+	if now-m.hotKeysUpdatedAt < m.options.ViewInterval {
 		return
 	}
-	m.heated = now
-	hot, changes := m.hots.Update(m.reads, m.inner, now, time.Now().UnixMicro())
+	m.hotKeysUpdatedAt = now
+	hot, changes := m.hotKeyTracker.Update(m.keyRates, m.endpoints, now, time.Now().UnixMicro())
 	for _, c := range changes {
-		m.note("hot key width changed key=%016x service=%s from=%d to=%d reason=%q", c.Key, c.Service, c.From, c.To, c.Reason)
+		m.logf("hot key width changed key=%016x service=%s from=%d to=%d reason=%q", c.Key, c.Service, c.From, c.To, c.Reason)
 	}
-	if !hotkeys.SameWidths(hot, m.hot) {
-		m.changed = now
+	if !hotkeys.SameWidths(hot, m.hotKeys) {
+		m.endpointsChangedAt = now
 	}
-	m.hot = hot
+	m.hotKeys = hot
 }
 
-func (m *Master) reads(yield func([]*meshpb.KeyRate) bool) {
-	for _, h := range m.hs {
-		if r := h.state.GetKeyRates(); h.reached && len(r) > 0 && !yield(r) {
+func (m *Master) keyRates(yield func([]*meshpb.KeyRate) bool) {
+	for _, h := range m.histories {
+		if r := h.state.GetKeyRates(); h.reachable && len(r) > 0 && !yield(r) {
 			return
 		}
 	}
@@ -631,194 +631,196 @@
 
 // Hot gives the hot keys and how many widths were raised and lowered.
 func (m *Master) HotKeys() ([]*meshpb.HotKey, *meshpb.HotCounts) {
-	return m.hot, m.hots.Counts()
+	return m.hotKeys, m.hotKeyTracker.Counts()
 }
 
-func (m *Master) publish(v *meshpb.View) {
-	m.view, m.made = v, m.o.Now()
+func (m *Master) publishView(v *meshpb.View) {
+	m.view, m.lastViewAt = v, m.options.Now()
 	m.trace("published", v.Version)
-	m.views = append(m.views, v)
-	if len(m.views) > keepViews {
-		m.views = append([]*meshpb.View(nil), m.views[1:]...)
+	m.recentViews = append(m.recentViews, v)
+	if len(m.recentViews) > maxRecentViews {
+		m.recentViews = append([]*meshpb.View(nil), m.recentViews[1:]...)
 	}
-	for n, h := range m.hs {
-		m.follow(n, h)
+	for n, h := range m.histories {
+		m.sendUpdates(n, h)
 	}
 }
 
 // pack marshals the view in force once for all nodes that hold the same one.
-func (m *Master) pack(has uint64) []byte {
-	if m.packsOf != m.view.Version || m.packs == nil || m.packsIn != m.view.Epoch {
-		m.packs, m.packsOf, m.packsIn = map[uint64][]byte{}, m.view.Version, m.view.Epoch
+func (m *Master) packedViewSince(has uint64) []byte {
+	if m.packedViewVersion != m.view.Version || m.packedViews == nil || m.packedViewEpoch != m.view.Epoch {
+		m.packedViews, m.packedViewVersion, m.packedViewEpoch = map[uint64][]byte{}, m.view.Version, m.view.Epoch
 	}
 	if has > 0 {
-		for _, o := range m.views {
+		for _, o := range m.recentViews {
 			if o.Version == has && o.Epoch == m.epoch {
-				if m.packs[has] == nil {
-					m.packs[has], _ = proto.Marshal(m.view.Since(o))
+				if m.packedViews[has] == nil {
+					m.packedViews[has], _ = proto.Marshal(m.view.Since(o))
 				}
-				return m.packs[has]
+				return m.packedViews[has]
 			}
 		}
 	}
-	if m.packs[0] == nil {
-		m.packs[0], _ = proto.Marshal(m.view.Lean())
+	if m.packedViews[0] == nil {
+		m.packedViews[0], _ = proto.Marshal(m.view.Lean())
 	}
-	return m.packs[0]
+	return m.packedViews[0]
 }
 
-func (m *Master) courier(n string) *courier {
-	c := m.sends[n]
+func (m *Master) progressOf(n string) *nodeProgress {
+	c := m.progress[n]
 	if c == nil {
-		c = &courier{}
-		m.sends[n] = c
+		c = &nodeProgress{}
+		m.progress[n] = c
 	}
 	return c
 }
 
 // spread is how long a small core machine takes to call all nodes once. After a
 // takeover polls go first, then configurations, then the view.
-func (m *Master) spread() time.Duration { return time.Duration(len(m.hs)) * m.o.SendTimePerNode }
+func (m *Master) directSendTime() time.Duration {
+	return time.Duration(len(m.histories)) * m.options.SendTimePerNode
+}
 
 // cast is how long it takes to bring the same to all nodes through relays.
-func (m *Master) cast() time.Duration {
-	if len(m.hs) <= fewDirect {
-		return m.spread()
+func (m *Master) relayedSendTime() time.Duration {
+	if len(m.histories) <= maxDirectNodes {
+		return m.directSendTime()
 	}
-	return m.spread() / time.Duration(len(m.relays())+1)
+	return m.directSendTime() / time.Duration(len(m.availableRelays())+1)
 }
 
 // met notes what a node says it holds.
-func (m *Master) met(name string, n *meshpb.NodeState) {
-	c := m.sends[name]
-	if c != nil && c.life == "" {
+func (m *Master) updateProgress(name string, n *meshpb.NodeState) {
+	c := m.progress[name]
+	if c != nil && c.incarnation == "" {
 		// Who acknowledged before may have been an earlier life.
-		c.life, c.view, c.conf = n.Incarnation, 0, 0
+		c.incarnation, c.viewVersion, c.configVersion = n.Incarnation, 0, 0
 	}
-	if c == nil || c.life != n.Incarnation {
-		c = &courier{life: n.Incarnation}
-		m.sends[name] = c
+	if c == nil || c.incarnation != n.Incarnation {
+		c = &nodeProgress{incarnation: n.Incarnation}
+		m.progress[name] = c
 	}
-	if m.o.Now()-c.acked > relayWait {
+	if m.options.Now()-c.configAckedAt > relayCallTimeout {
 		// No acknowledgement is newer than this report.
-		c.conf = 0
+		c.configVersion = 0
 	}
-	c.conf = max(c.conf, n.ConfigVersion)
-	c.bare = n.ViewVersion == 0
+	c.configVersion = max(c.configVersion, n.ConfigVersion)
+	c.withoutView = n.ViewVersion == 0
 	if n.ViewEpoch == m.epoch {
-		c.view = max(c.view, n.ViewVersion)
+		c.viewVersion = max(c.viewVersion, n.ViewVersion)
 	}
 }
 
 // follow sends a node what it has not yet acknowledged.
-func (m *Master) follow(name string, h *history) {
-	m.deliver(name, h)
-	if !m.sure() {
+func (m *Master) sendUpdates(name string, h *nodeHistory) {
+	m.sendConfig(name, h)
+	if !m.checkLease() {
 		return
 	}
-	c := m.courier(name)
+	c := m.progressOf(name)
 	// Until this master has made a view, nodes keep the last one; one that has
 	// none, since it has just started, is given that.
 	kept := m.view.Epoch != m.epoch
-	if kept && !c.bare || m.view.Version == 0 || c.busy || c.view >= m.view.Version || h.state.GetAddr() == "" {
+	if kept && !c.withoutView || m.view.Version == 0 || c.viewInFlight || c.viewVersion >= m.view.Version || h.state.GetAddr() == "" {
 		return
 	}
-	c.busy = true
-	version, ep, has := m.view.Version, m.epoch, c.view
+	c.viewInFlight = true
+	version, ep, has := m.view.Version, m.epoch, c.viewVersion
 	key := fmt.Sprint("view ", has, " ", m.view.Epoch, " ", version)
-	m.send(key, &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: ep, Packed: m.pack(has)}}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
-		c.busy = false
+	m.enqueue(key, &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: ep, Packed: m.packedViewSince(has)}}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+		c.viewInFlight = false
 		r := a.GetView()
 		if r == nil || m.epoch != ep {
 			return
 		}
 		if r.Ok {
-			c.view, c.bare = max(c.view, version), false
+			c.viewVersion, c.withoutView = max(c.viewVersion, version), false
 			if m.leading {
-				m.follow(name, h)
+				m.sendUpdates(name, h)
 			}
 			return
 		}
 		// What it holds is told: a newer one than this, or one that this does not
 		// stand on.
-		c.view = 0
+		c.viewVersion = 0
 		if r.Epoch == ep {
-			c.view = r.Version
+			c.viewVersion = r.Version
 		}
 	})
 }
 
 // deliver sends a node that has been heard under this epoch the patches from
 // what it holds to the configuration in force, or all of it.
-func (m *Master) deliver(name string, h *history) {
-	if !m.sure() {
+func (m *Master) sendConfig(name string, h *nodeHistory) {
+	if !m.checkLease() {
 		return
 	}
-	c := m.courier(name)
-	now := m.o.Now()
-	if m.conf == 0 || c.conf >= m.conf || h.state.GetAddr() == "" || now < c.again || c.cbusy && !m.overdue(c, h) {
+	c := m.progressOf(name)
+	now := m.options.Now()
+	if m.configVersion == 0 || c.configVersion >= m.configVersion || h.state.GetAddr() == "" || now < c.retryConfigAt || c.configInFlight && !m.configOverdue(c, h) {
 		return
 	}
-	unheard := c.life == ""
-	wait := m.o.PollGrace/2 + 3*m.cast()
-	if len(m.steps) > 0 && !c.whole {
-		wait = m.cast()
+	unheard := c.incarnation == ""
+	wait := m.options.PollGrace/2 + 3*m.relayedSendTime()
+	if len(m.configPatches) > 0 && !c.needsFullConfig {
+		wait = m.relayedSendTime()
 	}
-	if unheard && now-m.since < wait {
+	if unheard && now-m.masterSince < wait {
 		return
 	}
-	c.cbusy, c.sent = true, now
-	c.attempt++
-	attempt := c.attempt
-	q := &meshpb.DeliverConfigRequest{Epoch: m.epoch, Version: m.conf}
-	if c.conf > 0 && !c.whole {
-		if q.Patches = m.way(c.conf); q.Patches != nil {
-			q.BaseVersion = c.conf
+	c.configInFlight, c.configSentAt = true, now
+	c.configAttempt++
+	attempt := c.configAttempt
+	q := &meshpb.DeliverConfigRequest{Epoch: m.epoch, Version: m.configVersion}
+	if c.configVersion > 0 && !c.needsFullConfig {
+		if q.Patches = m.patchesFrom(c.configVersion); q.Patches != nil {
+			q.BaseVersion = c.configVersion
 		}
 	}
-	if n := len(m.steps); unheard && c.conf == 0 && !c.whole && n > 0 {
+	if n := len(m.configPatches); unheard && c.configVersion == 0 && !c.needsFullConfig && n > 0 {
 		// Most likely the node has the one before.
-		q.BaseVersion, q.Patches = m.steps[n-1].BaseVersion, [][]byte{m.steps[n-1].Patch}
+		q.BaseVersion, q.Patches = m.configPatches[n-1].BaseVersion, [][]byte{m.configPatches[n-1].Patch}
 	}
 	if q.BaseVersion == 0 {
-		q.Data = m.packed
+		q.Data = m.packedConfig
 	}
-	c.large = q.BaseVersion == 0
-	relayOffset := c.unanswered % relayChoices
-	c.unanswered++
+	c.sentFullConfig = q.BaseVersion == 0
+	relayOffset := c.unansweredAttempts % relayChoices
+	c.unansweredAttempts++
 	key := fmt.Sprint("config ", q.BaseVersion, " ", q.Version, " ", len(q.Patches), " ", len(q.Data) > 0, " ", relayOffset)
-	m.sendVia(relayOffset, key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
-		last := attempt == c.attempt
+	m.enqueueVia(relayOffset, key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+		last := attempt == c.configAttempt
 		r := a.GetConfig()
 		if r == nil {
 			if last {
-				c.cbusy = false
-				c.again = m.o.Now() + 100*time.Millisecond
+				c.configInFlight = false
+				c.retryConfigAt = m.options.Now() + 100*time.Millisecond
 			}
 			return
 		}
-		c.conf = max(c.conf, r.Version)
-		c.acked = m.o.Now()
+		c.configVersion = max(c.configVersion, r.Version)
+		c.configAckedAt = m.options.Now()
 		if !last {
 			return
 		}
-		c.cbusy, c.unanswered = false, 0
-		c.whole = !r.Ok && (r.Version == 0 || r.Version == q.BaseVersion || q.BaseVersion == 0)
+		c.configInFlight, c.unansweredAttempts = false, 0
+		c.needsFullConfig = !r.Ok && (r.Version == 0 || r.Version == q.BaseVersion || q.BaseVersion == 0)
 		if !r.Ok {
-			c.again = m.o.Now() + 50*time.Millisecond
+			c.retryConfigAt = m.options.Now() + 50*time.Millisecond
 		}
 		if m.leading {
-			m.deliver(name, h)
+			m.sendConfig(name, h)
 		}
 	})
 }
 
 // overdue tells that a node which answers polls has left the last sending of a
 // configuration unanswered for so long that it is to be sent by another way.
-func (m *Master) overdue(c *courier, h *history) bool {
-	wait := redeliverPatch
-	if c.large {
-		wait = redeliverFull
+func (m *Master) configOverdue(c *nodeProgress, h *nodeHistory) bool {
+	wait := patchRetryAfter
+	if c.sentFullConfig {
+		wait = fullConfigRetryAfter
 	}
-	return h.reached && m.o.Now()-c.sent >= wait
+	return h.reachable && m.options.Now()-c.configSentAt >= wait
 }
--- a/internal/clustercontroller/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -21,95 +21,95 @@
 	Retired     = "retired"
 )
 
-var caps = map[string]int{Down: 0, Maintenance: 0, Retired: 1, Draining: 1, Up: 2}
+var stateRank = map[string]int{Down: 0, Maintenance: 0, Retired: 1, Draining: 1, Up: 2}
 
 // UserState tells whether an operator may set s.
 func ValidUserState(s string) bool { return s == Up || s == Maintenance || s == Retired || s == Down }
 
 // history is what the master remembers of one node beside its last report.
-type history struct {
-	state    *meshpb.NodeState
-	seen     time.Duration
-	fails    int
-	reached  bool
-	endpoint string
-	cold     bool
-	crashes  []time.Duration
-	unproven bool
-	setOut   bool
-	last     *meshpb.Endpoint
+type nodeHistory struct {
+	state          *meshpb.NodeState
+	lastContact    time.Duration
+	pollFailures   int
+	reachable      bool
+	endpointID     string
+	warmingUp      bool
+	crashes        []time.Duration
+	awaitingWarmup bool
+	crashLooping   bool
+	lastEndpoint   *meshpb.Endpoint
 	// kept: the last view showed last, and the node, just started like all others,
 	// may not have found it again yet.
-	kept bool
+	restoredFromView bool
 }
 
 // known is the endpoint that the node reports, or had a moment ago.
-func (h *history) known() *meshpb.Endpoint {
-	if e := h.state.GetEndpoint(); e.GetId() != "" || !h.kept {
+func (h *nodeHistory) knownEndpoint() *meshpb.Endpoint {
+	if e := h.state.GetEndpoint(); e.GetId() != "" || !h.restoredFromView {
 		return e
 	}
-	return h.last
+	return h.lastEndpoint
 }
 
-type rules struct {
-	window time.Duration
-	limit  int
-	fails  int
-	silent time.Duration
+type historyRules struct {
+	crashWindow      time.Duration
+	crashLimit       int
+	pollFailureLimit int
+	unreachableAfter time.Duration
 }
 
 // report merges a node's own account into its history.
-func (h *history) report(n *meshpb.NodeState, now time.Duration, r rules) {
+func (h *nodeHistory) recordReport(n *meshpb.NodeState, now time.Duration, r historyRules) {
 	id := n.Endpoint.GetId()
-	if id != "" && h.endpoint != "" && id != h.endpoint {
-		h.lost(now, r)
+	if id != "" && h.endpointID != "" && id != h.endpointID {
+		h.recordCrash(now, r)
 	}
 	if id != "" {
-		h.endpoint = id
-		h.cold = n.Endpoint.WarmupMs > 0
-		if !h.cold && n.Endpoint.Healthy {
-			h.unproven = false
+		h.endpointID = id
+		h.warmingUp = n.Endpoint.WarmupMs > 0
+		if !h.warmingUp && n.Endpoint.Healthy {
+			h.awaitingWarmup = false
 		}
 	}
 	if e := n.Endpoint; e != nil && (e.State == Draining || e.State == "gone") {
-		h.endpoint, h.cold = "", false
+		h.endpointID, h.warmingUp = "", false
 	}
 	if id != "" {
-		h.last = n.Endpoint
+		h.lastEndpoint = n.Endpoint
 	}
-	h.state, h.seen, h.fails, h.reached = n, now, 0, true
+	h.state, h.lastContact, h.pollFailures, h.reachable = n, now, 0, true
 }
 
 // lost notes that an endpoint ended without signing off.
-func (h *history) lost(now time.Duration, r rules) {
-	if h.cold {
-		h.unproven = true
+func (h *nodeHistory) recordCrash(now time.Duration, r historyRules) {
+	if h.warmingUp {
+		h.awaitingWarmup = true
 	}
-	h.endpoint, h.cold = "", false
+	h.endpointID, h.warmingUp = "", false
 	keep := h.crashes[:0]
 	for _, t := range h.crashes {
-		if now-t < r.window {
+		if now-t < r.crashWindow {
 			keep = append(keep, t)
 		}
 	}
 	h.crashes = append(keep, now)
-	if len(h.crashes) >= r.limit {
-		h.setOut = true
+	if len(h.crashes) >= r.crashLimit {
+		h.crashLooping = true
 	}
 }
 
-func (h *history) missed(now time.Duration, r rules) {
-	h.fails++
-	if h.fails >= r.fails && now-h.seen >= r.silent {
-		h.reached = false
+func (h *nodeHistory) recordPollFailure(now time.Duration, r historyRules) {
+	h.pollFailures++
+	if h.pollFailures >= r.pollFailureLimit && now-h.lastContact >= r.unreachableAfter {
+		h.reachable = false
 	}
 }
 
 // official is the state that the view gives a node's endpoint: what was
 // reported, lowered by history, capped by the user state.
-func (h *history) official(user string) string {
-	e := h.known()
-	if e.GetId() == "" || !h.reached {
+func (h *nodeHistory) officialState(user string) string {
+	e := h.knownEndpoint()
+	if e.GetId() == "" || !h.reachable {
 		return Down
 	}
 	s := Down
@@ -121,10 +121,10 @@
 	case e.State == "ready" && e.Healthy:
 		s = Up
 	}
-	if h.setOut || h.unproven {
+	if h.crashLooping || h.awaitingWarmup {
 		s = Down
 	}
-	if c, ok := caps[user]; ok && caps[s] > c {
+	if c, ok := stateRank[user]; ok && stateRank[s] > c {
 		s = user
 	}
 	if s == Maintenance {
@@ -138,14 +138,14 @@
 
 // compose merges what the nodes report of their endpoints with the endpoints
 // that the platform lists.
-func compose(hs map[string]*history, users map[string]string, listed []*meshpb.Endpoint) []*meshpb.Endpoint {
+func mergeEndpoints(histories map[string]*nodeHistory, userStates map[string]string, listed []*meshpb.Endpoint) []*meshpb.Endpoint {
 	out := append([]*meshpb.Endpoint(nil), listed...)
-	for n, h := range hs {
-		s := h.official(users[n])
+	for n, h := range histories {
+		s := h.officialState(userStates[n])
 		if s == Down {
 			continue
 		}
-		e := h.known()
+		e := h.knownEndpoint()
 		out = append(out, &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots, State: s,
 			WarmupMs: e.WarmupMs, SoftwareVersion: e.SoftwareVersion, Node: n, Inbound: h.state.Inbound, Healthy: e.Healthy, FailurePercent: e.FailurePercent})
 	}
@@ -154,7 +154,7 @@
 }
 
 // matters tells whether the nodes would act on the difference.
-func matters(a, b []*meshpb.Endpoint) bool {
+func endpointsDiffer(a, b []*meshpb.Endpoint) bool {
 	if len(a) != len(b) {
 		return true
 	}
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -16,58 +16,58 @@
 )
 
 // relayer is a core member that relays, and counts what it was asked.
-type relayer struct {
+type fakeCoreMember struct {
 	meshpb.Control
-	lines  *rpc.Clients
-	mu     sync.Mutex
-	asked  int
-	nodes  int
-	down   bool
-	hellos int
-	master string
-	bundle StoredPayloads
+	clients       *rpc.Clients
+	mu            sync.Mutex
+	relayCalls    int
+	targetCount   int
+	down          bool
+	registrations int
+	master        string
+	stored        StoredPayloads
 }
 
-func (r *relayer) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
+func (r *fakeCoreMember) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	r.mu.Lock()
-	r.asked++
-	r.nodes += len(q.Targets)
+	r.relayCalls++
+	r.targetCount += len(q.Targets)
 	down := r.down
 	r.mu.Unlock()
 	if down {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errPartitioned
 	}
-	return Relay(ctx, r.lines, q, func() StoredPayloads { return r.bundle }), nil
+	return Relay(ctx, r.clients, q, func() StoredPayloads { return r.stored }), nil
 }
 
-func (r *relayer) RegisterNode(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
+func (r *fakeCoreMember) RegisterNode(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hellos++
+	r.registrations++
 	return &meshpb.RegisterNodeResponse{MasterAddr: r.master, Master: r.master == "self"}, nil
 }
 
 // crowd is a stage with relays; far makes nodes out of the relays' reach.
-func crowd(t *testing.T, nodes, relays int) (*stage, []*relayer, *meshpb.Membership) {
-	s := newStage(t, nodes)
+func newClusterWithRelays(t *testing.T, nodes, relays int) (*testCluster, []*fakeCoreMember, *meshpb.Membership) {
+	s := newTestCluster(t, nodes)
 	membership := &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "m", Addr: "m"}}}
-	var rs []*relayer
-	lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
-	for i, n := range s.ns {
+	var rs []*fakeCoreMember
+	lines := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
+	for i, n := range s.nodes {
 		lines.PutNode(fmt.Sprint("a", i), n)
 	}
 	for i := range relays {
-		r := &relayer{lines: lines}
+		r := &fakeCoreMember{clients: lines}
 		a := fmt.Sprint("core", i)
-		s.m.lines.PutControl(a, r)
+		s.master.clients.PutControl(a, r)
 		membership.Members = append(membership.Members, &meshpb.Member{Id: a, Addr: a})
 		rs = append(rs, r)
 	}
 	return s, rs, membership
 }
 
-func keptOf(n int) *meshpb.View {
+func storedViewOf(n int) *meshpb.View {
 	v := &meshpb.View{Epoch: 1, Version: 9}
 	for i := range n {
 		v.NodeAddresses = append(v.NodeAddresses, fmt.Sprintf("n%d a%d", i, i))
@@ -75,17 +75,17 @@
 	return v
 }
 
-func (s *stage) all(t *testing.T, conf uint64) {
+func (s *testCluster) checkAllNodes(t *testing.T, conf uint64) {
 	t.Helper()
-	for i, f := range s.ns {
+	for i, f := range s.nodes {
 		f.mu.Lock()
 		last := uint64(0)
-		if len(f.confs) > 0 {
-			last = f.confs[len(f.confs)-1]
+		if len(f.configVersions) > 0 {
+			last = f.configVersions[len(f.configVersions)-1]
 		}
-		got := len(s.last[i])
+		got := len(s.lastEndpoints[i])
 		f.mu.Unlock()
-		if last != conf || got != len(s.ns) {
+		if last != conf || got != len(s.nodes) {
 			t.Errorf("node %d has configuration %d and %d endpoints", i, last, got)
 		}
 	}
@@ -93,109 +93,117 @@
 
 func TestTakeoverReachesAllNodesThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, rs, membership := crowd(t, 120, 5)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
-		s.do(func() { s.m.BecomeMaster(2, keptOf(120), map[string]string{}, conf(5, "d"), membership) })
-		pass(600 * time.Millisecond)
-		s.all(t, 5)
+		s, rs, membership := newClusterWithRelays(t, 120, 5)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
+		s.run(func() {
+			s.master.BecomeMaster(2, storedViewOf(120), map[string]string{}, packedConfigOf(5, "d"), membership)
+		})
+		advance(600 * time.Millisecond)
+		s.checkAllNodes(t, 5)
 		total := 0
 		for _, r := range rs {
-			total += r.nodes
-			qt.Check(t, r.asked <= 6, qt.IsTrue, qt.Commentf("%d calls", r.asked))
-			qt.Check(t, r.nodes >= 3*120/5*2/3, qt.IsTrue, qt.Commentf("%d nodes", r.nodes))
+			total += r.targetCount
+			qt.Check(t, r.relayCalls <= 6, qt.IsTrue, qt.Commentf("%d calls", r.relayCalls))
+			qt.Check(t, r.targetCount >= 3*120/5*2/3, qt.IsTrue, qt.Commentf("%d nodes", r.targetCount))
 		}
 		qt.Check(t, total >= 3*120, qt.IsTrue, qt.Commentf("polls, configurations and the view go through relays: %d", total))
 		// A changed configuration is one call for each relay.
-		was := rs[0].asked
-		s.do(func() {
-			s.m.SetConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
+		was := rs[0].relayCalls
+		s.run(func() {
+			s.master.SetConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
 		})
-		pass(100 * time.Millisecond)
-		s.all(t, 6)
-		qt.Check(t, rs[0].asked-was, qt.Equals, 1)
+		advance(100 * time.Millisecond)
+		s.checkAllNodes(t, 6)
+		qt.Check(t, rs[0].relayCalls-was, qt.Equals, 1)
 	})
 }
 
 // What the board has not heard of within a lease is asked to bring nothing.
-func TestMemberOutOfTouchIsNoRelay(t *testing.T) {
+func TestMemberNotInContactIsNotUsedAsRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, rs, membership := crowd(t, 60, 3)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
+		s, rs, membership := newClusterWithRelays(t, 60, 3)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
 		rs[0].down = true
-		s.m.o.InContact = func(a string) bool { return a != "core0" }
-		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
-		pass(time.Second)
-		s.all(t, 5)
-		s.do(func() { s.m.SetConfig(conf(6, "e")) })
-		pass(400 * time.Millisecond)
-		s.all(t, 6)
-		qt.Check(t, rs[0].asked, qt.Equals, 0)
+		s.master.options.InContact = func(a string) bool { return a != "core0" }
+		s.run(func() {
+			s.master.BecomeMaster(2, storedViewOf(60), map[string]string{}, packedConfigOf(5, "d"), membership)
+		})
+		advance(time.Second)
+		s.checkAllNodes(t, 5)
+		s.run(func() { s.master.SetConfig(packedConfigOf(6, "e")) })
+		advance(400 * time.Millisecond)
+		s.checkAllNodes(t, 6)
+		qt.Check(t, rs[0].relayCalls, qt.Equals, 0)
 	})
 }
 
-func TestRelayThatIsSilentOrCutOffIsGoneRound(t *testing.T) {
+func TestUnresponsiveOrPartitionedRelayIsBypassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, rs, membership := crowd(t, 60, 3)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
+		s, rs, membership := newClusterWithRelays(t, 60, 3)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
 		rs[0].down = true
-		rs[1].lines = rpc.NewClients(&http.Client{Transport: deadEnd{}})
-		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
-		pass(4 * time.Second)
-		s.all(t, 5)
-		was := rs[0].asked
-		s.do(func() { s.m.SetConfig(conf(6, "e")) })
-		pass(1800 * time.Millisecond)
-		s.all(t, 6)
-		qt.Check(t, rs[0].asked-was <= 2, qt.IsTrue)
+		rs[1].clients = rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
+		s.run(func() {
+			s.master.BecomeMaster(2, storedViewOf(60), map[string]string{}, packedConfigOf(5, "d"), membership)
+		})
+		advance(4 * time.Second)
+		s.checkAllNodes(t, 5)
+		was := rs[0].relayCalls
+		s.run(func() { s.master.SetConfig(packedConfigOf(6, "e")) })
+		advance(1800 * time.Millisecond)
+		s.checkAllNodes(t, 6)
+		qt.Check(t, rs[0].relayCalls-was <= 2, qt.IsTrue)
 	})
 }
 
 func TestNothingIsSentOrRelayedWithoutTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, rs, membership := crowd(t, 40, 2)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
+		s, rs, membership := newClusterWithRelays(t, 40, 2)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
 		held := true
-		s.do(func() {
-			s.m.o.HoldsLease = func() bool { return held }
-			s.m.BecomeMaster(2, keptOf(40), map[string]string{}, conf(5, "d"), membership)
+		s.run(func() {
+			s.master.options.HoldsLease = func() bool { return held }
+			s.master.BecomeMaster(2, storedViewOf(40), map[string]string{}, packedConfigOf(5, "d"), membership)
 		})
-		pass(time.Second)
-		s.all(t, 5)
-		was := rs[0].asked + rs[1].asked
-		s.do(func() {
-			s.m.SetConfig(conf(6, "e"))
+		advance(time.Second)
+		s.checkAllNodes(t, 5)
+		was := rs[0].relayCalls + rs[1].relayCalls
+		s.run(func() {
+			s.master.SetConfig(packedConfigOf(6, "e"))
 			held = false
 		})
-		pass(2 * time.Second)
-		qt.Assert(t, rs[0].asked+rs[1].asked, qt.Equals, was)
-		s.all(t, 5)
-		s.do(func() { held = true })
-		pass(time.Second)
-		s.all(t, 6)
+		advance(2 * time.Second)
+		qt.Assert(t, rs[0].relayCalls+rs[1].relayCalls, qt.Equals, was)
+		s.checkAllNodes(t, 5)
+		s.run(func() { held = true })
+		advance(time.Second)
+		s.checkAllNodes(t, 6)
 	})
 }
 
-func TestDeadNodesDoNotHoldUpTheOthersOfTheirRelay(t *testing.T) {
+func TestDeadNodesDoNotDelayOthersOfTheirRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _, membership := crowd(t, 60, 2)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
-		s.do(func() { s.m.BecomeMaster(2, keptOf(60), map[string]string{}, conf(5, "d"), membership) })
-		pass(time.Second)
+		s, _, membership := newClusterWithRelays(t, 60, 2)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
+		s.run(func() {
+			s.master.BecomeMaster(2, storedViewOf(60), map[string]string{}, packedConfigOf(5, "d"), membership)
+		})
+		advance(time.Second)
 		for i := range 12 {
-			s.ns[5*i].set(true)
+			s.nodes[5*i].setPartitioned(true)
 		}
 		for c := uint64(6); c < 9; c++ {
-			s.do(func() { s.m.SetConfig(conf(c, "e")) })
-			pass(400 * time.Millisecond)
+			s.run(func() { s.master.SetConfig(packedConfigOf(c, "e")) })
+			advance(400 * time.Millisecond)
 			late := 0
-			for i, f := range s.ns {
+			for i, f := range s.nodes {
 				f.mu.Lock()
-				if i%5 != 0 && f.confs[len(f.confs)-1] != c {
+				if i%5 != 0 && f.configVersions[len(f.configVersions)-1] != c {
 					late++
 				}
 				f.mu.Unlock()
@@ -205,14 +213,14 @@
 	})
 }
 
-func TestHelloAsksFewAndALingeringPollKeepsItQuiet(t *testing.T) {
+func TestRegistrationCallsFewMembersAndPausesDuringLongPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t0 := time.Now()
-		lines := rpc.NewClients(&http.Client{Transport: deadEnd{}})
-		var rs []*relayer
+		lines := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
+		var rs []*fakeCoreMember
 		a := &Agent{Name: "n", Incarnation: "l", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(t0) }, Logf: func(string, ...any) {}, Clients: lines}
 		for i := range 9 {
-			r := &relayer{master: "c7"}
+			r := &fakeCoreMember{master: "c7"}
 			if i == 7 {
 				r.master = "self"
 			}
@@ -221,28 +229,28 @@
 			rs = append(rs, r)
 		}
 		a.Start(&meshpb.NodeState{Name: "n", Incarnation: "l"})
-		qt.Assert(t, a.hello(t.Context()), qt.IsTrue)
+		qt.Assert(t, a.register(t.Context()), qt.IsTrue)
 		n := 0
 		for _, r := range rs {
-			n += r.hellos
+			n += r.registrations
 		}
-		qt.Assert(t, n <= 2 && rs[7].hellos == 1, qt.IsTrue, qt.Commentf("%d core nodes were asked", n))
+		qt.Assert(t, n <= 2 && rs[7].registrations == 1, qt.IsTrue, qt.Commentf("%d core nodes were asked", n))
 		quiet := func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.Now()-a.polled > a.RegisterAfter
+			return a.Now()-a.polledUntil > a.RegisterAfter
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "l", Seq: 1, LingerMs: 10000})
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		qt.Assert(t, quiet(), qt.IsFalse)
 		stop()
-		pass(time.Millisecond)
+		advance(time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsTrue, qt.Commentf("the master's side broke off"))
 		a.Poll(t.Context(), &meshpb.PollRequest{Epoch: 1, Name: "n", NextPollMs: 3000})
-		pass(3500 * time.Millisecond)
+		advance(3500 * time.Millisecond)
 		qt.Assert(t, quiet(), qt.IsFalse)
-		pass(time.Second)
+		advance(time.Second)
 		qt.Assert(t, quiet(), qt.IsTrue)
 	})
 }
@@ -250,19 +258,19 @@
 // After all processes were killed nobody has a view: each node gets the last one
 // that was published as soon as it is heard, before the new master may make one.
 // A node that has a view keeps it till then.
-func TestNodesWithoutAViewGetTheLastOneAtOnce(t *testing.T) {
+func TestNodesWithoutViewReceiveStoredViewAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _, membership := crowd(t, 60, 3)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
-		v := keptOf(60)
+		s, _, membership := newClusterWithRelays(t, 60, 3)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
+		v := storedViewOf(60)
 		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: Up, Node: "n0", Inbound: "i0"}}
-		has := s.ns[7].agent
-		qt.Assert(t, has.take(&meshpb.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
-		s.m.o.TakeoverDelay = 5 * time.Second
-		s.do(func() { s.m.BecomeMaster(2, v, map[string]string{}, conf(5, "d"), membership) })
-		pass(400 * time.Millisecond)
-		for i, f := range s.ns {
+		has := s.nodes[7].agent
+		qt.Assert(t, has.applyView(&meshpb.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
+		s.master.options.TakeoverDelay = 5 * time.Second
+		s.run(func() { s.master.BecomeMaster(2, v, map[string]string{}, packedConfigOf(5, "d"), membership) })
+		advance(400 * time.Millisecond)
+		for i, f := range s.nodes {
 			want := uint64(9)
 			if i == 7 {
 				want = 8
@@ -270,45 +278,45 @@
 			qt.Check(t, f.agent.View().GetVersion(), qt.Equals, want, qt.Commentf("node %d", i))
 			qt.Check(t, f.agent.ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
 		}
-		pass(6 * time.Second)
-		for _, f := range s.ns {
+		advance(6 * time.Second)
+		for _, f := range s.nodes {
 			qt.Check(t, f.agent.View().GetEpoch(), qt.Equals, uint64(2))
 		}
-		late := s.ns[3].agent
-		qt.Assert(t, late.take(&meshpb.View{Epoch: 1, Version: 99}, 1, ""), qt.IsFalse, qt.Commentf("from a master before"))
-		qt.Assert(t, late.take(&meshpb.View{Epoch: 1, Version: 99}, 2, ""), qt.IsFalse, qt.Commentf("older than what it has"))
+		late := s.nodes[3].agent
+		qt.Assert(t, late.applyView(&meshpb.View{Epoch: 1, Version: 99}, 1, ""), qt.IsFalse, qt.Commentf("from a master before"))
+		qt.Assert(t, late.applyView(&meshpb.View{Epoch: 1, Version: 99}, 2, ""), qt.IsFalse, qt.Commentf("older than what it has"))
 	})
 }
 
 // A node that was killed with all others says at first that it knows no endpoint:
 // that takes no endpoint out of the view, until it has had time to find it.
-func TestEndpointsStayWhileTheirNodesFindThemAgain(t *testing.T) {
+func TestEndpointsStayInViewWhileTheirNodesRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _, roll := crowd(t, 30, 3)
-		defer s.m.Mailbox.Close()
-		defer s.do(s.m.StepDown)
-		v := keptOf(30)
-		for i, f := range s.ns {
+		s, _, roll := newClusterWithRelays(t, 30, 3)
+		defer s.master.Mailbox.Close()
+		defer s.run(s.master.StepDown)
+		v := storedViewOf(30)
+		for i, f := range s.nodes {
 			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up, Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
 			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint = nil })
 		}
-		s.do(func() { s.m.BecomeMaster(2, v, map[string]string{}, conf(5, "d"), roll) })
-		pass(time.Second)
-		qt.Assert(t, s.count(0), qt.Equals, 30)
-		for i, f := range s.ns[:20] {
+		s.run(func() { s.master.BecomeMaster(2, v, map[string]string{}, packedConfigOf(5, "d"), roll) })
+		advance(time.Second)
+		qt.Assert(t, s.endpointCount(0), qt.Equals, 30)
+		for i, f := range s.nodes[:20] {
 			f.agent.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}
 			})
 		}
-		s.ns[20].agent.UpdateState(func(n *meshpb.NodeState) {
+		s.nodes[20].agent.UpdateState(func(n *meshpb.NodeState) {
 			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Healthy: true, Slots: 4}
 		})
-		pass(500 * time.Millisecond)
-		qt.Assert(t, s.count(0), qt.Equals, 29)
-		pass(3 * time.Second)
-		qt.Assert(t, s.count(0), qt.Equals, 20)
-		for _, n := range s.sizes {
-			qt.Assert(t, n >= 20, qt.IsTrue, qt.Commentf("%v", s.sizes))
+		advance(500 * time.Millisecond)
+		qt.Assert(t, s.endpointCount(0), qt.Equals, 29)
+		advance(3 * time.Second)
+		qt.Assert(t, s.endpointCount(0), qt.Equals, 20)
+		for _, n := range s.viewSizes {
+			qt.Assert(t, n >= 20, qt.IsTrue, qt.Commentf("%v", s.viewSizes))
 		}
 	})
 }
