--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -28,7 +28,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"corkcove/internal/clustercontroller"
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -71,7 +71,7 @@
 }
 
 type hollow struct {
-	ag   *clustercontroller.Agent
+	ag   *nodeagent.Agent
 	addr string
 	srv  *http.Server
 	stop context.CancelFunc
@@ -137,7 +137,7 @@
 	}
 	name := fmt.Sprint("node-", i)
 	life := strconv.FormatUint(rand.Uint64(), 16)
-	h.ag = &clustercontroller.Agent{Clients: b.lines, Seeds: b.seeds, Incarnation: life, Name: name, RegisterAfter: 2400 * time.Millisecond, Now: b.now, Logf: func(string, ...any) {}}
+	h.ag = &nodeagent.Agent{Clients: b.lines, Seeds: b.seeds, Incarnation: life, Name: name, RegisterAfter: 2400 * time.Millisecond, Now: b.now, Logf: func(string, ...any) {}}
 	h.ag.OnView = func(v *meshpb.View) {
 		h.ep.Store(v.Epoch)
 		h.ends.Store(int64(len(v.Endpoints)))
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -8,8 +8,8 @@
 
 	"corkcove/internal/affinity"
 	"corkcove/internal/changetrace"
-	"corkcove/internal/clustercontroller"
 	"corkcove/internal/mailbox"
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -40,7 +40,7 @@
 // pinAsker asks the core about sessions; it remembers who answered.
 type pinAsker struct {
 	lines *rpc.Clients
-	ag    *clustercontroller.Agent
+	ag    *nodeagent.Agent
 	mu    sync.Mutex
 	last  map[byte]string
 }
@@ -82,7 +82,7 @@
 	return nil, errPin
 }
 
-func (p *process) newCords(lines *rpc.Clients, ag *clustercontroller.Agent) *affinity.Sessions {
+func (p *process) newCords(lines *rpc.Clients, ag *nodeagent.Agent) *affinity.Sessions {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Seconds(p.o.Affinity.IdleSeconds)
 	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.o.Affinity.MaxSessions,
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -10,9 +10,9 @@
 
 	"github.com/dghubble/sling"
 
-	"corkcove/internal/clustercontroller"
 	"corkcove/internal/controlapi"
 	"corkcove/internal/endpointagent"
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/proxy"
 	"corkcove/internal/requestlog"
 	"corkcove/internal/routeconfig"
@@ -146,7 +146,7 @@
 
 // takeConfigs compiles what the master delivers; the agent calls it from one
 // goroutine at a time.
-func takeConfigs(ag *clustercontroller.Agent, plan *atomic.Pointer[routeconfig.Table], tickets *requestlog.Recorder, then func(*routeconfig.Table)) {
+func takeConfigs(ag *nodeagent.Agent, plan *atomic.Pointer[routeconfig.Table], tickets *requestlog.Recorder, then func(*routeconfig.Table)) {
 	var cur routeconfig.Config
 	use := func(d routeconfig.Config) {
 		t := routeconfig.Compile(d)
@@ -184,7 +184,7 @@
 
 // meet asks the endpoint who it is when this process has started beside one
 // that runs already, rather than wait for its next beat.
-func meet(o settings.Options, ag *clustercontroller.Agent, sub *endpointagent.Agent, plan *atomic.Pointer[routeconfig.Table], line http.RoundTripper) {
+func meet(o settings.Options, ag *nodeagent.Agent, sub *endpointagent.Agent, plan *atomic.Pointer[routeconfig.Table], line http.RoundTripper) {
 	hc := &http.Client{Transport: line, Timeout: 400 * time.Millisecond}
 	end := time.Now().Add(settings.Seconds(o.Platform.HeartbeatSeconds))
 	for tries := 0; tries < 3 && time.Now().Before(end) && !sub.Status().Known; {
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"corkcove/internal/affinity"
-	"corkcove/internal/clustercontroller"
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/proxy"
 	"corkcove/internal/requestlog"
 	"corkcove/internal/rpc"
@@ -19,7 +19,7 @@
 type station struct {
 	*process
 	pools   *proxy.Balancer
-	ag      *clustercontroller.Agent
+	ag      *nodeagent.Agent
 	cords   *affinity.Sessions
 	tickets *requestlog.Recorder
 	budget  *proxy.Budget
@@ -31,7 +31,7 @@
 func (p *process) newStation(pools *proxy.Balancer, n *meshpb.NodeState) station {
 	o, bd := p.o, p.o.Requirements.Bounds
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
-	ag := &clustercontroller.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
+	ag := &nodeagent.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
 		Now: p.now, Logf: p.note("supervisor"), Trace: p.trace}
 	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Incarnation, o.InternalAddr(), o.Self.ZoneName, "up"
 	ag.Start(n)
--- a/internal/clustercontroller/redeliver_test.go
+++ b/internal/clustercontroller/redeliver_test.go
@@ -10,6 +10,7 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -53,11 +54,9 @@
 func (s *testCluster) restart(i int, life string) {
 	f := s.nodes[i]
 	old := f.current()
-	old.mu.Lock()
-	state := proto.Clone(old.state).(*meshpb.NodeState)
-	old.mu.Unlock()
+	state := proto.Clone(old.State()).(*meshpb.NodeState)
 	state.Incarnation = life
-	a := &Agent{Name: old.Name, Incarnation: life, RegisterAfter: old.RegisterAfter, Now: old.Now, Logf: old.Logf, Clients: old.Clients,
+	a := &nodeagent.Agent{Name: old.Name, Incarnation: life, RegisterAfter: old.RegisterAfter, Now: old.Now, Logf: old.Logf, Clients: old.Clients,
 		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
 	a.Start(state)
 	f.mu.Lock()
@@ -104,7 +103,7 @@
 		defer s.run(s.master.StepDown)
 		var lossies []*lossyNode
 		for _, i := range []int{3, 4, 17, 20, 33, 41, 59} {
-			addr := s.nodes[i].agent.state.Addr
+			addr := s.nodes[i].agent.State().Addr
 			l := &lossyNode{Node: s.nodes[i]}
 			s.master.clients.PutNode(addr, l)
 			rs[0].clients.PutNode(addr, l)
@@ -131,7 +130,7 @@
 		s.run(func() { s.master.SetConfig(first) })
 		advance(100 * time.Millisecond)
 		s.restart(5, "l2")
-		s.run(func() { s.master.RegisterNode(s.nodes[5].current().state) })
+		s.run(func() { s.master.RegisterNode(s.nodes[5].current().State()) })
 		advance(100 * time.Millisecond)
 		s.run(func() { s.master.SetConfig(second) })
 		took := time.Duration(0)
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -18,14 +18,12 @@
 // relayer is a core member that relays, and counts what it was asked.
 type fakeCoreMember struct {
 	meshpb.Control
-	clients       *rpc.Clients
-	mu            sync.Mutex
-	relayCalls    int
-	targetCount   int
-	down          bool
-	registrations int
-	master        string
-	stored        StoredPayloads
+	clients     *rpc.Clients
+	mu          sync.Mutex
+	relayCalls  int
+	targetCount int
+	down        bool
+	stored      StoredPayloads
 }
 
 func (r *fakeCoreMember) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
@@ -41,13 +39,6 @@
 	return Relay(ctx, r.clients, q, func() StoredPayloads { return r.stored }), nil
 }
 
-func (r *fakeCoreMember) RegisterNode(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.registrations++
-	return &meshpb.RegisterNodeResponse{MasterAddr: r.master, Master: r.master == "self"}, nil
-}
-
 // crowd is a stage with relays; far makes nodes out of the relays' reach.
 func newClusterWithRelays(t *testing.T, nodes, relays int) (*testCluster, []*fakeCoreMember, *meshpb.Membership) {
 	s := newTestCluster(t, nodes)
@@ -213,48 +204,6 @@
 	})
 }
 
-func TestRegistrationCallsFewMembersAndPausesDuringLongPoll(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		t0 := time.Now()
-		lines := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
-		var rs []*fakeCoreMember
-		a := &Agent{Name: "n", Incarnation: "l", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(t0) }, Logf: func(string, ...any) {}, Clients: lines}
-		for i := range 9 {
-			r := &fakeCoreMember{master: "c7"}
-			if i == 7 {
-				r.master = "self"
-			}
-			lines.PutControl(fmt.Sprint("c", i), r)
-			a.Seeds = append(a.Seeds, fmt.Sprint("c", i))
-			rs = append(rs, r)
-		}
-		a.Start(&meshpb.NodeState{Name: "n", Incarnation: "l"})
-		qt.Assert(t, a.register(t.Context()), qt.IsTrue)
-		n := 0
-		for _, r := range rs {
-			n += r.registrations
-		}
-		qt.Assert(t, n <= 2 && rs[7].registrations == 1, qt.IsTrue, qt.Commentf("%d core nodes were asked", n))
-		quiet := func() bool {
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			return a.Now()-a.polledUntil > a.RegisterAfter
-		}
-		ctx, stop := context.WithCancel(t.Context())
-		go a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "l", Seq: 1, LingerMs: 10000})
-		advance(5 * time.Second)
-		qt.Assert(t, quiet(), qt.IsFalse)
-		stop()
-		advance(time.Millisecond)
-		qt.Assert(t, quiet(), qt.IsTrue, qt.Commentf("the master's side broke off"))
-		a.Poll(t.Context(), &meshpb.PollRequest{Epoch: 1, Name: "n", NextPollMs: 3000})
-		advance(3500 * time.Millisecond)
-		qt.Assert(t, quiet(), qt.IsFalse)
-		advance(time.Second)
-		qt.Assert(t, quiet(), qt.IsTrue)
-	})
-}
-
 // After all processes were killed nobody has a view: each node gets the last one
 // that was published as soon as it is heard, before the new master may make one.
 // A node that has a view keeps it till then.
@@ -266,7 +215,7 @@
 		v := storedViewOf(60)
 		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: Up, Node: "n0", Inbound: "i0"}}
 		has := s.nodes[7].agent
-		qt.Assert(t, has.applyView(&meshpb.View{Epoch: 1, Version: 8}, 1, ""), qt.IsTrue)
+		qt.Assert(t, publish(has, &meshpb.View{Epoch: 1, Version: 8}, 1), qt.IsTrue)
 		s.master.options.TakeoverDelay = 5 * time.Second
 		s.run(func() { s.master.BecomeMaster(2, v, map[string]string{}, packedConfigOf(5, "d"), membership) })
 		advance(400 * time.Millisecond)
@@ -283,8 +232,8 @@
 			qt.Check(t, f.agent.View().GetEpoch(), qt.Equals, uint64(2))
 		}
 		late := s.nodes[3].agent
-		qt.Assert(t, late.applyView(&meshpb.View{Epoch: 1, Version: 99}, 1, ""), qt.IsFalse, qt.Commentf("from a master before"))
-		qt.Assert(t, late.applyView(&meshpb.View{Epoch: 1, Version: 99}, 2, ""), qt.IsFalse, qt.Commentf("older than what it has"))
+		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 1), qt.IsFalse, qt.Commentf("from a master before"))
+		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 2), qt.IsFalse, qt.Commentf("older than what it has"))
 	})
 }
 
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/mailbox"
+	"corkcove/internal/nodeagent"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -70,14 +71,14 @@
 
 type fakeNode struct {
 	mu             sync.Mutex
-	agent          *Agent
+	agent          *nodeagent.Agent
 	viewVersions   []uint64
 	configVersions []uint64
 	partitioned    bool
 }
 
 // current is the agent of the life that runs now.
-func (f *fakeNode) current() *Agent {
+func (f *fakeNode) current() *nodeagent.Agent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.agent
@@ -147,7 +148,7 @@
 		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, mailbox.New(), lines, s.store)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
-		a := &Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Logf: func(string, ...any) {}, Clients: lines}
+		a := &nodeagent.Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Logf: func(string, ...any) {}, Clients: lines}
 		a.OnView = func(v *meshpb.View) {
 			f.mu.Lock()
 			f.viewVersions = append(f.viewVersions, v.Version)
@@ -185,10 +186,20 @@
 
 func (s *testCluster) registerAll() {
 	for _, n := range s.nodes {
-		s.run(func() { s.master.RegisterNode(n.agent.state) })
+		s.run(func() { s.master.RegisterNode(n.agent.State()) })
 	}
 }
 
+// publish gives a view to a node as the master of an epoch does.
+func publish(a *nodeagent.Agent, v *meshpb.View, masterEpoch uint64) bool {
+	packed, err := proto.Marshal(v)
+	if err != nil {
+		return false
+	}
+	r, err := a.PublishView(context.Background(), &meshpb.PublishViewRequest{Packed: packed, Epoch: masterEpoch})
+	return err == nil && r.Ok
+}
+
 func advance(d time.Duration) { <-time.After(d); synctest.Wait() }
 
 func (s *testCluster) endpointCount(i int) int {
@@ -274,31 +285,6 @@
 	})
 }
 
-func TestAgentRejectsLowerEpochAndOlderVersion(t *testing.T) {
-	got := 0
-	a := &Agent{Name: "n", Incarnation: "l", Now: func() time.Duration { return 0 }, Logf: func(string, ...any) {},
-		OnView: func(*meshpb.View) { got++ }, OnConfig: func(uint64, []byte) error { return nil }}
-	a.Start(&meshpb.NodeState{Name: "n"})
-	c := context.Background()
-	pub := func(e, s uint64) bool {
-		b, _ := proto.Marshal(&meshpb.View{Epoch: e, Version: s})
-		r, _ := a.PublishView(c, &meshpb.PublishViewRequest{Packed: b})
-		return r.Ok
-	}
-	qt.Assert(t, pub(2, 5), qt.IsTrue)
-	qt.Assert(t, pub(1, 9), qt.IsFalse)
-	qt.Assert(t, pub(2, 4), qt.IsFalse)
-	qt.Assert(t, pub(2, 5), qt.IsTrue)
-	qt.Assert(t, pub(3, 6), qt.IsTrue)
-	qt.Assert(t, got, qt.Equals, 2)
-	r, _ := a.Poll(c, &meshpb.PollRequest{Epoch: 2, Name: "n"})
-	qt.Assert(t, r.Stale, qt.IsTrue)
-	qt.Assert(t, r.Epoch, qt.Equals, uint64(3))
-	a.DeliverConfig(c, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 8, Data: rpc.Pack(nil)})
-	d, _ := a.DeliverConfig(c, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 7, Data: rpc.Pack(nil)})
-	qt.Assert(t, d.Version, qt.Equals, uint64(8))
-}
-
 func TestMasterWithoutLeaseReleasesItsNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCluster(t, 2)
@@ -312,17 +298,14 @@
 		s.registerAll()
 		advance(2 * time.Second)
 		quiet := func(i int) bool {
-			a := s.nodes[i].agent
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			return a.Now()-a.polledUntil > a.RegisterAfter
+			return s.nodes[i].agent.PollOverdue()
 		}
 		qt.Assert(t, quiet(0), qt.IsFalse)
 		s.run(func() { held = false })
 		advance(100 * time.Millisecond)
 		qt.Assert(t, quiet(0) && quiet(1), qt.IsTrue, qt.Commentf("nodes must look for another master at once"))
 		s.run(func() {
-			_, ok := s.master.RegisterNode(s.nodes[0].agent.state)
+			_, ok := s.master.RegisterNode(s.nodes[0].agent.State())
 			qt.Check(t, ok, qt.IsFalse)
 			s.master.SetConfig(packedConfigOf(9, "never"))
 		})
