--- /dev/null
+++ b/internal/replay/compare_text.go
@@ -0,0 +1,56 @@
+package replay
+
+import (
+	"fmt"
+	"io"
+	"strings"
+)
+
+// Text renders the comparison for people; each list is cut at limit entries.
+func (c *Comparison) Text(limit int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d requests under the change, %d under others or too early; coverage %.1f%%\n", c.Requests, c.OtherRequests, 100*c.Coverage)
+	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.SharesChecked, c.Z)
+	c.writeFlows(&b, limit)
+	c.writeDeviations(&b, limit)
+	writeFlowList(&b, "not seen since", c.MissingFlows, limit)
+	writeFlowList(&b, "not foretold", c.NewFlows, limit)
+	writeFlowList(&b, "too few requests to tell", c.SparseFlows, limit)
+	return b.String()
+}
+
+func (c *Comparison) writeFlows(w io.Writer, limit int) {
+	fmt.Fprintf(w, "%-20s %-10s %-26s %9s %9s %8s  %s\n", "route", "kind", "from", "foretold", "carried", "outside", "service, foretold -> carried")
+	for i, f := range c.Flows {
+		if i == limit {
+			fmt.Fprintf(w, "and %d more flows\n", len(c.Flows)-i)
+			break
+		}
+		fmt.Fprintf(w, "%-20s %-10s %-26s %9d %9d %8d  %s -> %s\n", f.Route, f.Kind, f.Origin, f.Forecast.Requests, f.Actual.Requests, f.Deviations,
+			sharesText(f.Forecast.Service, f.Forecast.Requests), sharesText(f.Actual.Service, f.Actual.Requests))
+	}
+}
+
+func (c *Comparison) writeDeviations(w io.Writer, limit int) {
+	for i, d := range c.Deviations {
+		if i == 0 {
+			io.WriteString(w, "\n")
+		}
+		if i == limit {
+			fmt.Fprintf(w, "and %d more outside\n", len(c.Deviations)-i)
+			break
+		}
+		fmt.Fprintf(w, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n",
+			d.Flow, d.Dimension, d.Value, 100*d.Forecast, 100*d.Actual, 100*d.Low, 100*d.High)
+	}
+}
+
+func writeFlowList(w io.Writer, title string, flows []Flow, limit int) {
+	for i, f := range flows {
+		if i == limit {
+			fmt.Fprintf(w, "%s: and %d more flows\n", title, len(flows)-i)
+			break
+		}
+		fmt.Fprintf(w, "%s: %s\n", title, f)
+	}
+}
--- a/internal/replay/forecast_test.go
+++ b/internal/replay/forecast_test.go
@@ -108,7 +108,7 @@
 	all := func(b string, f func(*meshpb.RequestRecord) bool) []string {
 		return tickets(c, func(x *meshpb.RequestRecord) bool { return x.Route == b && f(x) })
 	}
-	flagged := func(r *Report, what, route string) (ids []string) {
+	flagged := func(r *Report, what Harm, route string) (ids []string) {
 		for _, f := range r.Flags {
 			if f.Harm == what && f.Route == route {
 				qt.Check(t, f.Reason != "", qt.IsTrue)
@@ -126,14 +126,14 @@
 	}
 	r := play(t, c, doc(t, 2, `"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/pay/","bindingKind":"pure"`,
 		`"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":1`, `"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":3`))
-	qt.Assert(t, sorted(flagged(r, FlagSentTwice, "pay")), qt.DeepEquals, sorted(all("pay", unsure)))
+	qt.Assert(t, sorted(flagged(r, HarmSentTwice, "pay")), qt.DeepEquals, sorted(all("pay", unsure)))
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":2`, `"pathPrefix":"/up/","bindingKind":"upload","timeoutS":0.01`))
-	qt.Assert(t, sorted(flagged(r, FlagDropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.RequestRecord) bool { return true })))
-	qt.Assert(t, len(flagged(r, FlagDropped, "buy")), qt.Equals, 0)
+	qt.Assert(t, sorted(flagged(r, HarmDropped, "up")), qt.DeepEquals, sorted(all("up", func(*meshpb.RequestRecord) bool { return true })))
+	qt.Assert(t, len(flagged(r, HarmDropped, "buy")), qt.Equals, 0)
 
 	r = play(t, c, doc(t, 2, `"pathPrefix":"/buy/"`, `"pathPrefix":"/purchase/"`))
-	gone := sorted(flagged(r, FlagDropped, "buy"))
+	gone := sorted(flagged(r, HarmDropped, "buy"))
 	qt.Assert(t, gone, qt.DeepEquals, sorted(all("buy", func(x *meshpb.RequestRecord) bool { return x.Code == 200 })))
 	qt.Assert(t, strings.Contains(r.Flags[0].Reason, "404"), qt.IsTrue)
 
@@ -145,7 +145,7 @@
 		}
 		r, err := Simulate(c, Scenario{Config: &d, Seed: 1}, b)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, len(flagged(r, FlagDropped, "map")) > 0, qt.Equals, want)
+		qt.Assert(t, len(flagged(r, HarmDropped, "map")) > 0, qt.Equals, want)
 	}
 }
 
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -120,7 +120,7 @@
 
 // with gives the requests that have a verdict, and those that the record says
 // should.
-func with(r *Report, v string) (out []string) {
+func with(r *Report, v Verdict) (out []string) {
 	for _, l := range r.ChangedRequests {
 		if slices.Contains(l.Verdicts, v) {
 			out = append(out, l.ID)
@@ -162,7 +162,7 @@
 	for _, l := range r.ChangedRequests {
 		if slices.Contains(l.Verdicts, VerdictDuplicated) {
 			qt.Assert(t, l.Old.Kind, qt.Equals, "effectful")
-			qt.Assert(t, l.Basis, qt.Equals, "model")
+			qt.Assert(t, l.Basis, qt.Equals, BasisModel)
 		}
 	}
 
@@ -279,7 +279,7 @@
 	for range 4 {
 		c.Nodes[1].Records = append(c.Nodes[1].Records, ticket("own", 100_000, 1_897_000))
 	}
-	ps := join(c, nodesOf(c))
+	ps := findParents(c, endpointNodes(c))
 	qt.Assert(t, len(ps), qt.Equals, 1)
 	for k, p := range ps {
 		qt.Assert(t, k.Id+" of "+p.Id, qt.Equals, "call of p")
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	carried := &meshpb.ReplayFile{}
 	prototest.Fill(carried)
-	carried.Version = version
+	carried.Version = formatVersion
 	file := proto.Clone(carried).(*meshpb.ReplayFile)
 	qt.Assert(t, os.MkdirAll("testdata", 0o755), qt.IsNil)
 	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
