--- /dev/null
+++ b/internal/replay/stored_json_test.go
@@ -0,0 +1,36 @@
+package replay
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/jsontest"
+)
+
+// The files were written by the code of commit 242832a, from values that have
+// every field set.
+func TestJSONKeysOf242832aAreKept(t *testing.T) {
+	for file, v := range map[string]any{
+		"report.json":     &Report{},
+		"comparison.json": &Comparison{},
+		"forecast.json":   &Forecast{},
+	} {
+		t.Run(file, func(t *testing.T) { jsontest.Unchanged(t, filepath.Join(storedDir, file), v) })
+	}
+}
+
+func TestForecastOf242832aIsReadAndSavedUnchanged(t *testing.T) {
+	stored := filepath.Join(storedDir, "forecast.json")
+	f, err := ReadForecast(stored)
+	qt.Assert(t, err, qt.IsNil)
+	copied := filepath.Join(t.TempDir(), "forecast.json")
+	qt.Assert(t, f.Save(copied), qt.IsNil)
+	want, err := os.ReadFile(stored)
+	qt.Assert(t, err, qt.IsNil)
+	got, err := os.ReadFile(copied)
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, string(got), qt.Equals, string(want))
+}
