--- a/internal/replay/compare_text.go
+++ b/internal/replay/compare_text.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"strings"
 )
 
@@ -19,38 +18,38 @@
 	return b.String()
 }
 
-func (c *Comparison) writeFlows(w io.Writer, limit int) {
-	fmt.Fprintf(w, "%-20s %-10s %-26s %9s %9s %8s  %s\n", "route", "kind", "from", "foretold", "carried", "outside", "service, foretold -> carried")
+func (c *Comparison) writeFlows(b *strings.Builder, limit int) {
+	fmt.Fprintf(b, "%-20s %-10s %-26s %9s %9s %8s  %s\n", "route", "kind", "from", "foretold", "carried", "outside", "service, foretold -> carried")
 	for i, f := range c.Flows {
 		if i == limit {
-			fmt.Fprintf(w, "and %d more flows\n", len(c.Flows)-i)
+			fmt.Fprintf(b, "and %d more flows\n", len(c.Flows)-i)
 			break
 		}
-		fmt.Fprintf(w, "%-20s %-10s %-26s %9d %9d %8d  %s -> %s\n", f.Route, f.Kind, f.Origin, f.Forecast.Requests, f.Actual.Requests, f.Deviations,
+		fmt.Fprintf(b, "%-20s %-10s %-26s %9d %9d %8d  %s -> %s\n", f.Route, f.Kind, f.Origin, f.Forecast.Requests, f.Actual.Requests, f.Deviations,
 			sharesText(f.Forecast.Service, f.Forecast.Requests), sharesText(f.Actual.Service, f.Actual.Requests))
 	}
 }
 
-func (c *Comparison) writeDeviations(w io.Writer, limit int) {
+func (c *Comparison) writeDeviations(b *strings.Builder, limit int) {
 	for i, d := range c.Deviations {
 		if i == 0 {
-			io.WriteString(w, "\n")
+			b.WriteString("\n")
 		}
 		if i == limit {
-			fmt.Fprintf(w, "and %d more outside\n", len(c.Deviations)-i)
+			fmt.Fprintf(b, "and %d more outside\n", len(c.Deviations)-i)
 			break
 		}
-		fmt.Fprintf(w, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n",
+		fmt.Fprintf(b, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n",
 			d.Flow, d.Dimension, d.Value, 100*d.Forecast, 100*d.Actual, 100*d.Low, 100*d.High)
 	}
 }
 
-func writeFlowList(w io.Writer, title string, flows []Flow, limit int) {
+func writeFlowList(b *strings.Builder, title string, flows []Flow, limit int) {
 	for i, f := range flows {
 		if i == limit {
-			fmt.Fprintf(w, "%s: and %d more flows\n", title, len(flows)-i)
+			fmt.Fprintf(b, "%s: and %d more flows\n", title, len(flows)-i)
 			break
 		}
-		fmt.Fprintf(w, "%s: %s\n", title, f)
+		fmt.Fprintf(b, "%s: %s\n", title, f)
 	}
 }
--- a/internal/replay/flags.go
+++ b/internal/replay/flags.go
@@ -14,11 +14,11 @@
 type Harm string
 
 const (
-	// HarmSentTwice: it must run once and may run twice.
+	// HarmSentTwice is that it must run once and may run twice.
 	HarmSentTwice Harm = "sent twice"
-	// HarmDropped: it gets no endpoint's answer.
+	// HarmDropped is that it gets no endpoint's answer.
 	HarmDropped Harm = "dropped"
-	// HarmLeftWaiting: it is answered too late.
+	// HarmLeftWaiting is that it is answered too late.
 	HarmLeftWaiting Harm = "left waiting"
 )
 
--- a/internal/replay/recording_reader.go
+++ b/internal/replay/recording_reader.go
@@ -50,10 +50,10 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	recording, err := ReadFrom(bufio.NewReaderSize(f, readBufferBytes))
 	if err != nil {
-		return nil, Error.New("%s: %v", path, errs.Unwrap(err))
+		return nil, Error.New("%s: %w", path, errors.Unwrap(err))
 	}
 	return recording, nil
 }
@@ -85,14 +85,14 @@
 }
 
 func readMagic(in io.Reader) error {
-	line := make([]byte, len(fileMagic))
-	n, err := io.ReadFull(in, line)
+	magic := make([]byte, len(fileMagic))
+	n, err := io.ReadFull(in, magic)
 	switch {
-	case err != nil && bytes.HasPrefix([]byte(fileMagic), line[:n]):
+	case err != nil && bytes.HasPrefix([]byte(fileMagic), magic[:n]):
 		return errTruncated
-	case !bytes.HasPrefix(line, []byte(fileMagicPrefix)):
+	case !bytes.HasPrefix(magic, []byte(fileMagicPrefix)):
 		return Error.New("this is no file of `corkcove replay save`")
-	case string(line) != fileMagic:
+	case string(magic) != fileMagic:
 		return Error.New("the file is of another version of corkcove's record")
 	}
 	return nil
--- a/internal/replay/recording_test.go
+++ b/internal/replay/recording_test.go
@@ -21,7 +21,7 @@
 	changedSection := slices.Clone(complete)
 	changedSection[len(changedSection)/2] ^= 1
 	var empty bytes.Buffer
-	Write(&empty, &meshpb.ReplayFile{})
+	qt.Assert(t, Write(&empty, &meshpb.ReplayFile{}), qt.IsNil)
 	for want, content := range map[string][]byte{
 		"cut short":       complete[:len(complete)/2],
 		"checksum":        changedChecksum,
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -11,9 +11,9 @@
 type Basis string
 
 const (
-	// BasisRecord: all of it was recorded.
+	// BasisRecord is that all of it was recorded.
 	BasisRecord Basis = "record"
-	// BasisModel: some attempt or header is not in the recording.
+	// BasisModel is that some attempt or header is not in the recording.
 	BasisModel Basis = "model"
 )
 
--- a/internal/replay/report_text.go
+++ b/internal/replay/report_text.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"strings"
 )
 
@@ -21,59 +20,59 @@
 	return b.String()
 }
 
-func (r *Report) writeOverview(w io.Writer) {
-	fmt.Fprintf(w, "%d requests at %d nodes in %.0f s; %d calls joined to their parents; %d followed the model at some point\n", r.Requests, r.Nodes, r.SpanSeconds, r.CallsWithParent, r.FromModel)
+func (r *Report) writeOverview(b *strings.Builder) {
+	fmt.Fprintf(b, "%d requests at %d nodes in %.0f s; %d calls joined to their parents; %d followed the model at some point\n", r.Requests, r.Nodes, r.SpanSeconds, r.CallsWithParent, r.FromModel)
 	if r.Dropped > 0 || r.Unfinished > 0 || r.NodesWithoutView > 0 {
-		fmt.Fprintf(w, "missing: %d dropped by full records, %d still under way, %d nodes without a view\n", r.Dropped, r.Unfinished, r.NodesWithoutView)
+		fmt.Fprintf(b, "missing: %d dropped by full records, %d still under way, %d nodes without a view\n", r.Dropped, r.Unfinished, r.NodesWithoutView)
 	}
 	for _, node := range r.Unreachable {
-		fmt.Fprintf(w, "%s did not answer: its requests are missing\n", node)
+		fmt.Fprintf(b, "%s did not answer: its requests are missing\n", node)
 	}
 }
 
-func (r *Report) writeFitness(w io.Writer, limit int) {
-	fmt.Fprintf(w, "control: the old rules give back all but %.2f%% of what was recorded (allowed: %.2f%%)\n", 100*r.ControlMismatch, 100*r.MaxMismatch)
-	fmt.Fprintf(w, "coverage: the record has %.1f%% of what the nodes carried in its span (needed: %.1f%%)\n", 100*r.Coverage, 100*r.MinCoverage)
+func (r *Report) writeFitness(b *strings.Builder, limit int) {
+	fmt.Fprintf(b, "control: the old rules give back all but %.2f%% of what was recorded (allowed: %.2f%%)\n", 100*r.ControlMismatch, 100*r.MaxMismatch)
+	fmt.Fprintf(b, "coverage: the record has %.1f%% of what the nodes carried in its span (needed: %.1f%%)\n", 100*r.Coverage, 100*r.MinCoverage)
 	for i, lost := range r.LostSpans {
 		if i == limit {
-			fmt.Fprintf(w, "  and %d more nodes\n", len(r.LostSpans)-i)
+			fmt.Fprintf(b, "  and %d more nodes\n", len(r.LostSpans)-i)
 			break
 		}
-		fmt.Fprintf(w, "  %s: its ring lost %.1f s (recordSet.requests)\n", lost.Node, lost.Seconds)
+		fmt.Fprintf(b, "  %s: its ring lost %.1f s (recordSet.requests)\n", lost.Node, lost.Seconds)
 	}
 	if r.ControlMismatch > r.MaxMismatch {
-		io.WriteString(w, "UNFIT TO DECIDE ON: the playing does not give back what happened\n")
+		b.WriteString("UNFIT TO DECIDE ON: the playing does not give back what happened\n")
 	}
 	if r.Coverage < r.MinCoverage {
-		io.WriteString(w, "UNFIT TO DECIDE ON: too much of what was carried is missing\n")
+		b.WriteString("UNFIT TO DECIDE ON: too much of what was carried is missing\n")
 	}
 }
 
-func (r *Report) writeVerdicts(w io.Writer) {
-	io.WriteString(w, "\nunder the new rules, and not under the old:\n")
+func (r *Report) writeVerdicts(b *strings.Builder) {
+	b.WriteString("\nunder the new rules, and not under the old:\n")
 	for _, v := range allVerdicts {
-		fmt.Fprintf(w, "%10d  %s\n", r.Verdicts[v], v)
+		fmt.Fprintf(b, "%10d  %s\n", r.Verdicts[v], v)
 	}
 }
 
-func (r *Report) writeSessions(w io.Writer, limit int) {
-	fmt.Fprintf(w, "\nsessions: %d open, %d moves\n", r.Sessions, len(r.SessionMoves))
+func (r *Report) writeSessions(b *strings.Builder, limit int) {
+	fmt.Fprintf(b, "\nsessions: %d open, %d moves\n", r.Sessions, len(r.SessionMoves))
 	for i, m := range r.SessionMoves {
 		if i == limit {
-			fmt.Fprintf(w, "  and %d more\n", len(r.SessionMoves)-i)
+			fmt.Fprintf(b, "  and %d more\n", len(r.SessionMoves)-i)
 			break
 		}
-		fmt.Fprintf(w, "  %s from %s to %s: %s, at %s\n", m.Session, m.From, m.To, m.Reason, m.Node)
+		fmt.Fprintf(b, "  %s from %s to %s: %s, at %s\n", m.Session, m.From, m.To, m.Reason, m.Node)
 	}
 }
 
-func (r *Report) writeSummaries(w io.Writer, filter Filter) {
-	fmt.Fprintf(w, "\n%-20s %-10s %-26s %9s  %s\n", "route", "kind", "node", "requests", "changed")
+func (r *Report) writeSummaries(b *strings.Builder, filter Filter) {
+	fmt.Fprintf(b, "\n%-20s %-10s %-26s %9s  %s\n", "route", "kind", "node", "requests", "changed")
 	for _, s := range r.Summaries {
 		if len(s.Verdicts) == 0 || !filter.selectsSummary(s) {
 			continue
 		}
-		fmt.Fprintf(w, "%-20s %-10s %-26s %9d  %s\n", s.Route, s.Kind, s.Node, s.Requests, verdictCountsText(s.Verdicts))
+		fmt.Fprintf(b, "%-20s %-10s %-26s %9d  %s\n", s.Route, s.Kind, s.Node, s.Requests, verdictCountsText(s.Verdicts))
 	}
 }
 
@@ -87,23 +86,23 @@
 	return strings.Join(out, ", ")
 }
 
-func (r *Report) writeChangedRequests(w io.Writer, filter Filter, limit int) {
+func (r *Report) writeChangedRequests(b *strings.Builder, filter Filter, limit int) {
 	n := 0
 	for _, c := range r.ChangedRequests {
 		if !filter.selects(c) {
 			continue
 		}
 		if n++; n == 1 {
-			fmt.Fprintf(w, "\n%-12s %-18s %-26s %-16s %-10s %-8s %s\n", "at", "request", "node", "route", "kind", "basis", "what")
+			fmt.Fprintf(b, "\n%-12s %-18s %-26s %-16s %-10s %-8s %s\n", "at", "request", "node", "route", "kind", "basis", "what")
 		}
 		if n > limit {
 			continue
 		}
-		fmt.Fprintf(w, "%-12s %-18s %-26s %-16s %-10s %-8s %s: %s -> %s\n", c.At, c.ID, c.Node, c.route(), c.kind(), c.Basis,
+		fmt.Fprintf(b, "%-12s %-18s %-26s %-16s %-10s %-8s %s: %s -> %s\n", c.At, c.ID, c.Node, c.route(), c.kind(), c.Basis,
 			verdictsText(c.Verdicts), c.Old, c.New)
 	}
 	if n > limit {
-		fmt.Fprintf(w, "and %d more; --most shows them\n", n-limit)
+		fmt.Fprintf(b, "and %d more; --most shows them\n", n-limit)
 	}
 }
 
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -28,24 +28,24 @@
 	if *update {
 		writeStored(t)
 	}
-	carried, err := ReadFile(storedFile)
+	recording, err := ReadFile(storedFile)
 	qt.Assert(t, err, qt.IsNil)
 	want, err := os.ReadFile(storedText)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, prototest.Text(carried), qt.Equals, string(want))
+	qt.Assert(t, prototest.Text(recording), qt.Equals, string(want))
 }
 
 func writeStored(t *testing.T) {
 	t.Helper()
-	carried := &meshpb.ReplayFile{}
-	prototest.Fill(carried)
-	carried.Version = formatVersion
-	file := proto.Clone(carried).(*meshpb.ReplayFile)
+	recording := &meshpb.ReplayFile{}
+	prototest.Fill(recording)
+	recording.Version = formatVersion
+	file := proto.Clone(recording).(*meshpb.ReplayFile)
 	qt.Assert(t, os.MkdirAll("testdata", 0o755), qt.IsNil)
 	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
 	out, err := os.Create(storedFile)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, Write(out, file), qt.IsNil)
 	qt.Assert(t, out.Close(), qt.IsNil)
-	qt.Assert(t, os.WriteFile(storedText, []byte(prototest.Text(carried)), 0o644), qt.IsNil)
+	qt.Assert(t, os.WriteFile(storedText, []byte(prototest.Text(recording)), 0o644), qt.IsNil)
 }
--- a/internal/replay/verdicts.go
+++ b/internal/replay/verdicts.go
@@ -14,23 +14,24 @@
 
 // The verdicts, in the order in which reports list them.
 const (
-	// VerdictDuplicated: a request that must run once may run twice.
+	// VerdictDuplicated is that it must run once and may run twice.
 	VerdictDuplicated Verdict = "doubled"
-	// VerdictLost: it gets no answer that tells whether it ran.
+	// VerdictLost is that it gets no answer that tells whether it ran.
 	VerdictLost Verdict = "vanished"
-	// VerdictLate: it is answered after its latency target, or reaches its time
+	// VerdictLate is that it is answered after its latency target, or reaches its time
 	// limit.
 	VerdictLate Verdict = "stalled"
-	// VerdictRerouted: it goes to another service.
+	// VerdictRerouted is that it goes to another service.
 	VerdictRerouted Verdict = "sent elsewhere"
-	// VerdictRejected: a node answers it with an error instead of an endpoint.
+	// VerdictRejected is that a node answers it with an error instead of an endpoint.
 	VerdictRejected Verdict = "refused anew"
-	// VerdictMissedTarget: one that may be retried is not answered within its
+	// VerdictMissedTarget is that it may be retried and is not answered within its
 	// latency target.
 	VerdictMissedTarget Verdict = "not at the right place in time"
-	// VerdictSessionMoved: its session is assigned to another endpoint.
+	// VerdictSessionMoved is that its session is assigned to another endpoint.
 	VerdictSessionMoved Verdict = "session moved"
-	// VerdictNotSent: the request that it is a call of no longer runs at its node.
+	// VerdictNotSent is that the request that it is a call of no longer runs at its
+	// node.
 	VerdictNotSent Verdict = "not asked: its parent does not run"
 )
 
