--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -60,7 +60,7 @@
 			stages[0].do()
 			stages = stages[1:]
 		}
-		if elapsed > s.Grace-exitLead || elapsed > s.Linger && s.idle() {
+		if elapsed > s.Grace-exitLead || elapsed > s.Linger && s.closeIfIdle() {
 			break
 		}
 		time.Sleep(shutdownPoll)
@@ -90,6 +90,17 @@
 	s.Inbound.Drain()
 }
 
+// closeIfIdle tells that no request is in flight and that none will be accepted.
+// A request is counted as in flight before it is accepted, so that the second
+// look finds any that came between the first one and the closing.
+func (s Shutdown) closeIfIdle() bool {
+	if !s.idle() {
+		return false
+	}
+	s.Outbound.StopAccepting()
+	return s.idle()
+}
+
 // idle tells that no request is in flight.
 func (s Shutdown) idle() bool {
 	return s.Outbound.InFlight.Load() == 0 && (s.Inbound == nil || s.Inbound.InFlight.Load() == 0)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -154,6 +154,18 @@
 	})
 }
 
+// A request that comes between the decision to exit and the exit was passed on
+// and cut (gateway-north, mix --seed 432742968009).
+func TestShutdownRefusesRequestsThatComeJustBeforeTheExit(t *testing.T) {
+	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
+		rig.learn(t, "/p/", quick)
+		rig.sigterm()
+		rig.until(testGrace/2 + shutdownPoll + shutdownPoll/2)
+		rig.refusedUnrun(t, "/p/")
+		qt.Assert(t, <-rig.exited, qt.Equals, testGrace/2+2*shutdownPoll)
+	})
+}
+
 func TestShutdownTakesLateRequestsThatEndInTime(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.learn(t, "/p/", quick)
