--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -137,7 +137,7 @@
 	}
 	name := fmt.Sprint("node-", i)
 	life := strconv.FormatUint(rand.Uint64(), 16)
-	h.ag = &nodeagent.Agent{Clients: b.lines, Seeds: b.seeds, Incarnation: life, Name: name, RegisterAfter: 2400 * time.Millisecond, Now: b.now, Logf: func(string, ...any) {}}
+	h.ag = &nodeagent.Agent{Clients: b.lines, Seeds: b.seeds, Incarnation: life, Name: name, RegisterAfter: 2400 * time.Millisecond, Now: b.now}
 	h.ag.OnView = func(v *meshpb.View) {
 		h.ep.Store(v.Epoch)
 		h.ends.Store(int64(len(v.Endpoints)))
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -271,7 +271,7 @@
 // between readings leaves most of drainS for the view's way to the nodes.
 func (c *coreNode) readList(ctx context.Context) {
 	pf := c.o.Platform.Cloud
-	r := discovery.New(discovery.Options{Address: pf.Address, RequestsPerSecond: pf.RequestsPerSecond, Logf: c.note("directory"),
+	r := discovery.New(discovery.Options{Address: pf.Address, RequestsPerSecond: pf.RequestsPerSecond, Log: c.log("discovery"),
 		HTTPClient: &http.Client{Timeout: time.Second, Transport: rpc.Transport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
 	period := min(max(settings.Seconds(c.o.Requirements.Bounds.DrainSeconds)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
@@ -289,7 +289,7 @@
 				c.master.Mailbox.Post(func() { c.master.SetListedEndpoints(es) })
 				w, back = period-time.Since(t0), 100*time.Millisecond
 			default:
-				c.note("directory")("the platform's list was not read: %v", err)
+				c.log("discovery").Warn("failed to read the platform's endpoint list", "error", err)
 				w, back = back, min(2*back, period)
 			}
 		}
@@ -329,7 +329,7 @@
 		ViewInterval: 250 * time.Millisecond, SendTimePerNode: 4 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond, PollLinger: 2 * time.Second, PollLingerPerNode: 36 * time.Millisecond, MaxPollLinger: 10 * time.Second,
 		PollGrace: 800 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2,
 		HotKeys:  hotOptions(o.HotKeys),
-		SelfAddr: o.InternalAddr(), Now: p.now, Logf: p.note("supervisor"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.KindView, what, epoch, version) },
+		SelfAddr: o.InternalAddr(), Now: p.now, Log: p.log("clustercontroller"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.KindView, what, epoch, version) },
 		HoldsLease: func() bool { return c.board.HoldsMasterLease() }, InContact: func(a string) bool { return c.board.InContact(a) }, ReadStored: c.bundle,
 	}, mailbox.New(), lines, c)
 	hist := settings.Seconds(o.Requirements.Bounds.HistorySeconds)
@@ -342,7 +342,7 @@
 			t.SetPinLimits(settings.Seconds(o.Affinity.IdleSeconds), max(o.Affinity.MaxSessions/shards, 1))
 			return t
 		},
-		NewID: newID, Now: p.now, Rand: mrand.IntN, Logf: p.note("exchange"),
+		NewID: newID, Now: p.now, Rand: mrand.IntN, Log: p.log("replication"),
 		OnOwnershipChange: c.onOwner, OnCommit: c.onCommit, OnEntryProgress: c.onStep,
 		OnMembershipChange: func(r *meshpb.Membership) { c.master.Mailbox.Post(func() { c.master.SetMembership(r) }) },
 	}, replication.PeerClient{Mailbox: loop, Clients: lines, CallTimeout: 600 * time.Millisecond, ReplicateTimeout: 1500 * time.Millisecond}, replication.WALStorage{Mailbox: loop, Log: book}, recs)
@@ -350,7 +350,7 @@
 		return err
 	}
 	c.svc.Replica = c.board
-	p.note("core")("starts as %s, first start %v, %d records", c.board.Self().Id, o.Self.FirstStart, len(recs))
+	p.log("core").Info("started core node", "member", c.board.Self().Id, "firstStart", o.Self.FirstStart, "records", len(recs))
 
 	door := replication.Handler{Mailbox: loop, Replica: c.board}
 	mux := http.NewServeMux()
@@ -377,7 +377,7 @@
 	}
 
 	p.wait()
-	p.note("core")("stops")
+	p.log("core").Info("stopping core node")
 	api.Drain()
 	loop.Post(c.board.Leave)
 	end := time.Now().Add(min(settings.Seconds(o.Requirements.Bounds.GraceSeconds)*3/4, 6*time.Second))
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -39,7 +39,7 @@
 	app := proxy.NewAppClient(rpc.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
 		rpc.Transport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
 	out := proxy.NewOutbound(proxy.OutboundOptions{Balancer: pools, Routes: &plan, AppClient: app,
-		RetryBudget: st.budget, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Logf: p.note("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
+		RetryBudget: st.budget, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Log: p.log("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
 	fr := newFront(ls[1], out)
 	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 	var leaving atomic.Bool
--- a/cmd/corkcove/main.go
+++ b/cmd/corkcove/main.go
@@ -177,20 +177,19 @@
 
 func (p *process) now() time.Duration { return time.Since(p.t0) }
 
-func (p *process) note(area string) func(string, ...any) {
-	return func(f string, a ...any) { p.ring.Note(area, f, a...) }
-}
+// log returns the logger of a component.
+func (p *process) log(component string) logring.Logger { return p.ring.Logger(component) }
 
 // reload takes the settings file again; a bad one leaves the old in force.
 func (p *process) reload() {
 	o, err := settings.Load(p.path, p.role)
 	if err != nil {
-		p.ring.Note("options", "kept the old settings: %v", err)
-		p.ring.Spill("settings not taken")
+		p.log("settings").Warn("failed to reload settings", "error", err)
+		p.ring.Flush("settings not reloaded")
 		return
 	}
 	p.o.Network.Seeds = o.Network.Seeds
-	p.ring.Note("options", "settings taken again")
+	p.log("settings").Info("reloaded settings")
 }
 
 const reseedEach = 2 * time.Second
@@ -235,9 +234,13 @@
 	}
 	log.SetOutput(io.Discard)
 	klog.LogToStderr(true)
-	p := &process{path: file, role: role, o: o, ring: logring.New(256, 5*time.Second, chatty), steps: changetrace.NewRing(1024), t0: time.Now()}
+	var observer func(logring.Entry)
+	if chatty {
+		observer = logring.WriteNow
+	}
+	p := &process{path: file, role: role, o: o, ring: logring.New(256, 5*time.Second, observer), steps: changetrace.NewRing(1024), t0: time.Now()}
 	if err := f(p); err != nil {
-		p.ring.Spill("corkcove " + role + " ends: " + err.Error())
+		p.ring.Flush("corkcove " + role + " ends: " + err.Error())
 		fmt.Fprintln(os.Stderr, "corkcove "+role+": "+err.Error())
 		os.Exit(1)
 	}
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -94,7 +94,7 @@
 	st := p.newStation(pools, &meshpb.NodeState{Inbound: o.Network.Listen.Inbound, Service: o.Self.ServiceName})
 	ag := st.ag
 	sub := endpointagent.New(endpointagent.Options{Service: o.Self.ServiceName, HeartbeatInterval: settings.Seconds(o.Platform.HeartbeatSeconds), MissedHeartbeats: 3, QueuePerSlot: 1.5,
-		Logf: p.note("subscriber"), OnChange: func(l endpointagent.Status) {
+		Log: p.log("endpointagent"), OnChange: func(l endpointagent.Status) {
 			ag.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: l.ID, Service: o.Self.ServiceName, Addr: o.Self.AppAddr, Zone: o.Self.ZoneName,
 					Slots: uint32(l.Slots), State: string(l.State), WarmupMs: uint64(l.Warmup / time.Millisecond), SoftwareVersion: l.SoftwareVersion, Healthy: l.Healthy, FailurePercent: uint32(l.FailurePercent)}
@@ -104,12 +104,12 @@
 	pacer := proxy.NewPacer(o.Self.Limits.LinkMbps)
 	app := rpc.Transport(300*time.Millisecond, 0, 4*time.Second, 64)
 	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: o.Self.AppAddr, LinkMbps: o.Self.Limits.LinkMbps, Pacer: pacer, Agent: sub,
-		AppClient: proxy.NewAppClient(app, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), Logf: p.note("inbound"),
+		AppClient: proxy.NewAppClient(app, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), Log: p.log("inbound"),
 		BufferLimit: 64 << 10})
 	between := rpc.Transport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
 	between.ExpectContinueTimeout = time.Second
 	out := proxy.NewOutbound(proxy.OutboundOptions{Service: o.Self.ServiceName, Balancer: pools, Routes: &plan, Transport: between,
-		RetryBudget: st.budget, Pacer: pacer, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Logf: p.note("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
+		RetryBudget: st.budget, Pacer: pacer, Sessions: st.cords, RequestLog: st.tickets, KeyMeter: st.keys, Ready: ag.Ready, Log: p.log("outbound"), BufferLimit: 256 << 10, DeadlineMargin: 3 * time.Millisecond})
 	fr := newFront(ls[2], out)
 	takeConfigs(ag, &plan, st.tickets, func(t *routeconfig.Table) { fr.limit(t.Limits) })
 
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -32,7 +32,7 @@
 	o, bd := p.o, p.o.Requirements.Bounds
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	ag := &nodeagent.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
-		Now: p.now, Logf: p.note("supervisor"), Trace: p.trace}
+		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
 	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Incarnation, o.InternalAddr(), o.Self.ZoneName, "up"
 	ag.Start(n)
 	tickets := p.newTickets()
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -47,7 +47,7 @@
 
 func (p *process) trace(kind, what string, epoch, version uint64) {
 	p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: kind, Version: version, Epoch: epoch})
-	p.ring.Note("trace", "%s %d %s under epoch %d", kind, version, what, epoch)
+	p.log("trace").Info("change progressed", "kind", kind, "version", version, "step", what, "epoch", epoch)
 }
 
 func (c *coreNode) onStep(what string, shard int, epoch, version uint64, g *meshpb.Change) {
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/logring"
 	"corkcove/internal/mailbox"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -45,7 +46,7 @@
 	InContact func(addr string) bool
 	// Bundle gives what this member holds of what is kept.
 	ReadStored func(*meshpb.StoredVersions) StoredPayloads
-	Logf       func(f string, a ...any)
+	Log        logring.Logger
 	Trace      func(what string, epoch, version uint64)
 }
 
@@ -141,12 +142,6 @@
 		pollCancels: map[string]context.CancelFunc{}, ejections: ejections{}, view: &meshpb.View{}, progress: map[string]*nodeProgress{}, relayRetryAt: map[string]time.Duration{}}
 }
 
-func (m *Master) logf(f string, a ...any) {
-	if m.options.Logf != nil {
-		m.options.Logf(f, a...)
-	}
-}
-
 func (m *Master) trace(what string, version uint64) {
 	if m.options.Trace != nil {
 		m.options.Trace(what, m.epoch, version)
@@ -160,7 +155,7 @@
 	if kept.GetVersion() > m.view.Version {
 		m.view = kept
 	}
-	m.logf("master under epoch %d, view %d, configuration %d", epoch, m.view.Version, conf.GetVersion())
+	m.options.Log.Info("became master", "epoch", epoch, "view", m.view.Version, "version", conf.GetVersion())
 	m.suspended = false
 	m.leading, m.epoch, m.masterSince, m.lastViewAt, m.endpointsChangedAt = true, epoch, now, now, now
 	m.userStates, m.membership = users, membership
@@ -224,7 +219,7 @@
 		return
 	}
 	m.storedVersions = nil
-	m.logf("no longer master under epoch %d", m.epoch)
+	m.options.Log.Info("stepped down as master", "epoch", m.epoch)
 	m.leading = false
 	for n, stop := range m.pollCancels {
 		stop()
@@ -242,7 +237,7 @@
 	if h := m.histories[node]; h != nil && u[node] == "" {
 		h.crashLooping, h.awaitingWarmup, h.crashes = false, false, nil
 	}
-	m.logf("user state of %s: %q", node, u[node])
+	m.options.Log.Info("set user state", "node", node, "state", u[node])
 	m.userStates = u
 	m.scheduleMerge()
 }
@@ -384,7 +379,7 @@
 func (m *Master) checkLease() bool {
 	ok := m.options.HoldsLease == nil || m.options.HoldsLease()
 	if m.leading && !ok && !m.suspended {
-		m.logf("the lease of shard 0 is not certain; silent")
+		m.options.Log.Warn("paused as master: lease not certain", "shard", 0, "epoch", m.epoch)
 		m.suspended = true
 		for n, stop := range m.pollCancels {
 			stop()
@@ -449,7 +444,7 @@
 				h := m.histories[name]
 				if err == nil && r.Stale {
 					if r.Epoch > ep {
-						m.logf("node %s has heard of epoch %d", name, r.Epoch)
+						m.options.Log.Warn("node follows a higher epoch", "node", name, "epoch", r.Epoch)
 						return
 					}
 					h.state.Addr = ""
@@ -486,7 +481,7 @@
 	h.recordReport(n, m.options.Now(), m.options.historyRules())
 	m.updateProgress(name, n)
 	if now := h.officialState(m.userStates[name]); now != was {
-		m.logf("node %s: endpoint %s %s -> %s (reported %s)", name, n.Endpoint.GetId(), was, now, n.Endpoint.GetState())
+		m.options.Log.Info("endpoint state changed", "node", name, "endpoint", n.Endpoint.GetId(), "previousState", was, "state", now, "reportedState", n.Endpoint.GetState())
 	}
 	if !same {
 		m.scheduleMerge()
@@ -498,7 +493,7 @@
 	was := h.reachable
 	h.recordPollFailure(m.options.Now(), m.options.historyRules())
 	if was && !h.reachable {
-		m.logf("node %s: silent after %d polls", name, h.pollFailures)
+		m.options.Log.Warn("node unreachable", "node", name, "failedPolls", h.pollFailures)
 		delete(m.progress, name)
 	}
 	if !h.reachable && m.options.Now()-h.lastContact > 10*m.options.PollLinger {
@@ -613,7 +608,7 @@
 	m.hotKeysUpdatedAt = now
 	hot, changes := m.hotKeyTracker.Update(m.keyRates, m.endpoints, now, time.Now().UnixMicro())
 	for _, c := range changes {
-		m.logf("hot key width changed key=%016x service=%s from=%d to=%d reason=%q", c.Key, c.Service, c.From, c.To, c.Reason)
+		m.options.Log.Info("hot key width changed", "key", logring.Hex(c.Key), "service", c.Service, "previousWidth", c.From, "width", c.To, "reason", c.Reason)
 	}
 	if !hotkeys.SameWidths(hot, m.hotKeys) {
 		m.endpointsChangedAt = now
--- a/internal/clustercontroller/redeliver_test.go
+++ b/internal/clustercontroller/redeliver_test.go
@@ -56,7 +56,7 @@
 	old := f.current()
 	state := proto.Clone(old.State()).(*meshpb.NodeState)
 	state.Incarnation = life
-	a := &nodeagent.Agent{Name: old.Name, Incarnation: life, RegisterAfter: old.RegisterAfter, Now: old.Now, Logf: old.Logf, Clients: old.Clients,
+	a := &nodeagent.Agent{Name: old.Name, Incarnation: life, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
 		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
 	a.Start(state)
 	f.mu.Lock()
--- a/internal/clustercontroller/supervisor_test.go
+++ b/internal/clustercontroller/supervisor_test.go
@@ -148,7 +148,7 @@
 		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, mailbox.New(), lines, s.store)
 	for i := 0; i < n; i++ {
 		f := &fakeNode{}
-		a := &nodeagent.Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Logf: func(string, ...any) {}, Clients: lines}
+		a := &nodeagent.Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Clients: lines}
 		a.OnView = func(v *meshpb.View) {
 			f.mu.Lock()
 			f.viewVersions = append(f.viewVersions, v.Version)
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -12,6 +12,7 @@
 	"github.com/go-faster/jx"
 	"github.com/zeebo/errs"
 
+	"corkcove/internal/logring"
 	"corkcove/internal/rpc/meshpb"
 )
 
@@ -29,7 +30,7 @@
 	Address           string
 	RequestsPerSecond float64
 	HTTPClient        *http.Client
-	Logf              func(f string, a ...any)
+	Log               logring.Logger
 }
 
 type Client struct {
@@ -93,7 +94,7 @@
 		}
 		for _, e := range p.rows {
 			if seen[e.Id] {
-				r.o.Logf("the platform's list names %s twice", e.Id)
+				r.o.Log.Warn("platform lists an endpoint twice", "endpoint", e.Id)
 				continue
 			}
 			seen[e.Id] = true
@@ -128,7 +129,7 @@
 	if p.StatusCode != http.StatusOK {
 		return page{}, StatusError{p.StatusCode}
 	}
-	return parse(b, r.o.Logf)
+	return parse(b, r.o.Log)
 }
 
 type page struct {
@@ -138,7 +139,7 @@
 
 // parse skips rows that name no usable endpoint, and refuses a page that can't
 // be read whole.
-func parse(b []byte, note func(string, ...any)) (page, error) {
+func parse(b []byte, log logring.Logger) (page, error) {
 	if !jx.Valid(b) {
 		return page{}, Error.New("a page is no whole JSON document")
 	}
@@ -187,7 +188,7 @@
 	for _, raw := range rows {
 		e, err := row(cols, raw)
 		if err != nil {
-			note("a row of the platform's list is skipped: %v", err)
+			log.Warn("skipped a row of the platform's endpoint list", "error", err)
 			continue
 		}
 		out.rows = append(out.rows, e)
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -36,7 +36,7 @@
 }
 
 func reader(p *platform) (*Client, *time.Duration) {
-	r := New(Options{Address: "10.0.0.1:80", RequestsPerSecond: 50, HTTPClient: &http.Client{Transport: p}, Logf: func(string, ...any) {}})
+	r := New(Options{Address: "10.0.0.1:80", RequestsPerSecond: 50, HTTPClient: &http.Client{Transport: p}})
 	now, waited := time.Unix(0, 0), time.Duration(0)
 	r.now = func() time.Time { return now }
 	r.wait = func(_ context.Context, d time.Duration) error { now = now.Add(d); waited += d; return nil }
--- a/internal/endpointagent/agent.go
+++ b/internal/endpointagent/agent.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"corkcove/internal/lifecycle"
+	"corkcove/internal/logring"
 )
 
 // unhealthyAfterRefusals is how many connections in a row the endpoint's address
@@ -24,8 +25,8 @@
 	QueuePerSlot float64
 	// Now gives the time; nil means time.Now.
 	Now func() time.Time
-	// Logf takes a log line; it is called with the agent's lock held.
-	Logf func(f string, a ...any)
+	// Log is called with the agent's lock held.
+	Log logring.Logger
 	// OnChange is called with each status that other nodes act on.
 	OnChange func(Status)
 }
@@ -69,8 +70,8 @@
 	current := a.status
 	changed := current.announces(previous)
 	if changed {
-		a.options.Logf("endpoint status changed endpoint=%s state=%s healthy=%v slots=%d warmup=%v previous_endpoint=%s previous_state=%s previous_healthy=%v",
-			current.ID, current.State, current.Healthy, current.Slots, current.Warmup, previous.ID, previous.State, previous.Healthy)
+		a.options.Log.Info("endpoint status changed", "endpoint", current.ID, "state", current.State, "healthy", current.Healthy, "slots", current.Slots,
+			"warmup", current.Warmup, "previousEndpoint", previous.ID, "previousState", previous.State, "previousHealthy", previous.Healthy)
 	}
 	a.mu.Unlock()
 	if changed {
--- a/internal/endpointagent/helpers_test.go
+++ b/internal/endpointagent/helpers_test.go
@@ -8,7 +8,7 @@
 
 func newAgent(now func() time.Time) *Agent {
 	return New(Options{Service: "s", HeartbeatInterval: time.Second, MissedHeartbeats: 3, QueuePerSlot: 1, Now: now,
-		Logf: func(string, ...any) {}, OnChange: func(Status) {}})
+		OnChange: func(Status) {}})
 }
 
 func heartbeat(id string, state lifecycle.State, seq uint64) Heartbeat {
--- a/internal/logring/buffer.go
+++ b/internal/logring/buffer.go
@@ -1,23 +1,26 @@
 package logring
 
-// Buffer keeps the last things put in. Its user guards it.
+// Buffer keeps the last items put into it. Its user guards it.
 type Buffer[T any] struct {
-	xs []T
-	n  int
+	items []T
+	// oldest is the index of the oldest item once the buffer is full.
+	oldest int
 }
 
-func NewBuffer[T any](size int) Buffer[T] { return Buffer[T]{xs: make([]T, 0, size)} }
+// NewBuffer returns an empty buffer of size items.
+func NewBuffer[T any](size int) Buffer[T] { return Buffer[T]{items: make([]T, 0, size)} }
 
-func (b *Buffer[T]) Put(x T) {
-	if len(b.xs) < cap(b.xs) {
-		b.xs = append(b.xs, x)
+// Put adds an item; once the buffer is full the oldest makes room.
+func (b *Buffer[T]) Put(item T) {
+	if len(b.items) < cap(b.items) {
+		b.items = append(b.items, item)
 		return
 	}
-	b.xs[b.n] = x
-	b.n = (b.n + 1) % len(b.xs)
+	b.items[b.oldest] = item
+	b.oldest = (b.oldest + 1) % len(b.items)
 }
 
-// All gives a copy, the oldest first.
-func (b *Buffer[T]) All() []T { return append(append([]T{}, b.xs[b.n:]...), b.xs[:b.n]...) }
-
-func (b *Buffer[T]) Clear() { b.xs, b.n = b.xs[:0], 0 }
+// All returns a copy of the items, the oldest first.
+func (b *Buffer[T]) All() []T {
+	return append(append([]T{}, b.items[b.oldest:]...), b.items[:b.oldest]...)
+}
--- a/internal/meshtest/hall.go
+++ b/internal/meshtest/hall.go
@@ -249,7 +249,7 @@
 func (m *Mesh) AddNode(e *Endpoint) *Node {
 	n := &Node{Name: "node-" + e.ID, Endpoint: e, zone: e.Zone}
 	go e.serve(m.Network.Listen("app-" + e.ID))
-	n.Agent = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+	n.Agent = endpointagent.New(endpointagent.Options{Service: e.Service, HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1.5, OnChange: func(endpointagent.Status) {}})
 	n.Agent.RecordHeartbeat(endpointagent.Heartbeat{ID: e.ID, Slots: e.Slots, State: "ready", Seq: 1})
 	in := proxy.NewInbound(proxy.InboundOptions{AppAddr: "app-" + e.ID, Agent: n.Agent, AppClient: proxy.NewAppClient(m.Network.Transport(), m.Network.Transport()), BufferLimit: 64 << 10})
 	go (&http.Server{Handler: in}).Serve(m.Network.Listen("in-" + e.ID))
@@ -265,7 +265,7 @@
 	n.Sessions = affinity.New(affinity.Options{Pin: m.PinSession, Now: time.Now, ConfigVersion: conf, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Minute, IdleTimeout: 10 * time.Minute, MaxSessions: 1 << 16})
 	bud := proxy.NewBudget(RetryRatio, RetrySlack, RetryWindow, n.Pools.NodeCount, func() time.Duration { return time.Since(m.t0) + time.Hour })
 	out := proxy.NewOutbound(proxy.OutboundOptions{Service: e.Service, Balancer: n.Pools, Routes: &n.Routes, Transport: m.Network.Transport(), RetryBudget: bud, Sessions: n.Sessions,
-		RequestLog: n.Records, KeyMeter: n.KeyMeter, Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
+		RequestLog: n.Records, KeyMeter: n.KeyMeter, Ready: func() bool { return true }, BufferLimit: 64 << 10})
 	go (&http.Server{Handler: out}).Serve(m.Network.Listen("out-" + e.ID))
 	m.mu.Lock()
 	m.Nodes = append(m.Nodes, n)
--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -7,6 +7,7 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
+	"corkcove/internal/logring"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -31,8 +32,8 @@
 	// registers anew.
 	RegisterAfter time.Duration
 	// Now is the time since some fixed moment.
-	Now  func() time.Duration
-	Logf func(f string, a ...any)
+	Now func() time.Duration
+	Log logring.Logger
 	// Trace, unless nil, notes a view or configuration that was applied.
 	Trace func(kind, what string, epoch, version uint64)
 	// OnView gets each view that is applied, without the agent's lock.
--- a/internal/nodeagent/agent_test.go
+++ b/internal/nodeagent/agent_test.go
@@ -50,7 +50,7 @@
 		start := time.Now()
 		clients := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
 		a := &Agent{Name: "n", Incarnation: "l", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(start) },
-			Logf: func(string, ...any) {}, Clients: clients}
+			Clients: clients}
 		var members []*fakeCoreMember
 		for i := range 9 {
 			m := &fakeCoreMember{masterAddr: "c7", master: i == 7}
@@ -82,7 +82,7 @@
 
 func TestAgentRejectsLowerEpochAndOlderVersion(t *testing.T) {
 	applied := 0
-	a := &Agent{Name: "n", Incarnation: "l", Now: func() time.Duration { return 0 }, Logf: func(string, ...any) {},
+	a := &Agent{Name: "n", Incarnation: "l", Now: func() time.Duration { return 0 },
 		OnView: func(*meshpb.View) { applied++ }, OnConfig: func(uint64, []byte) error { return nil }}
 	a.Start(&meshpb.NodeState{Name: "n"})
 	ctx := context.Background()
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -36,7 +36,7 @@
 		err = a.applyFullConfig(q.Version, q.Data)
 	}
 	if err != nil {
-		a.Logf("failed to apply configuration version=%d epoch=%d error=%q", q.Version, q.Epoch, err)
+		a.Log.Warn("failed to apply configuration", "version", q.Version, "epoch", q.Epoch, "error", err)
 		return false
 	}
 	a.mu.Lock()
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -198,7 +198,7 @@
 		default:
 			e.Inbound = in
 			go s.serve(id, s.h.listen(app))
-			d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+			d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, OnChange: func(endpointagent.Status) {}})
 			d.RecordHeartbeat(endpointagent.Heartbeat{ID: id, Slots: 4, State: "ready", Seq: 1})
 			s.subs = append(s.subs, d)
 			go (&http.Server{Handler: NewInbound(InboundOptions{AppAddr: app, Agent: d, AppClient: NewAppClient(s.h.line(), s.h.line()), BufferLimit: 64 << 10})}).Serve(s.h.listen(in))
@@ -212,7 +212,7 @@
 	var p atomic.Pointer[routeconfig.Table]
 	p.Store(routeconfig.Compile(doc))
 	s.out = NewOutbound(OutboundOptions{Service: "caller", Balancer: pools, Routes: &p, Transport: s.h.line(), AppClient: NewAppClient(s.h.line(), s.h.line()), RetryBudget: s.bud,
-		Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
+		Ready: func() bool { return true }, BufferLimit: 64 << 10})
 	go (&http.Server{Handler: s.out}).Serve(s.h.listen("out"))
 	s.l = s.h.line()
 	return s
--- a/internal/proxy/direct_test.go
+++ b/internal/proxy/direct_test.go
@@ -35,7 +35,7 @@
 	var p atomic.Pointer[routeconfig.Table]
 	p.Store(routeconfig.Compile(doc))
 	m.out = NewOutbound(OutboundOptions{Balancer: pools, Routes: &p, AppClient: NewAppClient(m.h.line(), m.h.line()), RetryBudget: m.bud,
-		Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
+		Ready: func() bool { return true }, BufferLimit: 64 << 10})
 	if patience != nil {
 		patience(m.out)
 	}
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -276,7 +276,7 @@
 	if x := t.failed(ctx); x != broken {
 		return nil, x
 	}
-	t.b.o.Logf("endpoint %s broke off: %v", r.id, err)
+	t.b.o.Log.Warn("endpoint closed its connection early", "endpoint", r.id, "error", err)
 	return nil, broken
 }
 
@@ -358,7 +358,7 @@
 	if why := spoilt(p, t.r.Header.Get(hdrID), t.route.Kind.Idempotent()); why != "" {
 		p.Body.Close()
 		r.miss()
-		t.b.o.Logf("node beside %s: %s", r.id, why)
+		t.b.o.Log.Warn("rejected an invalid response of a peer node", "endpoint", r.id, "reason", why)
 		return nil, broken
 	}
 	return p, answered
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"corkcove/internal/endpointagent"
+	"corkcove/internal/logring"
 )
 
 type InboundOptions struct {
@@ -21,7 +22,7 @@
 	Pacer       *Pacer
 	Agent       *endpointagent.Agent
 	AppClient   *AppClient
-	Logf        func(f string, a ...any)
+	Log         logring.Logger
 	BufferLimit int
 }
 
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"corkcove/internal/affinity"
+	"corkcove/internal/logring"
 	"corkcove/internal/requestlog"
 	"corkcove/internal/routeconfig"
 )
@@ -65,7 +66,7 @@
 	RequestLog     *requestlog.Recorder
 	KeyMeter       *KeyMeter
 	Ready          func() bool
-	Logf           func(f string, a ...any)
+	Log            logring.Logger
 	BufferLimit    int
 	DeadlineMargin time.Duration
 }
@@ -275,7 +276,7 @@
 	p, q, _ := strings.Cut(t.r.RequestURI, "?")
 	ok, err := t.route.Policy.Allows(routeconfig.PolicyInput{Method: t.r.Method, Path: p, Query: q, Caller: t.b.o.Service, BodyBytes: int(t.r.ContentLength), Header: t.rec.header(t.r.Header.Get)})
 	if err != nil {
-		t.b.o.Logf("policy of %s: %v", t.route.Name, err)
+		t.b.o.Log.Warn("failed to evaluate policy", "route", t.route.Name, "error", err)
 	}
 	if !ok {
 		return t.answer(barred)
--- a/internal/proxy/switchboard_test.go
+++ b/internal/proxy/switchboard_test.go
@@ -167,7 +167,7 @@
 			io.WriteString(w, whole(r.Header.Get(hdrID), "seal", e.id))
 		}
 		go e.serve(m.h.listen(fmt.Sprint("app", i)))
-		d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, Logf: func(string, ...any) {}, OnChange: func(endpointagent.Status) {}})
+		d := endpointagent.New(endpointagent.Options{Service: "s", HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, OnChange: func(endpointagent.Status) {}})
 		d.RecordHeartbeat(endpointagent.Heartbeat{ID: e.id, Slots: 2, State: "ready", Seq: 1})
 		in := NewInbound(InboundOptions{AppAddr: fmt.Sprint("app", i), Agent: d, AppClient: NewAppClient(m.h.line(), m.h.line()), BufferLimit: 64 << 10})
 		go (&http.Server{Handler: in}).Serve(m.h.listen(fmt.Sprint("in", i)))
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -149,7 +149,7 @@
 // with.
 func (r *Replica) beginServing(s *shard) {
 	s.ownership.serving = true
-	r.logf("became owner shard=%d epoch=%d version=%d", s.id, s.log.epoch, s.ownership.minimumCommit)
+	r.options.Log.Info("became shard owner", "shard", s.id, "epoch", s.log.epoch, "version", s.ownership.minimumCommit)
 	r.renewLease(s)
 	if r.options.OnOwnershipChange != nil {
 		r.options.OnOwnershipChange(s.id, true, s.log.epoch)
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -252,7 +252,7 @@
 		return
 	}
 	served := s.ownership.serving
-	r.logf("stepped down shard=%d epoch=%d seen_epoch=%d reason=%q", s.id, s.log.epoch, epoch, reason)
+	r.options.Log.Info("stepped down", "shard", s.id, "epoch", s.log.epoch, "seenEpoch", epoch, "reason", reason)
 	s.role = follower
 	s.ownership.serving, s.ownership.leaseUntil = false, 0
 	if s.id == masterShard {
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -92,7 +92,7 @@
 // adoptMembership goes by another membership from now on. done is called once that
 // is synced, or has failed.
 func (r *Replica) adoptMembership(membership *meshpb.Membership, done func(error)) {
-	r.logf("adopted membership version=%d members=%d", membership.Version, len(membership.Members))
+	r.options.Log.Info("adopted membership", "version", membership.Version, "members", len(membership.Members))
 	r.membership = proto.Clone(membership).(*meshpb.Membership)
 	if contains(r.membership, r.self.Id) {
 		r.becomeMember()
@@ -338,7 +338,7 @@
 		next.Members = slices.Delete(next.Members, i, i+1)
 		next.Gaps = append(next.Gaps, uint32(i))
 	}
-	r.logf("removing member membership=%d member=%s reason=%q", next.Version, removed.Addr, reason)
+	r.options.Log.Warn("proposing membership without a member", "version", next.Version, "peer", removed.Addr, "reason", reason)
 	r.proposeMembership(next)
 }
 
@@ -352,7 +352,7 @@
 		next.Gaps = next.Gaps[:n-1]
 	}
 	next.Members = slices.Insert(next.Members, place, l.member)
-	r.logf("adding member membership=%d member=%s", next.Version, l.member.Addr)
+	r.options.Log.Info("proposing membership with a new member", "version", next.Version, "peer", l.member.Addr)
 	r.proposeMembership(next)
 }
 
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"corkcove/internal/logring"
 	"corkcove/internal/rpc/meshpb"
 )
 
@@ -64,8 +65,8 @@
 	// Rand gives a number from 0 up to n, n excluded. It spreads elections.
 	Rand func(n int) int
 
-	// Logf takes a line for the log of the process. Optional.
-	Logf func(format string, args ...any)
+	// Log is the logger of the process. Optional.
+	Log logring.Logger
 
 	// OnOwnershipChange is called when this member has begun, or ceased, to serve a
 	// shard as its owner. Optional.
--- a/internal/replication/persistence.go
+++ b/internal/replication/persistence.go
@@ -127,7 +127,7 @@
 	if r.disk.failed {
 		return
 	}
-	r.logf("failed to write to the log error=%q", err)
+	r.options.Log.Warn("failed to write to the log", "error", err)
 	r.disk.failed = true
 	r.disk.retryAt = r.now() + diskRetryInterval
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	if r.disk.failed {
-		r.logf("log takes writes again")
+		r.options.Log.Info("log accepts writes again")
 	}
 	r.disk.failed = false
 	for i, s := range r.shards {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -181,12 +181,6 @@
 
 func (r *Replica) now() time.Duration { return r.options.Now() }
 
-func (r *Replica) logf(format string, args ...any) {
-	if r.options.Logf != nil {
-		r.options.Logf(format, args...)
-	}
-}
-
 func (r *Replica) entryProgress(step string, s *shard, epoch, version uint64, change *meshpb.Change) {
 	if r.options.OnEntryProgress != nil {
 		r.options.OnEntryProgress(step, s.id, epoch, version, change)
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -14,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/coordination"
+	"corkcove/internal/logring"
 	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc/meshpb"
@@ -224,7 +225,7 @@
 		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) },
 		NewID:           func() string { w.ids++; return fmt.Sprintf("id%d", w.ids) },
 		Now:             func() time.Duration { return w.now }, Rand: w.rng.Intn,
-		Logf: func(f string, a ...any) { w.note(m.addr+" "+f, a...) },
+		Log: logring.New(1, time.Hour, func(e logring.Entry) { w.note("%s %s", m.addr, e) }).Logger("replication"),
 	}, &wire{m, life}, &shelf{m, life}, append([][]byte(nil), m.disk...))
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -107,7 +107,7 @@
 	if len(s.ownership.pending) > 0 {
 		return
 	}
-	r.logf("transferred ownership shard=%d epoch=%d successor=%s", s.id, s.log.epoch, successor)
+	r.options.Log.Info("transferred shard ownership", "shard", s.id, "epoch", s.log.epoch, "peer", successor)
 	ended := []*meshpb.Watermark{{Shard: uint32(s.id), Epoch: s.log.epoch}}
 	r.stepDown(s, s.log.epoch, "ownership transferred")
 	s.lease.grantedUntil, s.election.notBefore = 0, r.now()+r.options.predecessorBackoff()
