--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -55,7 +55,7 @@
 	budget := newTestBudget(200)
 	out := NewOutbound(OutboundOptions{Service: "caller", Balancer: pools, Routes: &p, Transport: benchTransport{},
 		AppClient: &AppClient{pooled: benchTransport{}, fresh: benchTransport{}, closeIdle: func() {}}, RetryBudget: budget,
-		Ready: func() bool { return true }, Logf: func(string, ...any) {}, BufferLimit: 64 << 10})
+		Ready: func() bool { return true }, BufferLimit: 64 << 10})
 	header := http.Header{headerRequestID: {"r"}, headerDeadline: {"2500"}, "User-Agent": {"u"}}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -85,7 +85,7 @@
 	}
 	failure := x.failureOutcome(ctx)
 	if failure == retry.Failed {
-		x.outbound.options.Logf("attempt broke off endpoint=%s error=%v", endpoint.ID(), err)
+		x.outbound.options.Log.Warn("endpoint closed its connection early", "endpoint", endpoint.ID(), "error", err)
 	}
 	return nil, failure
 }
@@ -110,7 +110,7 @@
 	if reason := invalidReason(response, x.request.Header.Get(headerRequestID), x.route.Kind.Idempotent()); reason != "" {
 		response.Body.Close()
 		endpoint.NodeFailed()
-		x.outbound.options.Logf("invalid response from inbound node endpoint=%s error=%q", endpoint.ID(), reason)
+		x.outbound.options.Log.Warn("rejected an invalid response of a peer node", "endpoint", endpoint.ID(), "reason", reason)
 		return nil, retry.Failed
 	}
 	return response, retry.Answered
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -72,7 +72,7 @@
 		Header:    x.record.keepHeader(x.request.Header.Get),
 	})
 	if err != nil {
-		x.outbound.options.Logf("failed to evaluate policy route=%s error=%v", x.route.Name, err)
+		x.outbound.options.Log.Warn("failed to evaluate policy", "route", x.route.Name, "error", err)
 	}
 	if !allowed {
 		return x.reply(localreply.Forbidden)
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -8,6 +8,7 @@
 
 	"corkcove/internal/affinity"
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/logring"
 	"corkcove/internal/proxy/loadbalancer"
 	"corkcove/internal/proxy/localreply"
 	"corkcove/internal/proxy/retry"
@@ -41,8 +42,8 @@
 	KeyMeter *hotkeys.Meter
 	// Ready tells that the node has all that it needs to serve requests.
 	Ready func() bool
-	// Logf writes to the node's log.
-	Logf func(format string, args ...any)
+	// Log takes the log entries of the chain.
+	Log logring.Logger
 	// BufferLimit is the most that is kept of a request's or response's body, in
 	// bytes. A request with a longer body can't be sent again once it was begun.
 	BufferLimit int
