--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -63,7 +63,7 @@
 	r.entryProgress(ProgressProposed, s, entry.Epoch, entry.Version, change)
 	r.persist(&meshpb.Record{Entry: entry}, func(err error) {
 		if err == nil && s.log.epoch == entry.Epoch && s.log.synced+1 >= entry.Version {
-			s.log.markSynced(entry.Version)
+			s.log.recordSynced(entry.Version)
 			r.entryProgress(ProgressSynced, s, entry.Epoch, entry.Version, change)
 			r.advanceCommit(s)
 		}
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -68,7 +68,7 @@
 	for _, s := range shards {
 		r.becomeCandidate(s, true)
 		s.election.votes = map[string]bool{r.self.Id: true}
-		s.election.preVotedFor, s.election.preVotedUntil = r.self.Id, r.now()+r.options.preVoteHold()
+		s.election.preVotedFor, s.election.preVotedUntil = r.self.Id, r.now()+r.options.preVoteReservation()
 		votes = append(votes, s.voteRequest())
 	}
 	for _, p := range r.voters {
@@ -187,10 +187,10 @@
 		}
 		return
 	}
-	held := position{reply.HaveEpoch, reply.HaveVersion}
-	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, held
-	if reply.State != nil && held.newerThan(s.election.bestPosition) {
-		s.election.best, s.election.bestPosition = reply.State, held
+	have := position{reply.HaveEpoch, reply.HaveVersion}
+	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, have
+	if reply.State != nil && have.newerThan(s.election.bestPosition) {
+		s.election.best, s.election.bestPosition = reply.State, have
 	}
 	r.recordVote(s, reply.Epoch, p.member.Id)
 }
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -205,7 +205,7 @@
 	in.writes.add()
 	in.replica.persist(&meshpb.Record{Entry: entry}, func(err error) {
 		if err == nil && s.log.epoch == entry.Epoch {
-			s.log.markSynced(entry.Version)
+			s.log.recordSynced(entry.Version)
 			in.replica.entryProgress(ProgressSynced, s, entry.Epoch, entry.Version, entry.Change)
 		}
 		in.writes.done(err)
--- a/internal/replication/learner.go
+++ b/internal/replication/learner.go
@@ -22,9 +22,9 @@
 // start may all be gone.
 func (r *Replica) SetExtraSeeds(seeds []*meshpb.Member) { r.join.extraSeeds = seeds }
 
-// requestPlace is the work of a process outside the membership: it tells all
+// sendJoin is the work of a process outside the membership: it tells all
 // members that it is there, and what it has caught up with.
-func (r *Replica) requestPlace() {
+func (r *Replica) sendJoin() {
 	now := r.now()
 	if now < r.join.next || r.disk.failed || r.join.leaveConfirmed {
 		return
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -61,8 +61,8 @@
 	l.epoch = epoch
 }
 
-// markSynced notes that all up to version is on disk.
-func (l *replicaLog) markSynced(version uint64) { l.synced = max(l.synced, version) }
+// recordSynced notes that all up to version is on disk.
+func (l *replicaLog) recordSynced(version uint64) { l.synced = max(l.synced, version) }
 
 // lastEpochEnd is where the epoch before this one ended.
 func (l *replicaLog) lastEpochEnd() position { return l.epochEnds[len(l.epochEnds)-1] }
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -346,12 +346,12 @@
 // was vacated last, if any.
 func (r *Replica) addMember(l *peer, size int) {
 	next := r.nextMembership(size)
-	place := len(next.Members)
+	index := len(next.Members)
 	if n := len(next.Gaps); n > 0 {
-		place = min(place, int(next.Gaps[n-1]))
+		index = min(index, int(next.Gaps[n-1]))
 		next.Gaps = next.Gaps[:n-1]
 	}
-	next.Members = slices.Insert(next.Members, place, l.member)
+	next.Members = slices.Insert(next.Members, index, l.member)
 	r.logf("adding member membership=%d member=%s", next.Version, l.member.Addr)
 	r.proposeMembership(next)
 }
--- a/internal/replication/persistence.go
+++ b/internal/replication/persistence.go
@@ -96,7 +96,7 @@
 	r.storage.Append(data, func(err error) {
 		r.disk.outstanding = r.disk.outstanding[1:]
 		if err != nil {
-			r.markDiskFailed(err)
+			r.recordDiskFailure(err)
 		}
 		done(err)
 	})
@@ -123,7 +123,7 @@
 		now-r.clock.lastStarved > r.options.starvationWindow()
 }
 
-func (r *Replica) markDiskFailed(err error) {
+func (r *Replica) recordDiskFailure(err error) {
 	if r.disk.failed {
 		return
 	}
@@ -153,7 +153,7 @@
 func (r *Replica) checkpointDone(written []position, err error) {
 	r.disk.checkpointing = false
 	if err != nil {
-		r.markDiskFailed(err)
+		r.recordDiskFailure(err)
 		r.disk.retryAt = r.now() + diskRetryInterval
 		return
 	}
@@ -163,7 +163,7 @@
 	r.disk.failed = false
 	for i, s := range r.shards {
 		if s.log.epoch == written[i].epoch {
-			s.log.markSynced(written[i].version)
+			s.log.recordSynced(written[i].version)
 			r.advanceCommit(s)
 		}
 	}
@@ -217,7 +217,7 @@
 	written := s.position()
 	r.persist(record, func(err error) {
 		if err == nil && s.log.epoch == written.epoch {
-			s.log.markSynced(written.version)
+			s.log.recordSynced(written.version)
 		}
 		done(err)
 	})
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -73,7 +73,7 @@
 			}
 		}
 		if !response.NotReceiving {
-			r.noteRefusedEpochChanges(p, request, response)
+			r.recordRefusedEpochChanges(p, request, response)
 		}
 		if more || slices.Contains(r.preferredPeers, p) {
 			r.replicateTo(p)
@@ -159,8 +159,8 @@
 
 // report notes what the replica holds, as reported to the owner of the shard's
 // epoch.
-func (p *progress) report(s *shard, held position) {
-	p.reported, p.reportedTo = held, s.log.epoch
+func (p *progress) report(s *shard, have position) {
+	p.reported, p.reportedTo = have, s.log.epoch
 }
 
 // handleReplicateAck takes in what the peer says of one shard that was replicated
@@ -190,10 +190,10 @@
 	return false
 }
 
-// noteRefusedEpochChanges notes the epoch changes of which the peer said nothing,
+// recordRefusedEpochChanges notes the epoch changes of which the peer said nothing,
 // or that its replica would go on from just there: it knows no epoch changes, as a
 // member of an earlier release, and gets full states.
-func (r *Replica) noteRefusedEpochChanges(p *peer, request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse) {
+func (r *Replica) recordRefusedEpochChanges(p *peer, request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse) {
 	for _, change := range request.EpochChanges {
 		if !refused(change, response.Acks) {
 			continue
--- a/internal/replication/sim_test.go
+++ b/internal/replication/sim_test.go
@@ -874,13 +874,13 @@
 	h := &meshpb.SenderHeader{From: me, To: me.Id, Membership: 1}
 	c := t.Context()
 	for _, h := range []*meshpb.SenderHeader{nil, {}, h} {
-		d.RenewLeases(c, &meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}, nil}})
-		d.Replicate(c, &meshpb.ReplicateRequest{Header: h, Entries: []*meshpb.Entry{{Shard: 999}}, States: []*meshpb.ShardState{{Shard: 999}}})
-		d.RequestVotes(c, &meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Shard: 999}}})
-		d.TransferOwnership(c, &meshpb.TransferOwnershipRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}}})
+		_, _ = d.RenewLeases(c, &meshpb.RenewLeasesRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}, nil}})
+		_, _ = d.Replicate(c, &meshpb.ReplicateRequest{Header: h, Entries: []*meshpb.Entry{{Shard: 999}}, States: []*meshpb.ShardState{{Shard: 999}}})
+		_, _ = d.RequestVotes(c, &meshpb.RequestVotesRequest{Header: h, Votes: []*meshpb.VoteRequest{{Shard: 999}}})
+		_, _ = d.TransferOwnership(c, &meshpb.TransferOwnershipRequest{Header: h, Watermarks: []*meshpb.Watermark{{Shard: 999}}})
 	}
-	d.AcceptMembership(c, &meshpb.AcceptMembershipRequest{})
-	d.Join(c, &meshpb.JoinRequest{})
+	_, _ = d.AcceptMembership(c, &meshpb.AcceptMembershipRequest{})
+	_, _ = d.Join(c, &meshpb.JoinRequest{})
 	_, own := w.ms["m0"].board.OwnedEpoch(0)
 	qt.Assert(t, own, qt.IsTrue)
 }
--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -17,7 +17,7 @@
 	r.retryDisk()
 	r.expireLearners()
 	if r.learner {
-		r.requestPlace()
+		r.sendJoin()
 		return
 	}
 	r.tickHeartbeat()
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -63,15 +63,15 @@
 // disk.
 func (o *Options) preVoteTimeout() time.Duration { return o.LeaseDuration / 3 }
 
-// preVoteHold is how long a pre-vote for one candidate keeps others waiting.
-func (o *Options) preVoteHold() time.Duration { return o.HeartbeatInterval / 2 }
+// preVoteReservation is how long a pre-vote for one candidate keeps others waiting.
+func (o *Options) preVoteReservation() time.Duration { return o.HeartbeatInterval / 2 }
 
 // voteRetryInterval is how often votes that haven't come are requested again.
 func (o *Options) voteRetryInterval() time.Duration { return o.HeartbeatInterval / 2 }
 
-// voteHold is how long a vote keeps other candidates waiting, until the new
+// voteGracePeriod is how long a vote keeps other candidates waiting, until the new
 // owner's first entries or heartbeat bring a lease.
-func (o *Options) voteHold() time.Duration { return o.LeaseDuration / 2 }
+func (o *Options) voteGracePeriod() time.Duration { return o.LeaseDuration / 2 }
 
 // ownerHintDuration is how long another member's word that it owns a shard is
 // believed without a lease to it.
--- a/internal/replication/voting.go
+++ b/internal/replication/voting.go
@@ -55,7 +55,7 @@
 	}
 	r.stepDown(s, asked.Epoch, "voted for another")
 	s.vote = vote{epoch: asked.Epoch, candidate: from}
-	s.lease.grantedUntil = max(s.lease.grantedUntil, r.now()+r.options.voteHold())
+	s.lease.grantedUntil = max(s.lease.grantedUntil, r.now()+r.options.voteGracePeriod())
 	r.fillVote(s, asked, reply)
 	writes.add()
 	r.persistVote(s, writes.done)
@@ -82,7 +82,7 @@
 	if now < s.election.preVotedUntil && s.election.preVotedFor != from {
 		return false
 	}
-	s.election.preVotedFor, s.election.preVotedUntil = from, now+r.options.preVoteHold()
+	s.election.preVotedFor, s.election.preVotedUntil = from, now+r.options.preVoteReservation()
 	return true
 }
 
--- a/internal/replication/worlds_test.go
+++ b/internal/replication/worlds_test.go
@@ -613,10 +613,10 @@
 
 // The same worlds are played each time, unless rapid.seed says otherwise.
 func TestWorldsAreSurvived(t *testing.T) {
-	flag.Set("rapid.checks", fmt.Sprint(*worlds))
-	flag.Set("rapid.nofailfile", "true")
+	setFlag(t, "rapid.checks", fmt.Sprint(*worlds))
+	setFlag(t, "rapid.nofailfile", "true")
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		flag.Set("rapid.seed", "1")
+		setFlag(t, "rapid.seed", "1")
 	}
 	for i, sizes := range lanes {
 		t.Run(fmt.Sprint("lane ", i), func(t *testing.T) {
@@ -626,6 +626,13 @@
 	}
 }
 
+func setFlag(t *testing.T, name, value string) {
+	t.Helper()
+	if err := flag.Set(name, value); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func TestOneSeedOneWorld(t *testing.T) {
 	p := plan{Seed: 9, Members: 5, Twice: 0.05, Loss: 0.02, Late: 0.02, AllDown: []time.Duration{9 * time.Second}, Closing: true,
 		Places: [][]step{{{What: planned, Wait: 100 * time.Millisecond, Gap: time.Second}, {What: cutOff, Leader: true, For: 3 * time.Second}},
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -11,70 +11,70 @@
 
 // update writes the fixtures of this package that are missing. The committed
 // files are the reference: they were written by the code of commit 242832a and
-// must never be regenerated, so a folder that exists is refused.
-var update = flag.Bool("update", false, "write missing fixture folders")
+// must never be regenerated, so a directory that exists is refused.
+var update = flag.Bool("update", false, "write missing fixture directories")
 
-const storedDir = "testdata/242832a"
+const fixtureDirectory = "testdata/242832a"
 
-// storedFolders are the committed folders, with the records that Open must read
+// fixtures are the committed directories, with the records that Open must read
 // from each.
-var storedFolders = []struct {
+var fixtures = []struct {
 	name  string
 	write func(t *testing.T, dir string)
 	want  []string
 }{
-	{"snapshot-and-segment", writeWhole, []string{"first", "second", "\x00\xff third", "fourth"}},
+	{"snapshot-and-segment", writeSnapshotAndSegment, []string{"first", "second", "\x00\xff third", "fourth"}},
 	{"torn-segment", writeTornSegment, []string{"first", "second", "\x00\xff third"}},
 	{"torn-checksum", writeTornChecksum, []string{"first", "second"}},
 	{"torn-snapshot", writeTornSnapshot, []string{"old first", "old second", "\x00\xff third", "fourth"}},
 	{"old-files-left", writeOldFilesLeft, []string{"first", "second", "\x00\xff third", "fourth"}},
 }
 
-// TestStoredFoldersOf242832aAreRead opens folders that an earlier release left.
-func TestStoredFoldersOf242832aAreRead(t *testing.T) {
-	for _, folder := range storedFolders {
+// TestDirectoriesOf242832aAreRead opens directories that an earlier release left.
+func TestDirectoriesOf242832aAreRead(t *testing.T) {
+	for _, folder := range fixtures {
 		t.Run(folder.name, func(t *testing.T) {
-			dir := filepath.Join(storedDir, folder.name)
+			dir := filepath.Join(fixtureDirectory, folder.name)
 			if *update {
-				qt.Assert(t, os.MkdirAll(storedDir, 0o755), qt.IsNil)
+				qt.Assert(t, os.MkdirAll(fixtureDirectory, 0o755), qt.IsNil)
 				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
 				folder.write(t, dir)
 			}
-			qt.Assert(t, readFolder(t, dir), qt.DeepEquals, folder.want)
+			qt.Assert(t, readLog(t, dir), qt.DeepEquals, folder.want)
 		})
 	}
 }
 
-// TestWrittenFoldersAreThoseOf242832a writes the same records by present code:
+// TestWrittenDirectoriesMatch242832a writes the same records by present code:
 // an earlier release must be able to read what this one leaves.
-func TestWrittenFoldersAreThoseOf242832a(t *testing.T) {
-	for _, folder := range storedFolders {
+func TestWrittenDirectoriesMatch242832a(t *testing.T) {
+	for _, folder := range fixtures {
 		t.Run(folder.name, func(t *testing.T) {
 			dir := t.TempDir()
 			folder.write(t, dir)
-			qt.Assert(t, filesIn(t, dir), qt.DeepEquals, filesIn(t, filepath.Join(storedDir, folder.name)))
+			qt.Assert(t, filesIn(t, dir), qt.DeepEquals, filesIn(t, filepath.Join(fixtureDirectory, folder.name)))
 		})
 	}
 }
 
-func openFolder(t *testing.T, dir string) (*Log, [][]byte) {
+func openLog(t *testing.T, path string) (*Log, [][]byte) {
 	t.Helper()
-	disk, err := OpenDirectory(dir)
+	directory, err := OpenDirectory(path)
 	qt.Assert(t, err, qt.IsNil)
-	book, records, err := Open(disk)
+	log, records, err := Open(directory)
 	qt.Assert(t, err, qt.IsNil)
-	return book, records
+	return log, records
 }
 
-func readFolder(t *testing.T, dir string) []string {
+func readLog(t *testing.T, path string) []string {
 	t.Helper()
-	book, records := openFolder(t, dir)
-	book.Close()
-	var out []string
+	log, records := openLog(t, path)
+	log.Close()
+	var texts []string
 	for _, record := range records {
-		out = append(out, string(record))
+		texts = append(texts, string(record))
 	}
-	return out
+	return texts
 }
 
 func filesIn(t *testing.T, dir string) map[string]string {
@@ -97,36 +97,36 @@
 	}
 }
 
-// writeGeneration begins a new generation in a folder and appends records.
+// writeGeneration begins a new generation in a directory and appends records.
 func writeGeneration(t *testing.T, dir string, snapshot []string, appended ...string) {
 	t.Helper()
-	book, _ := openFolder(t, dir)
-	defer book.Close()
-	qt.Assert(t, turn(book, snapshot), qt.IsNil)
+	log, _ := openLog(t, dir)
+	defer log.Close()
+	qt.Assert(t, checkpointAndWait(log, snapshot), qt.IsNil)
 	for _, record := range appended {
-		qt.Assert(t, wait(book, record), qt.IsNil)
+		qt.Assert(t, appendRecordAndWait(log, record), qt.IsNil)
 	}
 }
 
-func writeWhole(t *testing.T, dir string) {
+func writeSnapshotAndSegment(t *testing.T, dir string) {
 	writeGeneration(t, dir, nil, "overwritten")
 	writeGeneration(t, dir, []string{"first", "second"}, "\x00\xff third", "fourth")
 }
 
 func writeTornSegment(t *testing.T, dir string) {
-	writeWhole(t, dir)
+	writeSnapshotAndSegment(t, dir)
 	files := filesIn(t, dir)
-	files[segName(2)] = files[segName(2)][:len(files[segName(2)])-1]
+	files[fileName(segmentPrefix, 2)] = files[fileName(segmentPrefix, 2)][:len(files[fileName(segmentPrefix, 2)])-1]
 	writeFiles(t, dir, files)
 }
 
 // writeTornChecksum damages a record in the middle: what follows isn't read.
 func writeTornChecksum(t *testing.T, dir string) {
-	writeWhole(t, dir)
-	segment, err := os.ReadFile(filepath.Join(dir, segName(2)))
+	writeSnapshotAndSegment(t, dir)
+	segment, err := os.ReadFile(filepath.Join(dir, fileName(segmentPrefix, 2)))
 	qt.Assert(t, err, qt.IsNil)
-	segment[headSize] ^= 1
-	writeFiles(t, dir, map[string]string{segName(2): string(segment)})
+	segment[headerSize] ^= 1
+	writeFiles(t, dir, map[string]string{fileName(segmentPrefix, 2): string(segment)})
 }
 
 // writeTornSnapshot leaves two segments behind the last whole snapshot.
@@ -137,8 +137,8 @@
 	files := filesIn(t, dir)
 	writeFiles(t, dir, old)
 	writeFiles(t, dir, map[string]string{
-		snapName(2):           files[snapName(2)][:len(files[snapName(2)])-1],
-		"unfinished-00000003": "half",
+		fileName(snapshotPrefix, 2): files[fileName(snapshotPrefix, 2)][:len(files[fileName(snapshotPrefix, 2)])-1],
+		"unfinished-00000003":       "half",
 	})
 }
 
