--- /dev/null
+++ b/internal/replication/election_test.go
@@ -0,0 +1,122 @@
+package replication_test
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/rpc/meshpb"
+)
+
+func (c *simCluster) requestVote(to, from string, shard uint32, epoch uint64) bool {
+	t, f := c.nodes[to].replica, c.nodes[from].replica.Self()
+	ok := false
+	t.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: &meshpb.SenderHeader{From: f, To: t.Self().Id, Membership: t.Membership().Version}, Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.RequestVotesResponse) {
+		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Granted
+	})
+	c.runUntil(c.now + 10*time.Millisecond)
+	return ok
+}
+
+func TestFollowerGrantsNoSecondLeaseWhileOneRuns(t *testing.T) {
+	cluster := newSimCluster(t, 8, 3)
+	cluster.runUntil(4 * time.Second)
+	_, owned := cluster.nodes["m0"].replica.OwnedEpoch(1)
+	qt.Assert(t, owned, qt.IsTrue)
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 500), qt.IsFalse)
+	qt.Assert(t, cluster.requestVote("m0", "m2", 1, 500), qt.IsFalse, qt.Commentf("the owner itself, while it is held"))
+
+	cluster.nodes["m1"].kill()
+	cluster.nodes["m1"].start()
+	cluster.runUntil(cluster.now + 5*time.Millisecond)
+	cluster.setIsolated("m0", true)
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 600), qt.IsFalse, qt.Commentf("just restarted, it may have granted before"))
+	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 700), qt.IsTrue, qt.Commentf("the holder itself need not wait"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 710), qt.IsFalse)
+	cluster.setIsolated("m1", true)
+	cluster.runUntil(cluster.now + time.Second)
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 5000), qt.IsTrue)
+	cluster.runUntil(cluster.now + time.Second)
+	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 5000), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 5010), qt.IsTrue)
+}
+
+// TestReconnectedMemberDeposesNoOwner: a member that was partitioned has voted for
+// nobody meanwhile; the leases of the others keep its pre-vote from being granted.
+func TestReconnectedMemberDeposesNoOwner(t *testing.T) {
+	for seed := int64(1); seed <= 20; seed++ {
+		cluster := newSimCluster(t, seed, 3)
+		cluster.runUntil(5 * time.Second)
+		cluster.setIsolated("m0", true)
+		cluster.runUntil(cluster.now + 8*time.Second)
+		var epochs [simShards]uint64
+		for shard := range epochs {
+			epochs[shard] = cluster.nodes["m1"].replica.Epoch(shard)
+		}
+		cluster.setIsolated("m0", false)
+		cluster.runUntil(cluster.now + 2*time.Second)
+		for shard, epoch := range epochs {
+			qt.Check(t, cluster.nodes["m1"].replica.Epoch(shard), qt.Equals, epoch, qt.Commentf("seed %d, shard %d", seed, shard))
+		}
+		qt.Assert(t, cluster.ownedShards(), qt.Equals, simShards)
+	}
+}
+
+// TestOwnerReceivingNothingIsReplacedWithinTwoLeases: the heartbeats of an owner
+// that receives nothing must not renew its leases.
+func TestOwnerReceivingNothingIsReplacedWithinTwoLeases(t *testing.T) {
+	for seed := int64(1); seed <= 20; seed++ {
+		cluster := newSimCluster(t, seed, 5)
+		cluster.runUntil(7 * time.Second)
+		cluster.notReceiving["m0"] = true
+		cluster.runUntil(cluster.now + 1800*time.Millisecond)
+		owned := false
+		for _, node := range cluster.allNodes()[1:] {
+			_, owns := node.replica.OwnedEpoch(0)
+			owned = owned || owns
+		}
+		qt.Check(t, owned, qt.IsTrue, qt.Commentf("seed %d", seed))
+	}
+}
+
+// TestGrantedLeaseEnds: a member speaks for a master only while the lease that it
+// granted to it runs.
+func TestGrantedLeaseEnds(t *testing.T) {
+	cluster := newSimCluster(t, 3, 3)
+	cluster.runUntil(4 * time.Second)
+	_, own := cluster.nodes["m0"].replica.OwnedEpoch(0)
+	qt.Assert(t, own, qt.IsTrue)
+	epoch, follower := cluster.nodes["m0"].replica.Epoch(0), cluster.nodes["m1"].replica
+	qt.Assert(t, follower.LeaseGranted(0, epoch), qt.IsTrue)
+	qt.Assert(t, follower.LeaseGranted(0, epoch-1) || follower.LeaseGranted(0, epoch+1), qt.IsFalse)
+	cluster.setIsolated("m0", true)
+	cluster.runUntil(cluster.now + time.Second)
+	qt.Assert(t, follower.LeaseGranted(0, epoch), qt.IsFalse)
+}
+
+// TestConcurrentCandidatesLeaveNoReplicaBehind: two that are candidates at once,
+// each named as the successor, ask for different epochs, so that the one that
+// loses, and its replica, follows the other.
+func TestConcurrentCandidatesLeaveNoReplicaBehind(t *testing.T) {
+	for seed := int64(1); seed <= 20; seed++ {
+		run := &scenarioRun{simCluster: newSimCluster(t, seed, 3), scenario: scenario{Members: 3}}
+		run.workload = newWorkload(run.simCluster)
+		run.runUntil(5 * time.Second)
+		run.workload.start(run.now + 10*time.Second)
+		epoch := run.nodes["m0"].replica.Epoch(0)
+		run.nodes["m0"].kill()
+		for _, address := range []string{"m1", "m2"} {
+			replica := run.nodes[address].replica
+			replica.HandleTransferOwnership(&meshpb.TransferOwnershipRequest{Header: &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: replica.Self().Id, Membership: 1}, Watermarks: []*meshpb.Watermark{{Epoch: epoch}}, Successor: replica.Self().Id})
+		}
+		run.runUntil(run.now + 4*time.Second)
+		var epochs []uint64
+		for _, address := range []string{"m1", "m2"} {
+			epochs = append(epochs, run.nodes[address].replica.Epoch(0))
+		}
+		qt.Check(t, epochs[0], qt.Equals, epochs[1], qt.Commentf("seed %d", seed))
+	}
+}
--- /dev/null
+++ b/internal/replication/handler_test.go
@@ -0,0 +1,34 @@
+package replication_test
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/mailbox"
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc/meshpb"
+)
+
+func TestMalformedCallsAreHarmless(t *testing.T) {
+	cluster := newSimCluster(t, 7, 1)
+	cluster.runUntil(time.Second)
+	box := mailbox.New()
+	go box.Run(time.Hour, func() {})
+	defer box.Close()
+	handler := replication.Handler{Mailbox: box, Replica: cluster.nodes["m0"].replica}
+	self := cluster.nodes["m0"].replica.Self()
+	header := &meshpb.SenderHeader{From: self, To: self.Id, Membership: 1}
+	ctx := t.Context()
+	for _, header := range []*meshpb.SenderHeader{nil, {}, header} {
+		_, _ = handler.RenewLeases(ctx, &meshpb.RenewLeasesRequest{Header: header, Watermarks: []*meshpb.Watermark{{Shard: 999}, nil}})
+		_, _ = handler.Replicate(ctx, &meshpb.ReplicateRequest{Header: header, Entries: []*meshpb.Entry{{Shard: 999}}, States: []*meshpb.ShardState{{Shard: 999}}})
+		_, _ = handler.RequestVotes(ctx, &meshpb.RequestVotesRequest{Header: header, Votes: []*meshpb.VoteRequest{{Shard: 999}}})
+		_, _ = handler.TransferOwnership(ctx, &meshpb.TransferOwnershipRequest{Header: header, Watermarks: []*meshpb.Watermark{{Shard: 999}}})
+	}
+	_, _ = handler.AcceptMembership(ctx, &meshpb.AcceptMembershipRequest{})
+	_, _ = handler.Join(ctx, &meshpb.JoinRequest{})
+	_, own := cluster.nodes["m0"].replica.OwnedEpoch(0)
+	qt.Assert(t, own, qt.IsTrue)
+}
--- /dev/null
+++ b/internal/replication/recovery_test.go
@@ -0,0 +1,159 @@
+package replication_test
+
+import (
+	"flag"
+	"fmt"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/replication"
+	"corkcove/internal/rpc/meshpb"
+)
+
+var seedCount = flag.Int64("seeds", 60, "how many orders of events to try")
+
+func TestHealthyClusterServes(t *testing.T) {
+	for _, n := range []int{1, 3, 5} {
+		cluster := newSimCluster(t, 1, n)
+		load := newWorkload(cluster)
+		load.start(5 * time.Second)
+		cluster.runUntil(6 * time.Second)
+		requireServing(t, cluster, load, 200)
+		qt.Assert(t, load.failed < 10, qt.IsTrue, qt.Commentf("%d members: %d calls failed", n, load.failed))
+	}
+}
+
+func TestInvariantsHoldUnderFaults(t *testing.T) {
+	for seed := int64(1); seed <= *seedCount; seed++ {
+		cluster := newSimCluster(t, seed, 3)
+		load := newWorkload(cluster)
+		load.start(24 * time.Second)
+		cluster.runUntil(2 * time.Second)
+		for round := 0; round < 3; round++ {
+			cluster.lossRate = []float64{0, 0.05, 0.2}[cluster.rng.Intn(3)]
+			address := fmt.Sprintf("m%d", cluster.rng.Intn(3))
+			target := cluster.nodes[address]
+			switch cluster.rng.Intn(7) {
+			case 0:
+				cluster.logf("kill %s", address)
+				target.kill()
+				cluster.runUntil(cluster.now + time.Duration(cluster.rng.Intn(3000))*time.Millisecond)
+				target.start()
+			case 1:
+				cluster.logf("cut %s", address)
+				cluster.setIsolated(address, true)
+				cluster.runUntil(cluster.now + time.Duration(500+cluster.rng.Intn(3000))*time.Millisecond)
+				cluster.setIsolated(address, false)
+			case 2:
+				cluster.logf("wipe %s", address)
+				target.kill()
+				target.records = nil
+				cluster.runUntil(cluster.now + time.Duration(cluster.rng.Intn(2000))*time.Millisecond)
+				target.start()
+			case 3:
+				cluster.logf("kill all")
+				for _, node := range cluster.allNodes() {
+					node.kill()
+				}
+				cluster.runUntil(cluster.now + time.Duration(cluster.rng.Intn(1000))*time.Millisecond)
+				for i := 0; i < 3; i++ {
+					cluster.nodes[fmt.Sprintf("m%d", i)].start()
+				}
+			case 4:
+				cluster.logf("full %s", address)
+				target.diskFull = true
+				cluster.runUntil(cluster.now + 2*time.Second)
+				target.diskFull = false
+			case 5:
+				cluster.logf("one way %s", address)
+				for _, other := range cluster.addresses {
+					if other != address {
+						cluster.partitioned[[2]string{address, other}] = true
+					}
+				}
+				cluster.runUntil(cluster.now + 2*time.Second)
+				cluster.setIsolated(address, false)
+			case 6:
+				cluster.logf("stall %s", address)
+				target.diskStuck = true
+				cluster.runUntil(cluster.now + 3*time.Second)
+				target.diskStuck = false
+			}
+			cluster.lossRate = 0
+			cluster.runUntil(cluster.now + 4*time.Second)
+		}
+		before := load.served
+		load.start(cluster.now + 4*time.Second)
+		cluster.runUntil(cluster.now + 5*time.Second)
+		requireServing(t, cluster, load, before+50)
+	}
+}
+
+func TestMinorityNeverServes(t *testing.T) {
+	cluster := newSimCluster(t, 3, 3)
+	cluster.runUntil(2 * time.Second)
+	cluster.setIsolated("m0", true)
+	cluster.runUntil(cluster.now + 1500*time.Millisecond)
+	for shard := 0; shard < simShards; shard++ {
+		_, owned := cluster.nodes["m0"].replica.OwnedEpoch(shard)
+		qt.Assert(t, owned, qt.IsFalse)
+		var failure error
+		cluster.nodes["m0"].replica.Execute(shard, func(replication.StateMachine, time.Duration) *meshpb.Change { return nil }, func(err error) { failure = err })
+		qt.Assert(t, failure, qt.IsNotNil)
+	}
+}
+
+// TestClusterRecoversWithinCatchUpTime measures from a loss to the moment at which
+// the next one may come: the successor, or the member itself, is in the membership
+// and its replicas are complete.
+func TestClusterRecoversWithinCatchUpTime(t *testing.T) {
+	for _, size := range []struct{ members, losses int }{{3, 1}, {5, 1}, {11, 2}, {19, 2}} {
+		for _, fault := range []fault{replace, wipe, crash, plannedReplacement} {
+			worst, sum := time.Duration(0), time.Duration(0)
+			const seeds = 6
+			for seed := int64(1); seed <= seeds; seed++ {
+				run := &scenarioRun{simCluster: newSimCluster(t, seed, size.members), scenario: scenario{Members: size.members}, faulty: map[string]bool{}}
+				run.workload = newWorkload(run.simCluster)
+				run.runUntil(time.Duration(size.members)*500*time.Millisecond + 3*time.Second)
+				run.requireRecovered("before the loss")
+				run.workload.start(run.now + time.Minute)
+				run.runUntil(run.now + time.Second)
+				target := run.allNodes()[run.rng.Intn(size.members)]
+				since := run.now
+				switch fault {
+				case replace:
+					target.kill()
+					run.runUntil(run.now + time.Second)
+					since = run.now
+					run.addSuccessor()
+				case wipe:
+					target.kill()
+					target.records = nil
+					run.runUntil(run.now + time.Second)
+					since = run.now
+					target.start()
+				case crash:
+					target.kill()
+					run.runUntil(run.now + time.Second)
+					since = run.now
+					target.start()
+				case plannedReplacement:
+					run.addSuccessor()
+					run.runUntil(run.now + time.Second)
+					since = run.now
+					run.terminate(target, func() {})
+				}
+				for run.runUntil(run.now + 20*time.Millisecond); run.notRecovered() != "" && run.now < since+10*time.Second; {
+					run.runUntil(run.now + 20*time.Millisecond)
+				}
+				worst, sum = max(worst, run.now-since), sum+run.now-since
+			}
+			t.Logf("%2d members, %-8v mean %v, worst %v", size.members, fault, (sum / seeds).Round(10*time.Millisecond), worst)
+			if worst > catchUpTime*3/4 {
+				t.Errorf("%d members, %v: %v", size.members, fault, worst)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/replication/replicate_test.go
@@ -0,0 +1,61 @@
+package replication_test
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/rpc/meshpb"
+)
+
+// TestReplicaRefusesEpochChangeFromOtherPosition: a replica at the same version
+// under another epoch may hold something else.
+func TestReplicaRefusesEpochChangeFromOtherPosition(t *testing.T) {
+	cluster := newSimCluster(t, 5, 3)
+	load := newWorkload(cluster)
+	load.start(5 * time.Second)
+	cluster.runUntil(5 * time.Second)
+	follower := cluster.nodes["m1"].replica
+	status := follower.ShardStatuses()[0]
+	replicate := func(change *meshpb.EpochChange) *meshpb.ReplicateAck {
+		var ack *meshpb.ReplicateAck
+		follower.HandleReplicate(&meshpb.ReplicateRequest{Header: &meshpb.SenderHeader{From: cluster.nodes["m0"].replica.Self(), To: follower.Self().Id, Membership: follower.Membership().Version}, EpochChanges: []*meshpb.EpochChange{change}}, func(response *meshpb.ReplicateResponse) {
+			if len(response.Acks) == 1 {
+				ack = response.Acks[0]
+			}
+		})
+		cluster.runUntil(cluster.now + 20*time.Millisecond)
+		return ack
+	}
+	ack := replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch - 1, FromVersion: status.Version})
+	qt.Assert(t, ack.Gap && ack.HaveEpoch == status.Epoch && ack.HaveVersion == status.Version, qt.IsTrue)
+	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version + 1})
+	qt.Assert(t, ack.Gap, qt.IsTrue)
+	qt.Assert(t, follower.ShardStatuses()[0].Epoch, qt.Equals, status.Epoch)
+	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version})
+	qt.Assert(t, ack.Gap, qt.IsFalse)
+	qt.Assert(t, follower.ShardStatuses()[0].Epoch, qt.Equals, status.Epoch+640)
+	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 64, FromEpoch: status.Epoch + 640, FromVersion: status.Version})
+	qt.Assert(t, ack.Gap && ack.Promised == status.Epoch+640, qt.IsTrue)
+}
+
+// TestMemberWithoutEpochChangesGetsFullStates: a member of an earlier release takes
+// states and entries, and ignores epoch changes.
+func TestMemberWithoutEpochChangesGetsFullStates(t *testing.T) {
+	cluster := newSimCluster(t, 2, 3)
+	load := newWorkload(cluster)
+	load.start(20 * time.Second)
+	cluster.runUntil(4 * time.Second)
+	cluster.withoutEpochChanges = "m2"
+	callsBefore := cluster.replicateCalls
+	cluster.nodes["m0"].kill()
+	cluster.runUntil(cluster.now + 3*time.Second)
+	qt.Assert(t, cluster.ownedShards(), qt.Equals, simShards)
+	for i, status := range cluster.nodes["m1"].replica.ShardStatuses() {
+		if status.Owned {
+			qt.Check(t, cluster.nodes["m2"].replica.Epoch(i), qt.Equals, status.Epoch)
+		}
+	}
+	qt.Assert(t, cluster.replicateCalls-callsBefore < 600, qt.IsTrue, qt.Commentf("%d copies", cluster.replicateCalls-callsBefore))
+}
--- a/internal/replication/shard.go
+++ b/internal/replication/shard.go
@@ -44,7 +44,7 @@
 	lease     lease
 	election  election
 	ownership ownership
-	catchUp   catchUp
+	catchUp   catchUpTime
 }
 
 // vote is the last vote of this member, for itself too. It is durable.
@@ -114,7 +114,7 @@
 }
 
 // catchUp tells how far a follower is behind its owner.
-type catchUp struct {
+type catchUpTime struct {
 	// watermark is the version that the owner last said to be committed.
 	watermark uint64
 	// at is when the watermark before the last was found to be on disk here.
