--- a/internal/routeconfig/policy.go
+++ b/internal/routeconfig/policy.go
@@ -7,41 +7,50 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-const maxPolicy = 4 << 10
+// Bounds of a policy: the bytes of its text, and the nodes of its syntax tree.
+const (
+	maxPolicyBytes = 4 << 10
+	maxPolicyNodes = 500
+)
 
-// Asked is what a policy may look at.
+// PolicyInput is what a policy may look at.
 type PolicyInput struct {
-	Method    string              `expr:"method"`
-	Path      string              `expr:"path"`
-	Query     string              `expr:"query"`
-	Caller    string              `expr:"caller"`
+	Method string `expr:"method"`
+	// Path and Query are raw.
+	Path  string `expr:"path"`
+	Query string `expr:"query"`
+	// Caller is the service that the request comes from.
+	Caller string `expr:"caller"`
+	// BodyBytes is the announced length; -1 if there is none.
 	BodyBytes int                 `expr:"bodyBytes"`
 	Header    func(string) string `expr:"header"`
 }
 
-// Policy is a binding's condition as bytecode.
-type Policy struct{ code *vm.Program }
+// Policy is a route's condition, compiled. It is safe for concurrent use.
+type Policy struct{ program *vm.Program }
 
-func CompilePolicy(s string) (*Policy, error) {
-	if s == "" {
+// CompilePolicy compiles a condition; an empty text is no policy, nil.
+func CompilePolicy(text string) (*Policy, error) {
+	if text == "" {
 		return nil, nil
 	}
-	if len(s) > maxPolicy {
-		return nil, fmt.Errorf("a policy has %d bytes at most", maxPolicy)
+	if len(text) > maxPolicyBytes {
+		return nil, fmt.Errorf("a policy has %d bytes at most", maxPolicyBytes)
 	}
-	c, err := expr.Compile(s, expr.Env(PolicyInput{}), expr.AsBool(), expr.MaxNodes(500))
+	program, err := expr.Compile(text, expr.Env(PolicyInput{}), expr.AsBool(), expr.MaxNodes(maxPolicyNodes))
 	if err != nil {
 		return nil, err
 	}
-	return &Policy{c}, nil
+	return &Policy{program}, nil
 }
 
-// Allows bars the request where the policy can't be worked out.
-func (p *Policy) Allows(a PolicyInput) (bool, error) {
-	v, err := expr.Run(p.code, a)
+// Allows evaluates the condition. Where that fails the request is barred, and
+// the error says why.
+func (p *Policy) Allows(input PolicyInput) (bool, error) {
+	result, err := expr.Run(p.program, input)
 	if err != nil {
 		return false, Error.Wrap(err)
 	}
-	b, ok := v.(bool)
-	return ok && b, nil
+	allowed, ok := result.(bool)
+	return ok && allowed, nil
 }
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -5,108 +5,128 @@
 	"strings"
 )
 
+// SplitTarget is a service of a route's split.
 type SplitTarget struct {
-	Service    int
+	// Service is the service's index in the table.
+	Service int
+	// UpperBound is the sum of the weights up to this service's.
 	UpperBound float64
 }
 
+// CompiledRoute is a route as the table has it.
 type CompiledRoute struct {
 	Route
+	// Targets stand in the order of the route's split, by rising upper bound.
 	Targets     []SplitTarget
 	TotalWeight float64
 }
 
-// Table is compiled once and never changed afterwards.
+// Table finds routes and services. It is never changed once it is compiled, and
+// safe for concurrent use.
 type Table struct {
 	Version    uint64
 	Services   []Service
 	Limits     Limits
 	RouteCount int
-	index      map[string]int
-	hosts      map[string]map[string]*CompiledRoute
+
+	serviceIndexes map[string]int
+	// routes are found by host and path prefix.
+	routes map[string]map[string]*CompiledRoute
 }
 
-func Compile(c Config) *Table {
-	t := &Table{Version: c.Version, Limits: DefaultLimits(), index: map[string]int{}, hosts: map[string]map[string]*CompiledRoute{}}
-	for _, it := range c.Resources {
-		switch it.Variant {
-		case varService:
-			t.index[it.Name] = len(t.Services)
-			t.Services = append(t.Services, it.Service)
-		case varLimits:
-			t.Limits = it.Limits
-		}
+// Compile makes the table of a valid configuration.
+func Compile(config Config) *Table {
+	t := &Table{
+		Version: config.Version, Limits: DefaultLimits(),
+		serviceIndexes: map[string]int{}, routes: map[string]map[string]*CompiledRoute{},
 	}
-	for _, it := range c.Resources {
-		if it.Variant != varBinding {
-			continue
+	for _, r := range config.Resources {
+		switch r.Variant {
+		case variantService:
+			t.serviceIndexes[r.Name] = len(t.Services)
+			t.Services = append(t.Services, r.Service)
+		case variantLimits:
+			t.Limits = r.Limits
 		}
-		r := &CompiledRoute{Route: it.Route}
-		for _, s := range r.Split {
-			r.TotalWeight += s.Weight
-			r.Targets = append(r.Targets, SplitTarget{t.index[s.Service], r.TotalWeight})
-		}
-		m := t.hosts[r.Host]
-		if m == nil {
-			m = map[string]*CompiledRoute{}
-			t.hosts[r.Host] = m
+	}
+	for _, r := range config.Resources {
+		if r.Variant == variantRoute {
+			t.addRoute(r.Route)
 		}
-		m[r.Prefix] = r
-		t.RouteCount++
 	}
 	return t
 }
 
-func NormalizeHost(h string) string {
-	if i := strings.LastIndexByte(h, ':'); i >= 0 {
-		if n, _, err := net.SplitHostPort(h); err == nil {
-			h = n
+func (t *Table) addRoute(route Route) {
+	compiled := &CompiledRoute{Route: route}
+	for _, s := range route.Split {
+		compiled.TotalWeight += s.Weight
+		compiled.Targets = append(compiled.Targets, SplitTarget{t.serviceIndexes[s.Service], compiled.TotalWeight})
+	}
+	byPrefix := t.routes[route.Host]
+	if byPrefix == nil {
+		byPrefix = map[string]*CompiledRoute{}
+		t.routes[route.Host] = byPrefix
+	}
+	byPrefix[route.Prefix] = compiled
+	t.RouteCount++
+}
+
+// NormalizeHost takes the port off a Host header and puts it in lower case.
+func NormalizeHost(host string) string {
+	if strings.LastIndexByte(host, ':') >= 0 {
+		if name, _, err := net.SplitHostPort(host); err == nil {
+			host = name
 		}
 	}
-	return strings.ToLower(h)
+	return strings.ToLower(host)
 }
 
-// Find takes the raw path: the longest prefix that begins it wins.
+// Match finds the route of a request by its Host header and raw path: the
+// longest prefix that the path begins with wins. nil if there is none.
 func (t *Table) Match(host, path string) *CompiledRoute {
-	m := t.hosts[NormalizeHost(host)]
-	if m == nil {
+	byPrefix := t.routes[NormalizeHost(host)]
+	if byPrefix == nil {
 		return nil
 	}
 	for i := len(path); i > 0; i-- {
-		if path[i-1] == '/' {
-			if r := m[path[:i]]; r != nil {
-				return r
-			}
+		if path[i-1] != '/' {
+			continue
+		}
+		if route := byPrefix[path[:i]]; route != nil {
+			return route
 		}
 	}
 	return nil
 }
 
-func (t *Table) ServiceIndex(n string) (int, bool) {
-	i, ok := t.index[n]
+// ServiceIndex is where a service stands in Services.
+func (t *Table) ServiceIndex(name string) (int, bool) {
+	i, ok := t.serviceIndexes[name]
 	return i, ok
 }
 
-// Pick gives the service for a draw in [0, 1).
-func (r *CompiledRoute) PickService(x float64) (int, bool) {
-	x *= r.TotalWeight
-	for _, w := range r.Targets {
-		if x < w.UpperBound {
-			return w.Service, true
+// PickService chooses a service by weight, for a random draw in [0, 1); false
+// if all weights are 0.
+func (r *CompiledRoute) PickService(draw float64) (int, bool) {
+	draw *= r.TotalWeight
+	for _, target := range r.Targets {
+		if draw < target.UpperBound {
+			return target.Service, true
 		}
 	}
 	return 0, false
 }
 
-// Allowed names the services that the route may use now.
+// ActiveServices names the route's services with a weight above 0.
 func (t *Table) ActiveServices(r *CompiledRoute) []string {
-	var out []string
-	last := 0.0
-	for _, w := range r.Targets {
-		if w.UpperBound > last {
-			out = append(out, t.Services[w.Service].Name)
+	var names []string
+	below := 0.0
+	for _, target := range r.Targets {
+		if target.UpperBound > below {
+			names = append(names, t.Services[target.Service].Name)
 		}
-		last = w.UpperBound
+		below = target.UpperBound
 	}
-	return out
+	return names
 }
