--- a/internal/routeconfig/decode_fields.go
+++ b/internal/routeconfig/decode_fields.go
@@ -11,8 +11,8 @@
 const (
 	// maxSeconds bounds durations to eleven days and a half.
 	maxSeconds = 1e6
-	// maxWholeNumber bounds whole numbers.
-	maxWholeNumber = 1 << 31
+	// maxInteger bounds integers.
+	maxInteger = 1 << 31
 )
 
 // fieldDecoders reads the fields of a T, by key.
@@ -36,8 +36,8 @@
 	keyKind:          func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.kind) },
 	keyTimeout:       func(d *jx.Decoder, r *routeSpecification) error { return decodeSeconds(d, &r.route.Timeout) },
 	keyLatencyTarget: func(d *jx.Decoder, r *routeSpecification) error { return decodeSeconds(d, &r.route.LatencyTarget) },
-	keyPriority:      func(d *jx.Decoder, r *routeSpecification) error { return decodeWholeNumber(d, &r.route.Priority) },
-	keyMaxAttempts:   func(d *jx.Decoder, r *routeSpecification) error { return decodeWholeNumber(d, &r.route.MaxAttempts) },
+	keyPriority:      func(d *jx.Decoder, r *routeSpecification) error { return decodeInteger(d, &r.route.Priority) },
+	keyMaxAttempts:   func(d *jx.Decoder, r *routeSpecification) error { return decodeInteger(d, &r.route.MaxAttempts) },
 	keyService:       func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.service) },
 	keySplit:         func(d *jx.Decoder, r *routeSpecification) error { return decodeSplit(d, &r.route.Split) },
 	keyPolicy:        func(d *jx.Decoder, r *routeSpecification) error { return decodeText(d, &r.route.Policy, CompilePolicy) },
@@ -96,7 +96,7 @@
 
 var serviceFields = fieldDecoders[Service]{
 	keyHealthCheckPath: func(d *jx.Decoder, s *Service) error { return decodeString(d, &s.HealthCheckPath) },
-	keyMaxConnections:  func(d *jx.Decoder, s *Service) error { return decodeWholeNumber(d, &s.MaxConnections) },
+	keyMaxConnections:  func(d *jx.Decoder, s *Service) error { return decodeInteger(d, &s.MaxConnections) },
 	keyProtocol:        func(d *jx.Decoder, s *Service) error { return decodeString(d, &s.Protocol) },
 	keyTLS: func(d *jx.Decoder, s *Service) (err error) {
 		s.TLS, err = d.Bool()
@@ -107,7 +107,7 @@
 func decodeService(d *jx.Decoder, service *Service) error { return serviceFields.decode(d, service) }
 
 var limitFields = fieldDecoders[Limits]{
-	keyMaxHeaderBytes: func(d *jx.Decoder, l *Limits) error { return decodeWholeNumber(d, &l.MaxHeaderBytes) },
+	keyMaxHeaderBytes: func(d *jx.Decoder, l *Limits) error { return decodeInteger(d, &l.MaxHeaderBytes) },
 	keyMaxBodyBytes:   func(d *jx.Decoder, l *Limits) error { return decodeBytes(d, &l.MaxBodyBytes) },
 	keyHeaderTimeout:  func(d *jx.Decoder, l *Limits) error { return decodeSeconds(d, &l.HeaderTimeout) },
 	keyIdleTimeout:    func(d *jx.Decoder, l *Limits) error { return decodeSeconds(d, &l.IdleTimeout) },
@@ -160,12 +160,12 @@
 	return nil
 }
 
-func decodeWholeNumber(d *jx.Decoder, to *int) error {
+func decodeInteger(d *jx.Decoder, to *int) error {
 	number, err := d.Float64()
 	if err != nil {
 		return err
 	}
-	if number < 0 || number > maxWholeNumber || number != float64(int(number)) {
+	if number < 0 || number > maxInteger || number != float64(int(number)) {
 		return fmt.Errorf("%v is no whole number in range", number)
 	}
 	*to = int(number)
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -7,8 +7,8 @@
 	if err != nil {
 		return err
 	}
-	type place struct{ host, prefix string }
-	routes := map[place]string{}
+	type matchKey struct{ host, prefix string }
+	routes := map[matchKey]string{}
 	for _, r := range c.Resources {
 		if r.Variant != variantRoute {
 			continue
@@ -19,7 +19,7 @@
 				return Error.New("binding %s: service %q is unknown", route.Name, s.Service)
 			}
 		}
-		at := place{route.Host, route.Prefix}
+		at := matchKey{route.Host, route.Prefix}
 		if other, taken := routes[at]; taken {
 			return Error.New("bindings %s and %s share host %s and prefix %s", other, route.Name, route.Host, route.Prefix)
 		}
