--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -22,6 +22,7 @@
 	"corkcove/internal/coordination"
 	"corkcove/internal/discovery"
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/mailbox"
 	"corkcove/internal/replication"
 	"corkcove/internal/rpc"
@@ -172,7 +173,7 @@
 // SetState keeps a user state beside the others in shard 0; the master caps the
 // node's state with it from the next view on.
 func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
-	if !clustercontroller.ValidUserState(q.State) {
+	if !lifecycle.State(q.State).SettableByUser() {
 		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	held := c.board.HoldsMasterLease()
@@ -185,7 +186,7 @@
 	}
 	u, err := coordination.Transact(ctx, c.svc, 0, func(t *coordination.Table, _ time.Duration) coordination.Decision[map[string]string] {
 		u := users(t)
-		if q.State == clustercontroller.Up {
+		if lifecycle.State(q.State) == lifecycle.Up {
 			delete(u, q.Node)
 		} else {
 			u[q.Node] = q.State
--- a/cmd/corkcove/tools.go
+++ b/cmd/corkcove/tools.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"corkcove/internal/changetrace"
-	"corkcove/internal/clustercontroller"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/loadestimate"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -175,7 +175,7 @@
 }
 
 func (t *tool) setState(node, state string) error {
-	if !clustercontroller.ValidUserState(state) {
+	if !lifecycle.State(state).SettableByUser() {
 		return fmt.Errorf("%q is no state: give up, maintenance, retired or down", state)
 	}
 	todo := append([]string{}, t.cores...)
@@ -263,7 +263,7 @@
 	}
 	var es []*meshpb.Endpoint
 	for _, n := range s.Nodes {
-		if n.Official == clustercontroller.Up {
+		if lifecycle.State(n.Official) == lifecycle.Up {
 			es = append(es, &meshpb.Endpoint{Id: n.Endpoint, Service: n.Service, Zone: n.Zone, Slots: n.Slots, State: n.Official, Node: n.Name})
 		}
 	}
--- a/internal/clustercontroller/redeliver_test.go
+++ b/internal/clustercontroller/configs_test.go
@@ -8,9 +8,8 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"google.golang.org/protobuf/proto"
 
-	"corkcove/internal/nodeagent"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -22,7 +21,7 @@
 	fullConfigBound = 2 * time.Second
 )
 
-// lossy is a node whose next calls with a configuration get no answer and do not
+// lossyNode is a node whose next calls with a configuration get no answer and do not
 // reach it, as on a connection whose other end has lost power.
 type lossyNode struct {
 	meshpb.Node
@@ -42,7 +41,7 @@
 	return l.Node.DeliverConfig(c, q)
 }
 
-// stuckStore keeps no view: each try lasts as long as it may.
+// stuckStore saves no view: each attempt lasts as long as it may.
 type stuckStore struct{}
 
 func (stuckStore) SaveView(c context.Context, _ *meshpb.View) error {
@@ -50,32 +49,7 @@
 	return errPartitioned
 }
 
-// restart puts a new life, which holds nothing, in place of a node's agent.
-func (s *testCluster) restart(i int, life string) {
-	f := s.nodes[i]
-	old := f.current()
-	state := proto.Clone(old.State()).(*meshpb.NodeState)
-	state.Incarnation = life
-	a := &nodeagent.Agent{Name: old.Name, Incarnation: life, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
-		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
-	a.Start(state)
-	f.mu.Lock()
-	f.agent, f.partitioned = a, false
-	f.mu.Unlock()
-}
-
-// behind counts the nodes whose configuration is older.
-func (s *testCluster) nodesBehind(version uint64) int {
-	n := 0
-	for _, f := range s.nodes {
-		if f.current().ConfigVersion() < version {
-			n++
-		}
-	}
-	return n
-}
-
-// patched is the last of these versions, with the patches that lead to it.
+// patchedConfigOf is the last of these versions, with the patches that lead to it.
 func patchedConfigOf(versions ...uint64) *meshpb.Config {
 	c := packedConfigOf(versions[len(versions)-1], "d")
 	c.Packed = rpc.Pack(make([]byte, 64<<10))
@@ -97,53 +71,49 @@
 
 func checkConfigReachesAll(t *testing.T, first, second *meshpb.Config, bound time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		s, rs, membership := newClusterWithRelays(t, 60, 3)
-		defer s.master.Mailbox.Close()
-		defer advance(3 * time.Second) // all calls under way have ended
-		defer s.run(s.master.StepDown)
-		var lossies []*lossyNode
+		cluster, members, membership := newClusterWithRelays(60, 3)
+		defer cluster.stopAfterCalls()
+		var lossyNodes []*lossyNode
 		for _, i := range []int{3, 4, 17, 20, 33, 41, 59} {
-			addr := s.nodes[i].agent.State().Addr
-			l := &lossyNode{Node: s.nodes[i]}
-			s.master.clients.PutNode(addr, l)
-			rs[0].clients.PutNode(addr, l)
-			lossies = append(lossies, l)
+			addr := cluster.nodes[i].agent.State().Addr
+			l := &lossyNode{Node: cluster.nodes[i]}
+			cluster.master.clients.PutNode(addr, l)
+			members[0].clients.PutNode(addr, l)
+			lossyNodes = append(lossyNodes, l)
 		}
-		s.run(func() {
-			s.master.BecomeMaster(2, storedViewOf(60), map[string]string{}, packedConfigOf(5, "d"), membership)
-		})
+		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(time.Second)
-		qt.Assert(t, s.nodesBehind(5), qt.Equals, 0)
+		qt.Assert(t, cluster.nodesBehind(5), qt.Equals, 0)
 
-		rs[0].mu.Lock()
-		rs[0].down = true
-		rs[0].mu.Unlock()
-		for _, l := range lossies {
+		members[0].mu.Lock()
+		members[0].unresponsive = true
+		members[0].mu.Unlock()
+		for _, l := range lossyNodes {
 			l.mu.Lock()
 			l.callsToLose = 1
 			l.mu.Unlock()
 		}
-		s.master.store = stuckStore{}
-		s.nodes[0].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = Draining })
-		s.nodes[5].setPartitioned(true)
+		cluster.master.store = stuckStore{}
+		cluster.nodes[0].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = string(lifecycle.Draining) })
+		cluster.nodes[5].setPartitioned(true)
 		advance(150 * time.Millisecond)
-		s.run(func() { s.master.SetConfig(first) })
+		cluster.setConfig(first)
 		advance(100 * time.Millisecond)
-		s.restart(5, "l2")
-		s.run(func() { s.master.RegisterNode(s.nodes[5].current().State()) })
+		cluster.restart(5, "l2")
+		cluster.run(func() { cluster.master.RegisterNode(cluster.nodes[5].current().State()) })
 		advance(100 * time.Millisecond)
-		s.run(func() { s.master.SetConfig(second) })
+		cluster.setConfig(second)
 		took := time.Duration(0)
-		for ; s.nodesBehind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
+		for ; cluster.nodesBehind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
 			advance(50 * time.Millisecond)
 		}
 		t.Logf("all have it after %v", took)
-		for i, l := range lossies {
+		for i, l := range lossyNodes {
 			l.mu.Lock()
 			qt.Check(t, l.callsToLose < 1, qt.IsTrue, qt.Commentf("no call to lossy node %d was lost", i))
 			l.mu.Unlock()
 		}
-		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", s.nodesBehind(7), took))
+		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", cluster.nodesBehind(7), took))
 	})
 }
 
@@ -160,21 +130,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, _, membership := newClusterWithRelays(t, 3, 0)
-				defer s.master.Mailbox.Close()
-				defer advance(3 * time.Second)
-				defer s.run(s.master.StepDown)
-				slow := &slowNode{fakeNode: s.nodes[1], delay: c.delay}
-				s.master.clients.PutNode("a1", slow)
-				s.run(func() { s.master.BecomeMaster(2, storedViewOf(3), map[string]string{}, patchedConfigOf(5), membership) })
+				cluster, _, membership := newClusterWithRelays(3, 0)
+				defer cluster.stopAfterCalls()
+				slow := &slowNode{fakeNode: cluster.nodes[1], delay: c.delay}
+				cluster.master.clients.PutNode("a1", slow)
+				cluster.becomeMaster(2, storedViewOf(3), patchedConfigOf(5), membership)
 				advance(600 * time.Millisecond)
-				qt.Check(t, s.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
-				s.restart(1, "l2")
+				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
+				cluster.restart(1, "l2")
 				slow.answerPolls()
 				advance(c.within)
 				qt.Check(t, slow.delayed(), qt.IsTrue, qt.Commentf("the acknowledgement came without delay"))
-				qt.Check(t, s.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
-				qt.Check(t, s.nodes[1].current().View().GetEpoch(), qt.Equals, uint64(2))
+				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
+				qt.Check(t, cluster.nodes[1].current().View().GetEpoch(), qt.Equals, uint64(2))
 			})
 		})
 	}
--- /dev/null
+++ b/internal/clustercontroller/leadership.go
@@ -0,0 +1,158 @@
+package clustercontroller
+
+import (
+	"time"
+
+	"corkcove/internal/lifecycle"
+	"corkcove/internal/rpc/meshpb"
+)
+
+// rejoinTimeout is how long after a takeover a node that has lost its memory may
+// take to find its endpoint: a heartbeat and a little more.
+const rejoinTimeout = 2 * time.Second
+
+// leadership is whether, and under which epoch, this member is the master.
+type leadership struct {
+	active bool
+	// suspended while the lease on shard 0 is not certain: nothing is sent.
+	suspended bool
+	epoch     uint64
+	since     time.Duration
+	// rejoining while endpoints that their nodes have not found again count as they
+	// were in the last view.
+	rejoining bool
+}
+
+// is tells whether this member is still the master under an epoch.
+func (l leadership) is(epoch uint64) bool { return l.active && l.epoch == epoch }
+
+// BecomeMaster makes this member the master under the epoch of shard 0, with what
+// that shard keeps: the last view that was published, the user states by node, the
+// configuration and the membership.
+func (m *Master) BecomeMaster(epoch uint64, stored *meshpb.View, userStates map[string]string, config *meshpb.Config, membership *meshpb.Membership) {
+	now := m.options.Now()
+	if stored.GetVersion() > m.views.current.Version {
+		m.views.current = stored
+	}
+	m.options.Log.Info("became master", "epoch", epoch, "view", m.views.current.Version, "version", config.GetVersion())
+	m.leadership = leadership{active: true, epoch: epoch, since: now, rejoining: true}
+	m.userStates, m.membership = userStates, membership
+	m.progress = map[string]*nodeProgress{}
+	m.merge.changedAt = now
+	m.views = viewState{current: m.views.current, lastAt: now}
+	m.hotKeys.current = m.views.current.HotKeys
+	m.hotKeys.tracker.Restore(m.views.current.HotKeys, now)
+	m.restoreEndpoints(m.views.current, now)
+	m.restoreAddresses(m.views.current, now)
+	m.pollAllOnce()
+	m.mergeStates()
+	m.SetConfig(config)
+}
+
+// restoreEndpoints takes the endpoints of the last view as the nodes' state until
+// these have answered a poll.
+func (m *Master) restoreEndpoints(v *meshpb.View, now time.Duration) {
+	m.listedEndpoints = nil
+	for _, e := range v.Endpoints {
+		if e.Node == "" {
+			m.listedEndpoints = append(m.listedEndpoints, e)
+			continue
+		}
+		h := m.histories[e.Node]
+		if h == nil {
+			h = restoredHistory(e)
+			m.histories[e.Node] = h
+		}
+		h.lastContact, h.pollFailures, h.reachable, h.restoredFromView = now, 0, true, true
+	}
+}
+
+func restoredHistory(e *meshpb.Endpoint) *nodeHistory {
+	state := e.State
+	if lifecycle.State(state) == lifecycle.Up {
+		state = string(lifecycle.Ready)
+	}
+	reported := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots,
+		State: state, Healthy: true, SoftwareVersion: e.SoftwareVersion}
+	return &nodeHistory{
+		state:        &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: reported},
+		endpointID:   e.Id,
+		lastEndpoint: reported,
+	}
+}
+
+// restoreAddresses finds the nodes of the last view.
+func (m *Master) restoreAddresses(v *meshpb.View, now time.Duration) {
+	for _, a := range v.NodeAddresses {
+		name, addr := splitNodeAddress(a)
+		h := m.histories[name]
+		if h == nil {
+			h = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
+			m.histories[name] = h
+		}
+		if h.state.Addr == "" {
+			h.state.Addr = addr
+		}
+	}
+}
+
+// SetStoredVersions names what shard 0 keeps; it is called before BecomeMaster.
+func (m *Master) SetStoredVersions(versions *meshpb.StoredVersions) { m.storedVersions = versions }
+
+// StepDown ends what BecomeMaster began. What is known of the nodes stays for the
+// next time.
+func (m *Master) StepDown() {
+	if !m.leadership.active {
+		return
+	}
+	m.storedVersions = nil
+	m.options.Log.Info("stepped down as master", "epoch", m.leadership.epoch)
+	m.leadership.active = false
+	m.stopAllPolling()
+}
+
+// IsMaster tells whether this member is the master. That its lease is certain is
+// not said with it.
+func (m *Master) IsMaster() bool { return m.leadership.active }
+
+// checkLease tells whether the lease on shard 0 is certain. It stops all polls while
+// it is not, so that the nodes look for another master, and takes them up again
+// after.
+func (m *Master) checkLease() bool {
+	certain := m.options.HoldsLease == nil || m.options.HoldsLease()
+	if m.leadership.active && certain == m.leadership.suspended {
+		if certain {
+			m.resume()
+		} else {
+			m.suspend()
+		}
+	}
+	return certain
+}
+
+func (m *Master) suspend() {
+	m.options.Log.Warn("paused as master: lease not certain", "shard", 0, "epoch", m.leadership.epoch)
+	m.leadership.suspended = true
+	m.stopAllPolling()
+}
+
+func (m *Master) resume() {
+	m.leadership.suspended = false
+	for _, h := range m.histories {
+		h.lastContact = m.options.Now()
+	}
+	m.pollAllOnce()
+}
+
+// endRejoining stops, a while after a takeover, to show endpoints that their nodes
+// have not found again.
+func (m *Master) endRejoining(now time.Duration) {
+	if !m.leadership.rejoining || now-m.leadership.since <= rejoinTimeout {
+		return
+	}
+	m.leadership.rejoining = false
+	for _, h := range m.histories {
+		h.restoredFromView = false
+	}
+	m.scheduleMerge()
+}
--- /dev/null
+++ b/internal/clustercontroller/leadership_test.go
@@ -0,0 +1,153 @@
+package clustercontroller
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"corkcove/internal/lifecycle"
+	"corkcove/internal/rpc/meshpb"
+)
+
+func TestReelectedMasterPollsAfreshAndKeepsItsNodes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(3)
+		defer cluster.stop()
+		cluster.becomeMaster(1, nil, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
+		cluster.registerAll()
+		advance(2 * time.Second)
+		for _, f := range cluster.nodes {
+			f.setPartitioned(true)
+		}
+		advance(6 * time.Second)
+		cluster.run(cluster.master.StepDown)
+		for _, f := range cluster.nodes {
+			f.setPartitioned(false)
+		}
+		stored := cluster.store.view
+		cluster.nodes[0].mu.Lock()
+		cluster.viewSizes = nil
+		cluster.nodes[0].mu.Unlock()
+		cluster.becomeMaster(2, stored, packedConfigOf(5, "d"), &meshpb.Membership{Version: 1})
+		cluster.registerAll()
+		advance(1500 * time.Millisecond)
+		for i, f := range cluster.nodes {
+			qt.Check(t, f.configVersions[len(f.configVersions)-1], qt.Equals, uint64(5))
+			qt.Check(t, cluster.endpointCount(i), qt.Equals, 3)
+		}
+		for _, n := range cluster.viewSizes {
+			qt.Check(t, n, qt.Equals, 3, qt.Commentf("a view without its endpoints was published"))
+		}
+	})
+}
+
+func TestNewMasterFindsNodesInStoredView(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(3)
+		defer cluster.stop()
+		stored := &meshpb.View{Epoch: 1, Version: 9, NodeAddresses: []string{"n0 a0", "n1 a1", "n2 a2"}}
+		cluster.becomeMaster(2, stored, packedConfigOf(5, "d"), &meshpb.Membership{Version: 1})
+		advance(600 * time.Millisecond)
+		qt.Assert(t, cluster.store.view.Version > 9, qt.IsTrue)
+		qt.Assert(t, cluster.endpointCount(1), qt.Equals, 3)
+		qt.Assert(t, cluster.nodes[2].configVersions, qt.DeepEquals, []uint64{5})
+	})
+}
+
+func TestMasterWithoutLeaseReleasesItsNodes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(2)
+		defer cluster.stop()
+		held := true
+		cluster.run(func() {
+			cluster.master.options.HoldsLease = func() bool { return held }
+			cluster.master.BecomeMaster(1, nil, map[string]string{}, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
+		})
+		cluster.registerAll()
+		advance(2 * time.Second)
+		overdue := func(i int) bool {
+			return cluster.nodes[i].agent.PollOverdue()
+		}
+		qt.Assert(t, overdue(0), qt.IsFalse)
+		cluster.run(func() { held = false })
+		advance(100 * time.Millisecond)
+		qt.Assert(t, overdue(0) && overdue(1), qt.IsTrue, qt.Commentf("nodes must look for another master at once"))
+		cluster.run(func() {
+			_, ok := cluster.master.RegisterNode(cluster.nodes[0].agent.State())
+			qt.Check(t, ok, qt.IsFalse)
+			cluster.master.SetConfig(packedConfigOf(9, "never"))
+		})
+		advance(time.Second)
+		qt.Assert(t, cluster.nodes[0].configVersions, qt.DeepEquals, []uint64{3})
+		cluster.run(func() { held = true })
+		advance(500 * time.Millisecond)
+		qt.Assert(t, overdue(0) || overdue(1), qt.IsFalse)
+	})
+}
+
+// After all processes were killed nobody has a view: each node gets the last one
+// that was published as soon as it is heard, before the new master may make one.
+// A node that has a view keeps it till then.
+func TestNodesWithoutViewReceiveStoredViewAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster, _, membership := newClusterWithRelays(60, 3)
+		defer cluster.stop()
+		v := storedViewOf(60)
+		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: string(lifecycle.Up), Node: "n0", Inbound: "i0"}}
+		has := cluster.nodes[7].agent
+		qt.Assert(t, publish(has, &meshpb.View{Epoch: 1, Version: 8}, 1), qt.IsTrue)
+		cluster.master.options.TakeoverDelay = 5 * time.Second
+		cluster.becomeMaster(2, v, packedConfigOf(5, "d"), membership)
+		advance(400 * time.Millisecond)
+		for i, f := range cluster.nodes {
+			want := uint64(9)
+			if i == 7 {
+				want = 8
+			}
+			qt.Check(t, f.agent.View().GetVersion(), qt.Equals, want, qt.Commentf("node %d", i))
+			qt.Check(t, f.agent.ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
+		}
+		advance(6 * time.Second)
+		for _, f := range cluster.nodes {
+			qt.Check(t, f.agent.View().GetEpoch(), qt.Equals, uint64(2))
+		}
+		late := cluster.nodes[3].agent
+		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 1), qt.IsFalse, qt.Commentf("from a master before"))
+		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 2), qt.IsFalse, qt.Commentf("older than what it has"))
+	})
+}
+
+// A node that was killed with all others says at first that it knows no endpoint:
+// that takes no endpoint out of the view, until it has had time to find it.
+func TestEndpointsStayInViewWhileTheirNodesRejoin(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster, _, membership := newClusterWithRelays(30, 3)
+		defer cluster.stop()
+		v := storedViewOf(30)
+		for i, f := range cluster.nodes {
+			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Up), Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
+			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint = nil })
+		}
+		cluster.becomeMaster(2, v, packedConfigOf(5, "d"), membership)
+		advance(time.Second)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 30)
+		for i, f := range cluster.nodes[:20] {
+			f.agent.UpdateState(func(n *meshpb.NodeState) {
+				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}
+			})
+		}
+		cluster.nodes[20].agent.UpdateState(func(n *meshpb.NodeState) {
+			n.Endpoint = &meshpb.Endpoint{Id: "e20", Service: "s", State: "gone", Healthy: true, Slots: 4}
+		})
+		advance(500 * time.Millisecond)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 29)
+		advance(3 * time.Second)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 20)
+		for _, n := range cluster.viewSizes {
+			qt.Assert(t, n >= 20, qt.IsTrue, qt.Commentf("%v", cluster.viewSizes))
+		}
+	})
+}
--- a/internal/clustercontroller/grey_test.go
+++ b/internal/clustercontroller/outliers_test.go
@@ -7,13 +7,14 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/rpc/meshpb"
 )
 
 func endpointsOfService(n int) []*meshpb.Endpoint {
 	var es []*meshpb.Endpoint
 	for i := range n {
-		es = append(es, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: Up})
+		es = append(es, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Up)})
 	}
 	return es
 }
--- a/internal/clustercontroller/delta_test.go
+++ b/internal/clustercontroller/views_test.go
@@ -11,12 +11,34 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
 )
 
-// eavesdrop counts what goes to one node.
+func TestChangesWithinSettleTimeMakeOneView(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cluster := newTestCluster(4)
+		defer cluster.stop()
+		cluster.becomeMaster(1, nil, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
+		cluster.registerAll()
+		advance(2 * time.Second)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 4)
+		qt.Assert(t, cluster.nodes[0].configVersions, qt.DeepEquals, []uint64{3})
+		before := cluster.store.view.Version
+		for _, f := range cluster.nodes[1:] {
+			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+		}
+		advance(time.Second)
+		qt.Assert(t, cluster.store.view.Version, qt.Equals, before+1)
+		cluster.run(func() { cluster.master.SetUserStates(map[string]string{"n0": string(lifecycle.Down)}, "n0") })
+		advance(time.Second)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 3)
+	})
+}
+
+// recordingNode counts what goes to one node.
 type recordingNode struct {
 	meshpb.Node
 	mu          sync.Mutex
@@ -72,11 +94,10 @@
 
 func TestNodesReceiveOnlyPatchesAndViewDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestCluster(t, 12)
-		defer s.master.Mailbox.Close()
-		defer s.run(s.master.StepDown)
-		e := &recordingNode{Node: s.nodes[0]}
-		a := s.nodes[0].agent
+		cluster := newTestCluster(12)
+		defer cluster.stop()
+		e := &recordingNode{Node: cluster.nodes[0]}
+		a := cluster.nodes[0].agent
 		var doc routeconfig.Config
 		a.OnConfig = func(_ uint64, b []byte) (err error) { doc, err = routeconfig.Parse(b); return err }
 		a.OnPatch = func(_ uint64, ps [][]byte) error {
@@ -91,15 +112,13 @@
 			}
 			return nil
 		}
-		s.master.clients.PutNode("a0", e)
+		cluster.master.clients.PutNode("a0", e)
 		last := &meshpb.Config{Version: 3, Packed: rpc.Pack(configDocument(3, 400, 2))}
-		s.run(func() {
-			s.master.BecomeMaster(1, nil, map[string]string{}, last, &meshpb.Membership{Version: 1})
-		})
-		s.registerAll()
+		cluster.becomeMaster(1, nil, last, &meshpb.Membership{Version: 1})
+		cluster.registerAll()
 		advance(3 * time.Second)
 		qt.Assert(t, e.fullConfigs, qt.Equals, 1)
-		whole := len(s.master.packedConfig)
+		full := len(cluster.master.config.packed)
 		for i := range 5 {
 			old, err := routeconfig.Parse(configDocument(3+i, 400, 2+float64(i)))
 			qt.Assert(t, err, qt.IsNil)
@@ -107,42 +126,40 @@
 			qt.Assert(t, err, qt.IsNil)
 			last = &meshpb.Config{Version: now.Version, Packed: rpc.Pack(now.Marshal()), Patches: append(last.Patches, &meshpb.ConfigPatch{BaseVersion: old.Version, Version: now.Version, Patch: rpc.Pack(now.PatchFrom(old))})}
 			if i == 4 {
-				// Another master, which has never led, knows the way from the control state.
-				s.run(s.master.StepDown)
-				s.master.configVersion, s.master.packedConfig, s.master.configPatches = 0, nil, nil
-				s.run(func() {
-					s.master.BecomeMaster(2, s.store.view, map[string]string{}, last, &meshpb.Membership{Version: 1})
-				})
+				// Another member, which has never been the master, has the patches from shard 0.
+				cluster.run(cluster.master.StepDown)
+				cluster.master.config = configState{}
+				cluster.becomeMaster(2, cluster.store.view, last, &meshpb.Membership{Version: 1})
 			} else {
-				s.run(func() { s.master.SetConfig(last) })
+				cluster.setConfig(last)
 			}
 			advance(200 * time.Millisecond)
 		}
 		qt.Assert(t, e.fullConfigs, qt.Equals, 1)
 		qt.Assert(t, e.patches, qt.Equals, 5)
-		qt.Assert(t, e.patchBytes < whole/2, qt.IsTrue)
+		qt.Assert(t, e.patchBytes < full/2, qt.IsTrue)
 		qt.Assert(t, doc.Version, qt.Equals, uint64(8))
 		got := routeconfig.Compile(doc).Match("a", "/p7/x")
 		qt.Assert(t, got.Timeout, qt.Equals, 7*time.Second)
 
 		advance(2 * time.Second)
 		n := len(e.views)
-		s.nodes[3].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+		cluster.nodes[3].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
 		advance(time.Second)
 		qt.Assert(t, len(e.views), qt.Equals, n+1)
 		qt.Assert(t, e.views[n].BaseVersion > 0 && len(e.views[n].Endpoints) == 1, qt.IsTrue)
-		qt.Assert(t, s.endpointCount(0), qt.Equals, 12)
+		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 12)
 
 		e.mu.Lock()
 		e.failing = true
 		e.mu.Unlock()
 		// An answer that got lost leaves the master with an older version; the node
 		// then says which one it holds, and gets the difference from that.
-		s.nodes[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+		cluster.nodes[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 		advance(1600 * time.Millisecond)
 		for older := false; !older; advance(time.Millisecond) {
-			s.run(func() {
-				if c := s.master.progressOf("n0"); !c.viewInFlight {
+			cluster.run(func() {
+				if c := cluster.master.progressOf("n0"); !c.viewInFlight {
 					c.viewVersion--
 					older = true
 				}
@@ -154,23 +171,23 @@
 		e.mu.Unlock()
 		advance(time.Second)
 		for _, v := range e.views[n:] {
-			qt.Assert(t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("a whole view was sent"))
+			qt.Assert(t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("a complete view was sent"))
 		}
-		qt.Assert(t, a.View().Version, qt.Equals, s.store.view.Version)
+		qt.Assert(t, a.View().Version, qt.Equals, cluster.store.view.Version)
 		e.mu.Lock()
 		e.failing = true
 		e.mu.Unlock()
 		for i := range maxRecentViews + 4 {
-			s.nodes[4+i%8].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
+			cluster.nodes[4+i%8].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 			advance(600 * time.Millisecond)
 		}
 		e.mu.Lock()
 		e.failing = false
 		e.mu.Unlock()
 		advance(3 * time.Second)
-		qt.Assert(t, e.views[len(e.views)-1].BaseVersion, qt.Equals, uint64(0), qt.Commentf("whole on a gap"))
-		s.nodes[0].mu.Lock()
-		defer s.nodes[0].mu.Unlock()
-		qt.Assert(t, a.View().Version, qt.Equals, s.store.view.Version)
+		qt.Assert(t, e.views[len(e.views)-1].BaseVersion, qt.Equals, uint64(0), qt.Commentf("complete after a gap"))
+		cluster.nodes[0].mu.Lock()
+		defer cluster.nodes[0].mu.Unlock()
+		qt.Assert(t, a.View().Version, qt.Equals, cluster.store.view.Version)
 	})
 }
