--- a/internal/clustercontroller/batches.go
+++ b/internal/clustercontroller/batches.go
@@ -152,7 +152,7 @@
 	go func() {
 		r, err := rpc.Call(relayCallTimeout, relay.Relay, q)
 		m.Mailbox.Post(func() {
-			acked := b.dispatch(r.GetAcks())
+			acked := b.runCallbacks(r.GetAcks())
 			if err != nil || len(acked) == 0 {
 				m.relayRetryAt[addr] = m.options.Now() + relayRetryDelay
 			}
@@ -161,9 +161,9 @@
 	}()
 }
 
-// dispatch gives each node's acknowledgement to its callback, and returns the names
+// runCallbacks gives each node's acknowledgement to its callback, and returns the names
 // of these nodes.
-func (b *batch) dispatch(acks []*meshpb.RelayAck) map[string]bool {
+func (b *batch) runCallbacks(acks []*meshpb.RelayAck) map[string]bool {
 	acked := map[string]bool{}
 	for _, a := range acks {
 		if done := b.callbacks[a.Name]; done != nil && !acked[a.Name] {
--- a/internal/clustercontroller/history_test.go
+++ b/internal/clustercontroller/history_test.go
@@ -13,10 +13,10 @@
 
 var testRules = historyRules{crashWindow: time.Minute, crashLimit: 3, pollFailureLimit: 2, unreachableAfter: 700 * time.Millisecond}
 
-func nodeStateOf(id, st string, cold uint64) *meshpb.NodeState {
+func nodeStateOf(id, state string, warmupMs uint64) *meshpb.NodeState {
 	n := &meshpb.NodeState{Name: "n", Inbound: "in", State: "up"}
 	if id != "" {
-		n.Endpoint = &meshpb.Endpoint{Id: id, State: st, Healthy: true, WarmupMs: cold, Slots: 4}
+		n.Endpoint = &meshpb.Endpoint{Id: id, State: state, Healthy: true, WarmupMs: warmupMs, Slots: 4}
 	}
 	return n
 }
--- a/internal/clustercontroller/leadership_test.go
+++ b/internal/clustercontroller/leadership_test.go
@@ -61,9 +61,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(2)
 		defer cluster.stop()
-		held := true
+		leased := true
 		cluster.run(func() {
-			cluster.master.options.HoldsLease = func() bool { return held }
+			cluster.master.options.HoldsLease = func() bool { return leased }
 			cluster.master.BecomeMaster(1, nil, map[string]string{}, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
 		})
 		cluster.registerAll()
@@ -72,7 +72,7 @@
 			return cluster.nodes[i].agent.PollOverdue()
 		}
 		qt.Assert(t, overdue(0), qt.IsFalse)
-		cluster.run(func() { held = false })
+		cluster.run(func() { leased = false })
 		advance(100 * time.Millisecond)
 		qt.Assert(t, overdue(0) && overdue(1), qt.IsTrue, qt.Commentf("nodes must look for another master at once"))
 		cluster.run(func() {
@@ -82,7 +82,7 @@
 		})
 		advance(time.Second)
 		qt.Assert(t, cluster.nodes[0].configVersions, qt.DeepEquals, []uint64{3})
-		cluster.run(func() { held = true })
+		cluster.run(func() { leased = true })
 		advance(500 * time.Millisecond)
 		qt.Assert(t, overdue(0) || overdue(1), qt.IsFalse)
 	})
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -73,9 +73,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster, members, membership := newClusterWithRelays(40, 2)
 		defer cluster.stop()
-		held := true
+		leased := true
 		cluster.run(func() {
-			cluster.master.options.HoldsLease = func() bool { return held }
+			cluster.master.options.HoldsLease = func() bool { return leased }
 			cluster.master.BecomeMaster(2, storedViewOf(40), map[string]string{}, packedConfigOf(5, "d"), membership)
 		})
 		advance(time.Second)
@@ -83,12 +83,12 @@
 		was := members[0].relayCalls + members[1].relayCalls
 		cluster.run(func() {
 			cluster.master.SetConfig(packedConfigOf(6, "e"))
-			held = false
+			leased = false
 		})
 		advance(2 * time.Second)
 		qt.Assert(t, members[0].relayCalls+members[1].relayCalls, qt.Equals, was)
 		cluster.checkAllNodes(t, 5)
-		cluster.run(func() { held = true })
+		cluster.run(func() { leased = true })
 		advance(time.Second)
 		cluster.checkAllNodes(t, 6)
 	})
--- a/internal/clustercontroller/views_test.go
+++ b/internal/clustercontroller/views_test.go
@@ -50,9 +50,11 @@
 }
 
 func (e *recordingNode) PublishView(c context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
-	e.mu.Lock()
 	v := &meshpb.View{}
-	proto.Unmarshal(q.Packed, v)
+	if err := proto.Unmarshal(q.Packed, v); err != nil {
+		return nil, err
+	}
+	e.mu.Lock()
 	e.views = append(e.views, v)
 	d := e.failing
 	e.mu.Unlock()
--- a/internal/endpointagent/admission_test.go
+++ b/internal/endpointagent/admission_test.go
@@ -135,11 +135,11 @@
 		h := heartbeat("a", "ready", 1)
 		h.Slots = 4
 		a.RecordHeartbeat(h)
-		var held []func()
+		var releases []func()
 		for i := 0; i < 4; i++ {
 			release, reason := a.Admit(context.Background(), "a", Priority{Deadline: time.Now().Add(time.Minute)}, time.Minute)
 			qt.Assert(t, reason, qt.Equals, NotRejected)
-			held = append(held, release)
+			releases = append(releases, release)
 		}
 		admitted := make(chan string, 8)
 		for _, x := range []struct {
@@ -156,7 +156,7 @@
 			}()
 			synctest.Wait()
 		}
-		held[0]()
+		releases[0]()
 		synctest.Wait()
 		for _, want := range []string{"0 40", "1 20", "1 30", "2 10", "0 5"} {
 			qt.Check(t, <-admitted, qt.Equals, want+" ")
--- a/internal/endpointagent/agent_test.go
+++ b/internal/endpointagent/agent_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSilentEndpointIsUnhealthyUntilItsNextHeartbeat(t *testing.T) {
+func TestEndpointWithoutHeartbeatsIsUnhealthyUntilItsNextHeartbeat(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := newAgent(func() time.Time { return now })
 	a.RecordHeartbeat(heartbeat("a", "ready", 1))
