--- a/internal/proxy/loadbalancer/view.go
+++ b/internal/proxy/loadbalancer/view.go
@@ -6,11 +6,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/rpc/meshpb"
 )
 
 // endpointUp is the state of an endpoint that takes requests, as views have it.
-const endpointUp = "up"
+const endpointUp = string(lifecycle.Up)
 
 // table is what one view says. It is never changed once it is in use.
 type table struct {
