--- a/internal/meshtest/hot_test.go
+++ b/internal/meshtest/hot_test.go
@@ -15,6 +15,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc/meshpb"
 )
@@ -144,9 +145,9 @@
 					crashed = "e3"
 					dead.Store(crashed, true)
 				case s > 5.8 && s < 5.8+gap.Seconds():
-					m.PublishView(map[string]string{crashed: "gone"})
+					m.PublishView(map[string]lifecycle.State{crashed: lifecycle.Gone})
 				case s > 7 && s < 7+gap.Seconds():
-					m.PublishView(map[string]string{crashed: "gone", "e11": "draining"})
+					m.PublishView(map[string]lifecycle.State{crashed: lifecycle.Gone, "e11": lifecycle.Draining})
 				}
 			}
 			time.Sleep(gap)
--- a/internal/meshtest/session_test.go
+++ b/internal/meshtest/session_test.go
@@ -14,6 +14,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"corkcove/internal/affinity"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/routeconfig"
 )
 
@@ -178,9 +179,9 @@
 			n := m.Nodes[1]
 			n.Agent.Deregister("e1")
 			time.Sleep(120 * time.Millisecond)
-			m.PublishView(map[string]string{"e1": "draining"})
+			m.PublishView(map[string]lifecycle.State{"e1": lifecycle.Draining})
 			time.Sleep(2 * time.Second)
-			m.PublishView(map[string]string{"e1": "gone"})
+			m.PublishView(map[string]lifecycle.State{"e1": lifecycle.Gone})
 		})
 		by := places(t, m, all)
 		open, moves := report(m, 2)
