--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -87,7 +87,7 @@
 	idle := settings.Seconds(p.o.Affinity.IdleSeconds)
 	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.o.Affinity.MaxSessions,
 		Trace: func(what, key string) {
-			p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: "pin " + key})
+			p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: changetrace.SessionKind(key)})
 		}})
 }
 
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -62,9 +62,9 @@
 	case g.Blob != nil && g.Blob.Name == viewBlob:
 		s.Kind, s.Version = changetrace.KindView, g.Blob.Version
 	case g.Pin != nil:
-		s.Kind = "pin " + g.Pin.Key
+		s.Kind = changetrace.SessionKind(g.Pin.Key)
 	case g.Put != nil:
-		s.Kind, s.Version = "cell "+g.Put.Name, g.Put.Revision
+		s.Kind, s.Version = changetrace.CellKind(g.Put.Name), g.Put.Revision
 	default:
 		return
 	}
