--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -179,7 +179,7 @@
 	held := c.board.HoldsMasterLease()
 	known, _ := mailbox.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(q.Node) })
 	if !held {
-		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.masterAddr()}, nil
+		return &meshpb.SetStateResponse{Why: reasonNotMaster, MasterAddr: c.masterAddr()}, nil
 	}
 	if !known {
 		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
@@ -271,10 +271,10 @@
 // readList reads the platform's list while this node is the master. The time
 // between readings leaves most of drainS for the view's way to the nodes.
 func (c *coreNode) readList(ctx context.Context) {
-	pf := c.o.Platform.Cloud
+	pf := c.options.Platform.Cloud
 	r := discovery.New(discovery.Options{Address: pf.Address, RequestsPerSecond: pf.RequestsPerSecond, Log: c.log("discovery"),
 		HTTPClient: &http.Client{Timeout: time.Second, Transport: rpc.Transport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
-	period := min(max(settings.Seconds(c.o.Requirements.Bounds.DrainSeconds)/3, 300*time.Millisecond), 2*time.Second)
+	period := min(max(settings.Seconds(c.options.Requirements.Bounds.DrainSeconds)/3, 300*time.Millisecond), 2*time.Second)
 	back := 100 * time.Millisecond
 	duty := func() bool {
 		is, _ := mailbox.Call(c.master.Mailbox, c.master.IsMaster)
@@ -301,12 +301,17 @@
 	}
 }
 
-func hotOptions(h settings.HotKeys) hotkeys.Options {
+func hotKeyOptions(h settings.HotKeys) hotkeys.Options {
 	return hotkeys.Options{SlotShare: h.SlotShare, MaxKeys: h.MaxKeys, MaxWidth: h.MaxEndpoints, NarrowAfter: settings.Seconds(h.DecaySeconds)}
 }
 
+func registerCore(c *commandLine) {
+	command := c.app.Command(roleCore, "Keep nodes, endpoints, configuration, locks, numbers and keys.")
+	c.handle(command, func() error { return runRole(roleCore, &c.global, runCore) })
+}
+
 func runCore(p *process) error {
-	o := p.o
+	o := p.options
 	dk, err := wal.OpenDirectory(o.Self.DataDir)
 	if err != nil {
 		return err
@@ -329,7 +334,7 @@
 	c.master = clustercontroller.NewMaster(clustercontroller.Options{
 		ViewInterval: 250 * time.Millisecond, SendTimePerNode: 4 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond, PollLinger: 2 * time.Second, PollLingerPerNode: 36 * time.Millisecond, MaxPollLinger: 10 * time.Second,
 		PollGrace: 800 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2,
-		HotKeys:  hotOptions(o.HotKeys),
+		HotKeys:  hotKeyOptions(o.HotKeys),
 		SelfAddr: o.InternalAddr(), Now: p.now, Log: p.log("clustercontroller"), Trace: func(what string, epoch, version uint64) { p.trace(changetrace.KindView, what, epoch, version) },
 		HoldsLease: func() bool { return c.board.HoldsMasterLease() }, InContact: func(a string) bool { return c.board.InContact(a) }, ReadStored: c.bundle,
 	}, mailbox.New(), lines, c)
@@ -367,7 +372,7 @@
 	go cs.Serve(ctl)
 	go c.master.Mailbox.Run(tick, c.master.Tick)
 	go loop.Run(tick, c.board.Tick)
-	go p.reseed(func() bool { out, _ := mailbox.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
+	go p.reloadSeeds(func() bool { out, _ := mailbox.Call(loop, c.board.IsLearner); return out }, func(o settings.Options) {
 		loop.Post(func() { c.board.SetExtraSeeds(members(o)) })
 	})
 
@@ -377,7 +382,7 @@
 		go c.readList(rctx)
 	}
 
-	p.wait()
+	p.waitForStop()
 	p.log("core").Info("stopping core node")
 	api.Drain()
 	loop.Post(c.board.Leave)
--- a/cmd/corkcove/core_test.go
+++ b/cmd/corkcove/core_test.go
@@ -48,7 +48,7 @@
 		defer loop.Close()
 		book := &gatedBook{loop: loop}
 		lines := rpc.NewClients(&http.Client{})
-		c := &coreNode{process: &process{ring: logring.New(100, time.Second, nil), steps: changetrace.NewRing(100), t0: t0}, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
+		c := &coreNode{process: &process{ring: logring.New(100, time.Second, nil), traceRing: changetrace.NewRing(100), startedAt: t0}, loop: loop, svc: coordination.NewService(loop, shards), lines: lines}
 		c.master = clustercontroller.NewMaster(clustercontroller.Options{Now: now}, mailbox.New(), lines, c)
 		defer c.master.Mailbox.Close()
 		go c.master.Mailbox.Run(time.Hour, func() {})
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -20,10 +20,15 @@
 	nearOnes   = 24
 )
 
+func registerEdge(c *commandLine) {
+	command := c.app.Command(roleEdge, "Carry the traffic of clients to the endpoints that the platform lists.")
+	c.handle(command, func() error { return runRole(roleEdge, &c.global, runEdge) })
+}
+
 // runEdge is the gateway: the outbound chain in front of endpoints that it
 // dials itself.
 func runEdge(p *process) error {
-	o := p.o
+	o := p.options
 	var ls [3]net.Listener
 	for i, a := range []string{o.InternalAddr(), o.Network.Listen.Ingress, o.Network.Listen.Ready} {
 		l, err := net.Listen("tcp", a)
@@ -60,7 +65,7 @@
 		}
 	}()
 
-	p.wait()
+	p.waitForStop()
 	leaving.Store(true)
 	grace := settings.Seconds(bd.GraceSeconds)
 	proxy.Shutdown{Grace: grace, Linger: min(grace/2, 3*time.Second), Outbound: out}.Run()
--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -84,15 +84,15 @@
 
 func (p *process) newCords(lines *rpc.Clients, ag *nodeagent.Agent) *affinity.Sessions {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
-	idle := settings.Seconds(p.o.Affinity.IdleSeconds)
-	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.o.Affinity.MaxSessions,
+	idle := settings.Seconds(p.options.Affinity.IdleSeconds)
+	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.options.Affinity.MaxSessions,
 		Trace: func(what, key string) {
-			p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: "pin " + key})
+			p.traceRing.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: "pin " + key})
 		}})
 }
 
 func (t teller) Sessions(_ context.Context, q *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
-	r := &meshpb.SessionsResponse{Node: t.o.Self.NodeName}
+	r := &meshpb.SessionsResponse{Node: t.options.Self.NodeName}
 	if t.cords != nil {
 		r.Sessions, r.Moves, r.Dropped = t.cords.Report(q.Since)
 		r.Config = t.config()
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -79,8 +79,13 @@
 	go s.Serve(f.cur)
 }
 
+func registerSidecar(c *commandLine) {
+	command := c.app.Command(roleSidecar, "Carry the traffic of the endpoint on this machine.")
+	c.handle(command, func() error { return runRole(roleSidecar, &c.global, runSidecar) })
+}
+
 func runSidecar(p *process) error {
-	o := p.o
+	o := p.options
 	var ls [5]net.Listener
 	for i, a := range []string{o.InternalAddr(), o.Network.Listen.Inbound, o.Network.Listen.Outbound, o.Network.Listen.Ready, o.Network.Listen.Control} {
 		l, err := net.Listen("tcp", a)
@@ -135,7 +140,7 @@
 		}
 	}()
 
-	p.wait()
+	p.waitForStop()
 	leaving.Store(true)
 	grace := settings.Seconds(bd.GraceSeconds)
 	proxy.Shutdown{Grace: grace, Linger: min(grace/2, 2500*time.Millisecond), Outbound: out, Inbound: in, StopInbound: func() {
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -32,7 +32,7 @@
 // newStation starts the node's side of the control; n tells what only this
 // role says of itself.
 func (p *process) newStation(pools *loadbalancer.Balancer, n *meshpb.NodeState) station {
-	o, bd := p.o, p.o.Requirements.Bounds
+	o, bd := p.options, p.options.Requirements.Bounds
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	ag := &nodeagent.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
 		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
@@ -43,7 +43,7 @@
 		pools.ApplyView(v)
 		tickets.RecordView(v)
 	}
-	go p.reseed(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.SetSeeds(o.SeedInternalAddrs()) })
+	go p.reloadSeeds(func() bool { return ag.View() == nil }, func(o settings.Options) { ag.SetSeeds(o.SeedInternalAddrs()) })
 	pools.SlowStart(settings.Seconds(o.HotKeys.SlowStartSeconds))
 	return station{p, pools, ag, p.newCords(lines, ag), tickets,
 		retry.NewBudget(bd.RetryRatio, bd.RetrySlack, settings.Seconds(bd.RetryWindowSeconds), pools.NodeCount, p.now), hotkeys.NewMeter(time.Now)}
--- a/cmd/corkcove/tracing.go
+++ b/cmd/corkcove/tracing.go
@@ -26,18 +26,18 @@
 }
 
 func (t teller) Trace(_ context.Context, q *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
-	r := &meshpb.TraceResponse{Node: t.o.Self.NodeName, Role: t.role}
+	r := &meshpb.TraceResponse{Node: t.options.Self.NodeName, Role: t.role}
 	c, err := changetrace.ParseChange(q.Subject)
 	if err != nil {
 		return nil, err
 	}
-	r.Lines = t.steps.Find(c)
+	r.Lines = t.traceRing.Find(c)
 	r.Known = len(r.Lines) > 0
 	return r, nil
 }
 
 func (t teller) Flows(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
-	r := &meshpb.FlowsResponse{Node: t.o.Self.NodeName, Zone: t.o.Self.ZoneName, RemoteWeight: t.far, BulkWeight: t.heavy}
+	r := &meshpb.FlowsResponse{Node: t.options.Self.NodeName, Zone: t.options.Self.ZoneName, RemoteWeight: t.far, BulkWeight: t.heavy}
 	if t.flows != nil {
 		f, span := t.flows.Report()
 		r.Flows, r.WindowS = f, span.Seconds()
@@ -45,11 +45,6 @@
 	return r, nil
 }
 
-func (p *process) trace(kind, what string, epoch, version uint64) {
-	p.steps.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: kind, Version: version, Epoch: epoch})
-	p.log("trace").Info("change progressed", "kind", kind, "version", version, "step", what, "epoch", epoch)
-}
-
 func (c *coreNode) onStep(what string, shard int, epoch, version uint64, g *meshpb.Change) {
 	s := changetrace.Event{Time: time.Now(), Action: what, Shard: shard, Epoch: epoch, ShardVersion: version}
 	switch {
@@ -68,11 +63,11 @@
 	default:
 		return
 	}
-	c.steps.Add(s)
+	c.traceRing.Add(s)
 }
 
 func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
-	r := &meshpb.StatusResponse{Node: c.o.Self.NodeName}
+	r := &meshpb.StatusResponse{Node: c.options.Self.NodeName}
 	mailbox.Call(c.loop, func() bool {
 		r.Membership, r.Shards, r.DiskSound, r.Member = c.board.Membership(), c.board.ShardStatuses(), c.board.DiskHealthy(), !c.board.IsLearner()
 		if m, ok := c.board.Owner(0); ok {
--- /dev/null
+++ b/cmd/corkcove/version.go
@@ -0,0 +1,14 @@
+package main
+
+import (
+	"fmt"
+	"runtime"
+)
+
+func registerVersion(c *commandLine) {
+	command := c.app.Command("version", "Print the version.")
+	c.handle(command, func() error {
+		fmt.Println("corkcove", version, runtime.Version())
+		return nil
+	})
+}
