--- a/internal/rpc/clients_test.go
+++ b/internal/rpc/clients_test.go
@@ -23,17 +23,17 @@
 	ok, err := proto.Marshal(&meshpb.ReplicateResponse{Membership: 1})
 	qt.Assert(t, err, qt.IsNil)
 	good := func(s net.Conn) {
-		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 2\r\n\r\n"+string(ok))
+		_, _ = io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 2\r\n\r\n"+string(ok))
 	}
 	qt.Assert(t, ok, qt.HasLen, 2)
 	for name, then := range map[string]func(s net.Conn){
 		"reset":   func(net.Conn) {},
-		"silence": func(s net.Conn) { io.Copy(io.Discard, s) },
+		"silence": func(s net.Conn) { _, _ = io.Copy(io.Discard, s) },
 		"half a body": func(s net.Conn) {
-			io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 9\r\n\r\nhal")
+			_, _ = io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 9\r\n\r\nhal")
 		},
 		"sent elsewhere": func(s net.Conn) {
-			io.WriteString(s, "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://b:1/x\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(s, "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://b:1/x\r\nContent-Length: 0\r\n\r\n")
 		},
 	} {
 		for _, mk := range []func(wait, silence, idle time.Duration, perHost int) *http.Transport{Transport, Watched} {
@@ -43,14 +43,14 @@
 				line.DialContext = func(context.Context, string, string) (net.Conn, error) {
 					c, s := net.Pipe()
 					go func() {
-						defer s.Close()
+						defer func() { _ = s.Close() }()
 						br := bufio.NewReader(s)
 						for n := 0; ; n++ {
 							r, err := http.ReadRequest(br)
 							if err != nil {
 								return
 							}
-							io.Copy(io.Discard, r.Body)
+							_, _ = io.Copy(io.Discard, r.Body)
 							calls.Add(1)
 							if n > 0 {
 								then(s)
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -36,5 +36,7 @@
 		}
 		log.Append(record, done)
 	}
-	<-results
+	if err := <-results; err != nil {
+		b.Fatal(err)
+	}
 }
