--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -204,3 +204,40 @@
 	}
 	qt.Check(t, count > 50, qt.IsTrue, qt.Commentf("only %d paths found", count))
 }
+
+// packageFolders are the folders under internal that hold packages, by their
+// paths below it.
+func packageFolders(t *testing.T) map[string]bool {
+	t.Helper()
+	out := map[string]bool{}
+	eachFile(t, func(path string, _ *ast.File) {
+		folder, err := filepath.Rel(filepath.Join(root, "internal"), filepath.Dir(path))
+		qt.Assert(t, err, qt.IsNil)
+		if !strings.HasPrefix(folder, "..") {
+			out[folder] = true
+		}
+	})
+	return out
+}
+
+func TestDesignPageListsEachPackageOnce(t *testing.T) {
+	_, table, found := strings.Cut(pages(t)["docs/design.md"], "\n## The packages\n")
+	qt.Assert(t, found, qt.IsTrue)
+	table, _, _ = strings.Cut(table, "\n## ")
+	folders := packageFolders(t)
+	listed := map[string]bool{}
+	for line := range strings.Lines(table) {
+		cell, _, _ := strings.Cut(strings.TrimPrefix(line, "| "), " |")
+		if !strings.HasPrefix(line, "| `") {
+			continue
+		}
+		for _, m := range quoted.FindAllStringSubmatch(cell, -1) {
+			qt.Check(t, folders[m[1]], qt.IsTrue, qt.Commentf("the table lists %s", m[1]))
+			qt.Check(t, listed[m[1]], qt.IsFalse, qt.Commentf("the table lists %s twice", m[1]))
+			listed[m[1]] = true
+		}
+	}
+	for folder := range folders {
+		qt.Check(t, listed[folder], qt.IsTrue, qt.Commentf("the table lacks %s", folder))
+	}
+}
