--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -32,6 +32,9 @@
 func (m *Master) BecomeMaster(epoch uint64, stored *meshpb.View, userStates map[string]string, config *meshpb.Config, membership *meshpb.Membership) {
 	now := m.options.Now()
 	if stored.GetVersion() > m.views.current.Version {
+		if stored.Epoch != m.leadership.epoch {
+			m.forgetNodesWithout(stored)
+		}
 		m.views.current = stored
 	}
 	m.options.Log.Info("became master", "epoch", epoch, "view", m.views.current.Version, "version", config.GetVersion())
@@ -49,6 +52,26 @@
 	m.SetConfig(config)
 }
 
+// forgetNodesWithout removes the nodes that a view of another master lacks: most
+// have ended since this member led last, and polls to them would hold up those to
+// the others. A node that runs and was not in that view registers by itself, once
+// that master's poll ends.
+func (m *Master) forgetNodesWithout(v *meshpb.View) {
+	named := make(map[string]bool, len(v.NodeAddresses)+len(v.Endpoints))
+	for _, a := range v.NodeAddresses {
+		name, _ := splitNodeAddress(a)
+		named[name] = true
+	}
+	for _, e := range v.Endpoints {
+		named[e.Node] = true
+	}
+	for name := range m.histories {
+		if !named[name] {
+			delete(m.histories, name)
+		}
+	}
+}
+
 // restoreEndpoints takes the endpoints of the last view as the nodes' state until
 // these have answered a poll.
 func (m *Master) restoreEndpoints(v *meshpb.View, now time.Duration) {
--- a/internal/clustercontroller/leadership_test.go
+++ b/internal/clustercontroller/leadership_test.go
@@ -57,6 +57,36 @@
 	})
 }
 
+// A master that leads again after another one knows from its first time nodes that
+// have ended since. Its relays are not to wait for them: they would hold up the
+// configuration of the nodes that run.
+func TestReelectedMasterForgetsNodesThatTheLastViewLacks(t *testing.T) {
+	const nodes, ended = 60, 24
+	synctest.Test(t, func(t *testing.T) {
+		cluster, members, membership := newClusterWithRelays(nodes, 2)
+		defer cluster.stopAfterCalls()
+		cluster.becomeMaster(1, nil, packedConfigOf(3, "c"), membership)
+		cluster.registerAll()
+		advance(2 * time.Second)
+		cluster.run(cluster.master.StepDown)
+		for _, n := range cluster.nodes[:ended] {
+			n.setPartitioned(true)
+		}
+		for _, m := range members {
+			m.targetCount = 0
+		}
+		stored := storedViewOf(nodes)
+		stored.Epoch, stored.Version = 2, cluster.store.view.Version+1
+		stored.NodeAddresses = stored.NodeAddresses[ended:]
+		cluster.becomeMaster(3, stored, packedConfigOf(5, "d"), membership)
+		advance(200 * time.Millisecond)
+		for i, n := range cluster.nodes[ended:] {
+			qt.Check(t, n.current().ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", ended+i))
+		}
+		qt.Check(t, cluster.master.KnowsNode("n0"), qt.IsFalse)
+	})
+}
+
 func TestMasterWithoutLeaseReleasesItsNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(2)
