--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -44,6 +44,17 @@
 	c.replicatedUnder[s.id] = max(c.replicatedUnder[s.id], membership)
 }
 
+// admits tells whether a call may have an effect: it is for this process, and its
+// sender is in the membership that this process goes by, and goes by it too. To
+// others it offers the membership.
+func (r *Replica) admits(header *meshpb.SenderHeader, addressed bool) bool {
+	if addressed && header.Membership == r.membership.Version && contains(r.membership, header.From.Id) {
+		return true
+	}
+	r.offerMembership(header.From, header.Membership)
+	return false
+}
+
 // offerMembership sends this member's membership to one that goes by an older
 // one.
 func (r *Replica) offerMembership(m *meshpb.Member, version uint64) {
--- a/internal/replication/scenario_run_test.go
+++ b/internal/replication/scenario_run_test.go
@@ -38,12 +38,12 @@
 	begin := run.now
 	run.workload.start(begin + time.Hour)
 	run.history.start()
-	for i, steps := range played.Tracks {
+	for _, steps := range played.Tracks {
 		if played.Members == 1 {
 			steps = survivableAlone(steps)
 		}
 		run.unfinishedTracks++
-		run.runTrack(i, steps)
+		run.runTrack(steps)
 	}
 	for _, at := range played.KillAllAt {
 		run.schedule(at, func() {
@@ -191,19 +191,21 @@
 }
 
 // runTrack runs the steps one after the other.
-func (r *scenarioRun) runTrack(track int, steps []faultStep) {
+func (r *scenarioRun) runTrack(steps []faultStep) {
 	if len(steps) == 0 {
 		r.unfinishedTracks--
 		return
 	}
-	continueAt := func(free time.Duration) { r.schedule(max(free-r.now, 0), func() { r.runTrack(track, steps[1:]) }) }
 	step := steps[0]
 	r.schedule(step.Wait, func() {
 		if r.now < r.caughtUpAt {
 			// All were killed: each counts as lost until it has caught up.
-			r.schedule(r.caughtUpAt-r.now, func() { r.runTrack(track, steps) })
+			r.schedule(r.caughtUpAt-r.now, func() { r.runTrack(steps) })
 			return
 		}
+		continueAt := func(at time.Duration) {
+			r.schedule(max(at-r.now, 0), func() { r.runTrack(steps[1:]) })
+		}
 		target := r.target(step)
 		if target == nil {
 			continueAt(r.now)
@@ -211,85 +213,125 @@
 		}
 		r.faulty[target.address] = true
 		r.event("%v %s for %v", step.Fault, target.address, step.Duration)
-		end := func(at time.Duration, f func()) {
-			r.schedule(at, func() {
-				r.event("%v %s is over", step.Fault, target.address)
-				f()
-				r.schedule(catchUpTime, func() { delete(r.faulty, target.address) })
-				continueAt(r.now + catchUpTime)
-			})
-		}
-		restartIfDown := func() {
-			if !target.running {
-				target.start()
-			}
+		f := &runningFault{scenarioRun: r, step: step, target: target, continueAt: continueAt}
+		f.begin()
+	})
+}
+
+// runningFault is a step that is being run.
+type runningFault struct {
+	*scenarioRun
+	step   faultStep
+	target *simNode
+	// continueAt has the track go on at that time.
+	continueAt func(at time.Duration)
+}
+
+func (f *runningFault) begin() {
+	switch f.step.Fault {
+	case crash, wipe, crashAfterAck:
+		f.crash()
+	case partition, receiveNothing, sendNothing, connectionResets:
+		f.disconnect()
+	case partialPartition:
+		f.disconnectSome()
+	case freeze:
+		f.target.freeze()
+		f.endAfter(f.step.Duration, f.target.unfreeze)
+	case slowDisk, stuckDisk, fullDisk:
+		f.breakDisk()
+	case starved:
+		f.target.tickDelay = 200 * time.Millisecond
+		f.endAfter(f.step.Duration, func() { f.target.tickDelay = 0 })
+	case restart:
+		f.terminate(f.target, func() { f.endAfter(200*time.Millisecond+f.step.Gap, f.restartIfDown) })
+	case replace, plannedReplacement:
+		f.replace()
+	}
+}
+
+// endAfter has end mend the fault after d; the track goes on once the node has had
+// the time to catch up.
+func (f *runningFault) endAfter(d time.Duration, end func()) {
+	f.schedule(d, func() {
+		f.event("%v %s is over", f.step.Fault, f.target.address)
+		end()
+		f.schedule(catchUpTime, func() { delete(f.faulty, f.target.address) })
+		f.continueAt(f.now + catchUpTime)
+	})
+}
+
+func (f *runningFault) restartIfDown() {
+	if !f.target.running {
+		f.target.start()
+	}
+}
+
+func (f *runningFault) crash() {
+	f.target.kill()
+	if f.step.Fault == wipe || f.step.Fault == crashAfterAck && f.step.Target%2 == 0 {
+		f.target.records = nil
+	}
+	f.endAfter(f.step.Duration, f.restartIfDown)
+}
+
+func (f *runningFault) disconnect() {
+	address := f.target.address
+	f.notSending[address], f.notReceiving[address] = f.step.Fault != receiveNothing, f.step.Fault != sendNothing
+	duration := f.step.Duration + f.step.Gap*6
+	if f.step.Fault == connectionResets {
+		duration = 5 * time.Millisecond
+	}
+	f.endAfter(duration, func() { f.notSending[address], f.notReceiving[address] = false, false })
+}
+
+// disconnectSome cuts some links of the node, the rest stay.
+func (f *runningFault) disconnectSome() {
+	address := f.target.address
+	var others []string
+	for i, other := range f.addresses {
+		if other != address && (i+f.step.Target)%2 == 0 {
+			others = append(others, other)
 		}
-		switch step.Fault {
-		case crash:
-			target.kill()
-			end(step.Duration, restartIfDown)
-		case wipe:
-			target.kill()
-			target.records = nil
-			end(step.Duration, restartIfDown)
-		case partition, receiveNothing, sendNothing, connectionResets:
-			r.notSending[target.address], r.notReceiving[target.address] = step.Fault != receiveNothing, step.Fault != sendNothing
-			duration := step.Duration + step.Gap*6
-			if step.Fault == connectionResets {
-				duration = 5 * time.Millisecond
-			}
-			end(duration, func() { r.notSending[target.address], r.notReceiving[target.address] = false, false })
-		case partialPartition:
-			// Some links of one node are cut, the rest stay.
-			var others []string
-			for i, b := range r.addresses {
-				if b != target.address && (i+step.Target)%2 == 0 {
-					others = append(others, b)
-				}
-			}
-			setPartitioned := func(on bool) {
-				for _, b := range others {
-					r.partitioned[[2]string{target.address, b}], r.partitioned[[2]string{b, target.address}] = on, on
-				}
-			}
-			setPartitioned(true)
-			end(step.Duration, func() { setPartitioned(false) })
-		case freeze:
-			target.freeze()
-			end(step.Duration, target.unfreeze)
-		case slowDisk:
-			target.syncDelay *= 30
-			end(step.Duration, func() { target.syncDelay = r.syncDelay })
-		case stuckDisk:
-			target.diskStuck = true
-			end(step.Duration, func() { target.diskStuck = false })
-		case fullDisk:
-			target.diskFull = true
-			end(step.Duration, func() { target.diskFull = false })
-		case starved:
-			target.tickDelay = 200 * time.Millisecond
-			end(step.Duration, func() { target.tickDelay = 0 })
-		case restart:
-			r.terminate(target, func() { end(200*time.Millisecond+step.Gap, restartIfDown) })
-		case crashAfterAck:
-			target.kill()
-			if step.Target%2 == 0 {
-				target.records = nil
-			}
-			end(step.Duration, restartIfDown)
-		case replace:
-			target.kill()
-			r.schedule(step.Gap, func() {
-				r.addSuccessor()
-				continueAt(r.now + catchUpTime)
-			})
-		case plannedReplacement:
-			r.addSuccessor()
-			joinedAt := r.now + catchUpTime
-			r.schedule(2*step.Gap, func() {
-				r.terminate(target, func() { continueAt(max(joinedAt, r.now)) })
-			})
+	}
+	setPartitioned := func(on bool) {
+		for _, other := range others {
+			f.partitioned[[2]string{address, other}], f.partitioned[[2]string{other, address}] = on, on
 		}
+	}
+	setPartitioned(true)
+	f.endAfter(f.step.Duration, func() { setPartitioned(false) })
+}
+
+func (f *runningFault) breakDisk() {
+	switch f.step.Fault {
+	case slowDisk:
+		f.target.syncDelay *= 30
+		f.endAfter(f.step.Duration, func() { f.target.syncDelay = f.syncDelay })
+	case stuckDisk:
+		f.target.diskStuck = true
+		f.endAfter(f.step.Duration, func() { f.target.diskStuck = false })
+	case fullDisk:
+		f.target.diskFull = true
+		f.endAfter(f.step.Duration, func() { f.target.diskFull = false })
+	}
+}
+
+// replace puts a new node in the place of one that is lost, or that leaves once
+// the new one is there.
+func (f *runningFault) replace() {
+	if f.step.Fault == replace {
+		f.target.kill()
+		f.schedule(f.step.Gap, func() {
+			f.addSuccessor()
+			f.continueAt(f.now + catchUpTime)
+		})
+		return
+	}
+	f.addSuccessor()
+	joinedAt := f.now + catchUpTime
+	f.schedule(2*f.step.Gap, func() {
+		f.terminate(f.target, func() { f.continueAt(max(joinedAt, f.now)) })
 	})
 }
 
--- a/internal/replication/voting.go
+++ b/internal/replication/voting.go
@@ -7,8 +7,7 @@
 func (r *Replica) HandleRequestVotes(request *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
 	header := request.Header
 	response := &meshpb.RequestVotesResponse{Membership: r.membership.Version, Member: r.isMember() && header.To == r.self.Id}
-	if !response.Member || !r.sharesMembership(header) {
-		r.offerMembership(header.From, header.Membership)
+	if !r.admits(header, response.Member) {
 		reply(response)
 		return
 	}
@@ -29,12 +28,6 @@
 	writes.done(nil)
 }
 
-// sharesMembership tells that the sender of a call is in the membership that this
-// process goes by, and goes by it too.
-func (r *Replica) sharesMembership(header *meshpb.SenderHeader) bool {
-	return header.Membership == r.membership.Version && contains(r.membership, header.From.Id)
-}
-
 // voteOn decides upon one vote, or pre-vote, that a candidate asks for.
 func (r *Replica) voteOn(from string, asked *meshpb.VoteRequest, writes *writeGroup) *meshpb.VoteReply {
 	s := r.shards[asked.Shard]
