--- a/internal/replication/election_test.go
+++ b/internal/replication/election_test.go
@@ -12,7 +12,11 @@
 func (c *simCluster) requestVote(to, from string, shard uint32, epoch uint64) bool {
 	t, f := c.nodes[to].replica, c.nodes[from].replica.Self()
 	ok := false
-	t.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: &meshpb.SenderHeader{From: f, To: t.Self().Id, Membership: t.Membership().Version}, Votes: []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}}}, func(r *meshpb.RequestVotesResponse) {
+	request := &meshpb.RequestVotesRequest{
+		Header: &meshpb.SenderHeader{From: f, To: t.Self().Id, Membership: t.Membership().Version},
+		Votes:  []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}},
+	}
+	t.HandleRequestVotes(request, func(r *meshpb.RequestVotesResponse) {
 		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Granted
 	})
 	c.runUntil(c.now + 10*time.Millisecond)
@@ -110,7 +114,11 @@
 		run.nodes["m0"].kill()
 		for _, address := range []string{"m1", "m2"} {
 			replica := run.nodes[address].replica
-			replica.HandleTransferOwnership(&meshpb.TransferOwnershipRequest{Header: &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: replica.Self().Id, Membership: 1}, Watermarks: []*meshpb.Watermark{{Epoch: epoch}}, Successor: replica.Self().Id})
+			replica.HandleTransferOwnership(&meshpb.TransferOwnershipRequest{
+				Header:     &meshpb.SenderHeader{From: &meshpb.Member{Id: "founder-m0", Addr: "m0"}, To: replica.Self().Id, Membership: 1},
+				Watermarks: []*meshpb.Watermark{{Epoch: epoch}},
+				Successor:  replica.Self().Id,
+			})
 		}
 		run.runUntil(run.now + 4*time.Second)
 		var epochs []uint64
--- a/internal/replication/linearizability_test.go
+++ b/internal/replication/linearizability_test.go
@@ -115,7 +115,13 @@
 	var cell coordination.Cell
 	run.workload.call(2, func(t *coordination.Table, _ time.Duration) *meshpb.Change { cell = t.Get(key).Result; return nil }, func(err error) {
 		if err == nil {
-			h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: cellInput{key: key}, Call: at, Output: cellOutput{cell.Payload, cell.Revision, true}, Return: int64(run.now)})
+			h.operations = append(h.operations, porcupine.Operation{
+				ClientId: len(h.operations),
+				Input:    cellInput{key: key},
+				Call:     at,
+				Output:   cellOutput{cell.Payload, cell.Revision, true},
+				Return:   int64(run.now),
+			})
 		}
 	})
 }
--- a/internal/replication/membership_test.go
+++ b/internal/replication/membership_test.go
@@ -95,8 +95,14 @@
 	for _, version := range []uint64{0, follower.Membership().Version - 1, follower.Membership().Version + 1} {
 		header := &meshpb.SenderHeader{From: from, To: follower.Self().Id, Membership: version}
 		acks, votes := 0, 0
-		follower.HandleReplicate(&meshpb.ReplicateRequest{Header: header, EpochChanges: []*meshpb.EpochChange{{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version}}}, func(response *meshpb.ReplicateResponse) { acks += len(response.GetAcks()) })
-		follower.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: header, Votes: []*meshpb.VoteRequest{{Epoch: status.Epoch + 640}}}, func(response *meshpb.RequestVotesResponse) { votes += len(response.GetReplies()) })
+		change := &meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version}
+		follower.HandleReplicate(&meshpb.ReplicateRequest{Header: header, EpochChanges: []*meshpb.EpochChange{change}}, func(response *meshpb.ReplicateResponse) {
+			acks += len(response.GetAcks())
+		})
+		vote := &meshpb.VoteRequest{Epoch: status.Epoch + 640}
+		follower.HandleRequestVotes(&meshpb.RequestVotesRequest{Header: header, Votes: []*meshpb.VoteRequest{vote}}, func(response *meshpb.RequestVotesResponse) {
+			votes += len(response.GetReplies())
+		})
 		renewed := follower.HandleRenewLeases(&meshpb.RenewLeasesRequest{Header: header, Watermarks: []*meshpb.Watermark{{Epoch: status.Epoch, Version: status.Version}}})
 		cluster.runUntil(cluster.now + 20*time.Millisecond)
 		qt.Check(t, acks+votes+len(renewed.Granted), qt.Equals, 0, qt.Commentf("version %d", version))
--- a/internal/replication/replicate_test.go
+++ b/internal/replication/replicate_test.go
@@ -20,7 +20,11 @@
 	status := follower.ShardStatuses()[0]
 	replicate := func(change *meshpb.EpochChange) *meshpb.ReplicateAck {
 		var ack *meshpb.ReplicateAck
-		follower.HandleReplicate(&meshpb.ReplicateRequest{Header: &meshpb.SenderHeader{From: cluster.nodes["m0"].replica.Self(), To: follower.Self().Id, Membership: follower.Membership().Version}, EpochChanges: []*meshpb.EpochChange{change}}, func(response *meshpb.ReplicateResponse) {
+		request := &meshpb.ReplicateRequest{
+			Header:       &meshpb.SenderHeader{From: cluster.nodes["m0"].replica.Self(), To: follower.Self().Id, Membership: follower.Membership().Version},
+			EpochChanges: []*meshpb.EpochChange{change},
+		}
+		follower.HandleReplicate(request, func(response *meshpb.ReplicateResponse) {
 			if len(response.Acks) == 1 {
 				ack = response.Acks[0]
 			}
--- a/internal/replication/sim_cluster_test.go
+++ b/internal/replication/sim_cluster_test.go
@@ -84,7 +84,16 @@
 const simShards = 4
 
 func newSimCluster(t testingT, seed int64, members int) *simCluster {
-	c := &simCluster{t: t, rng: rand.New(rand.NewSource(seed)), nodes: map[string]*simNode{}, partitioned: map[[2]string]bool{}, notSending: map[string]bool{}, notReceiving: map[string]bool{}, initialSize: members, syncDelay: 2 * time.Millisecond}
+	c := &simCluster{
+		t:            t,
+		rng:          rand.New(rand.NewSource(seed)),
+		nodes:        map[string]*simNode{},
+		partitioned:  map[[2]string]bool{},
+		notSending:   map[string]bool{},
+		notReceiving: map[string]bool{},
+		initialSize:  members,
+		syncDelay:    2 * time.Millisecond,
+	}
 	for i := 0; i < members; i++ {
 		c.addresses = append(c.addresses, fmt.Sprintf("m%d", i))
 	}
