--- a/internal/discovery/row.go
+++ b/internal/discovery/row.go
@@ -33,28 +33,37 @@
 	state    string
 }
 
-// columnDecoders read the values of a row, by column.
-var columnDecoders = map[string]func(*jx.Decoder, *listedEndpoint) error{
-	columnID:              func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.endpoint.Id) },
-	columnService:         func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.endpoint.Service) },
-	columnAddress:         func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.endpoint.Addr) },
-	columnZone:            func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.endpoint.Zone) },
-	columnSoftwareVersion: func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.endpoint.SoftwareVersion) },
-	columnState:           func(d *jx.Decoder, l *listedEndpoint) error { return decodeString(d, &l.state) },
-	columnSlots: func(d *jx.Decoder, l *listedEndpoint) error {
+// decodeColumn reads one value; null counts as left out.
+func (l *listedEndpoint) decodeColumn(d *jx.Decoder, column string) error {
+	if d.Next() == jx.Null {
+		return d.Null()
+	}
+	switch column {
+	case columnID:
+		return decodeString(d, &l.endpoint.Id)
+	case columnService:
+		return decodeString(d, &l.endpoint.Service)
+	case columnAddress:
+		return decodeString(d, &l.endpoint.Addr)
+	case columnZone:
+		return decodeString(d, &l.endpoint.Zone)
+	case columnSoftwareVersion:
+		return decodeString(d, &l.endpoint.SoftwareVersion)
+	case columnState:
+		return decodeString(d, &l.state)
+	case columnSlots:
 		slots, err := decodeNumber(d, columnSlots, 1, maxSlots)
 		l.endpoint.Slots = uint32(slots)
 		return err
-	},
-	columnWarmup: func(d *jx.Decoder, l *listedEndpoint) error {
+	case columnWarmup:
 		seconds, err := decodeNumber(d, columnWarmup, 0, maxWarmupSeconds)
 		l.endpoint.WarmupMs = uint64(seconds * 1000)
 		return err
-	},
+	}
+	return d.Skip()
 }
 
-// parseRow reads one row; the error says why it names no usable endpoint. null
-// counts as left out.
+// parseRow reads one row; the error says why it names no usable endpoint.
 func parseRow(columns []string, row jx.Raw) (*meshpb.Endpoint, error) {
 	listed := listedEndpoint{endpoint: &meshpb.Endpoint{Healthy: true}}
 	index := 0
@@ -64,11 +73,7 @@
 			column = columns[index]
 		}
 		index++
-		decode, known := columnDecoders[column]
-		if !known || d.Next() == jx.Null {
-			return d.Skip()
-		}
-		return decode(d, &listed)
+		return listed.decodeColumn(d, column)
 	})
 	if err != nil {
 		return nil, err
--- a/internal/routeconfig/decode_fields.go
+++ b/internal/routeconfig/decode_fields.go
@@ -15,56 +15,64 @@
 	maxInteger = 1 << 31
 )
 
-// fieldDecoders reads the fields of a T, by key.
-type fieldDecoders[T any] map[string]func(*jx.Decoder, *T) error
-
-// decode reads an object. Fields that it does not know are skipped, and null
-// counts as left out.
-func (fields fieldDecoders[T]) decode(d *jx.Decoder, to *T) error {
+// decodeFields reads an object. null counts as left out.
+func decodeFields(d *jx.Decoder, decodeField func(d *jx.Decoder, key string) error) error {
 	return d.Obj(func(d *jx.Decoder, key string) error {
-		decodeField, known := fields[key]
-		if !known || d.Next() == jx.Null {
-			return inField(key, d.Skip())
+		if d.Next() == jx.Null {
+			return inField(key, d.Null())
 		}
-		return inField(key, decodeField(d, to))
+		return inField(key, decodeField(d, key))
 	})
 }
 
-var routeFields = fieldDecoders[routeSpecification]{
-	keyHost:          func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.route.Host) },
-	keyPathPrefix:    func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.route.Prefix) },
-	keyKind:          func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.kind) },
-	keyTimeout:       func(d *jx.Decoder, r *routeSpecification) error { return decodeSeconds(d, &r.route.Timeout) },
-	keyLatencyTarget: func(d *jx.Decoder, r *routeSpecification) error { return decodeSeconds(d, &r.route.LatencyTarget) },
-	keyPriority:      func(d *jx.Decoder, r *routeSpecification) error { return decodeInteger(d, &r.route.Priority) },
-	keyMaxAttempts:   func(d *jx.Decoder, r *routeSpecification) error { return decodeInteger(d, &r.route.MaxAttempts) },
-	keyService:       func(d *jx.Decoder, r *routeSpecification) error { return decodeString(d, &r.service) },
-	keySplit:         func(d *jx.Decoder, r *routeSpecification) error { return decodeSplit(d, &r.route.Split) },
-	keyPolicy:        func(d *jx.Decoder, r *routeSpecification) error { return decodeText(d, &r.route.Policy, CompilePolicy) },
-	keySessionKey: func(d *jx.Decoder, r *routeSpecification) error {
-		return decodeText(d, &r.route.SessionKey, ParseSessionKeySource)
-	},
-	keyHotKey: func(d *jx.Decoder, r *routeSpecification) error {
-		return decodeText(d, &r.route.HotKey, ParseHotKeySource)
-	},
-}
-
-// routeSpecification is a route and those of its fields that say the same in
-// another form.
-type routeSpecification struct {
-	route *Route
-	kind  string
-	// service is a split of one.
+// routeText holds the fields of a route that are read as text and completed
+// when all are known.
+type routeText struct {
+	kind string
+	// service stands for a split of one.
 	service string
 }
 
 func decodeRoute(d *jx.Decoder, route *Route) error {
 	route.MaxAttempts = 1
-	specification := routeSpecification{route: route}
-	if err := routeFields.decode(d, &specification); err != nil {
+	var text routeText
+	err := decodeFields(d, func(d *jx.Decoder, key string) error {
+		return decodeRouteField(d, key, route, &text)
+	})
+	if err != nil {
 		return err
 	}
-	return route.complete(specification.kind, specification.service)
+	return route.complete(text.kind, text.service)
+}
+
+func decodeRouteField(d *jx.Decoder, key string, route *Route, text *routeText) error {
+	switch key {
+	case keyHost:
+		return decodeString(d, &route.Host)
+	case keyPathPrefix:
+		return decodeString(d, &route.Prefix)
+	case keyKind:
+		return decodeString(d, &text.kind)
+	case keyTimeout:
+		return decodeSeconds(d, &route.Timeout)
+	case keyLatencyTarget:
+		return decodeSeconds(d, &route.LatencyTarget)
+	case keyPriority:
+		return decodeInteger(d, &route.Priority)
+	case keyMaxAttempts:
+		return decodeInteger(d, &route.MaxAttempts)
+	case keyService:
+		return decodeString(d, &text.service)
+	case keySplit:
+		return decodeSplit(d, &route.Split)
+	case keyPolicy:
+		return decodeText(d, &route.Policy, CompilePolicy)
+	case keySessionKey:
+		return decodeText(d, &route.SessionKey, ParseSessionKeySource)
+	case keyHotKey:
+		return decodeText(d, &route.HotKey, ParseHotKeySource)
+	}
+	return d.Skip()
 }
 
 func decodeSplit(d *jx.Decoder, split *[]WeightedService) error {
@@ -94,28 +102,38 @@
 	})
 }
 
-var serviceFields = fieldDecoders[Service]{
-	keyHealthCheckPath: func(d *jx.Decoder, s *Service) error { return decodeString(d, &s.HealthCheckPath) },
-	keyMaxConnections:  func(d *jx.Decoder, s *Service) error { return decodeInteger(d, &s.MaxConnections) },
-	keyProtocol:        func(d *jx.Decoder, s *Service) error { return decodeString(d, &s.Protocol) },
-	keyTLS: func(d *jx.Decoder, s *Service) (err error) {
-		s.TLS, err = d.Bool()
-		return err
-	},
-}
-
-func decodeService(d *jx.Decoder, service *Service) error { return serviceFields.decode(d, service) }
-
-var limitFields = fieldDecoders[Limits]{
-	keyMaxHeaderBytes: func(d *jx.Decoder, l *Limits) error { return decodeInteger(d, &l.MaxHeaderBytes) },
-	keyMaxBodyBytes:   func(d *jx.Decoder, l *Limits) error { return decodeBytes(d, &l.MaxBodyBytes) },
-	keyHeaderTimeout:  func(d *jx.Decoder, l *Limits) error { return decodeSeconds(d, &l.HeaderTimeout) },
-	keyIdleTimeout:    func(d *jx.Decoder, l *Limits) error { return decodeSeconds(d, &l.IdleTimeout) },
+func decodeService(d *jx.Decoder, service *Service) error {
+	return decodeFields(d, func(d *jx.Decoder, key string) (err error) {
+		switch key {
+		case keyHealthCheckPath:
+			return decodeString(d, &service.HealthCheckPath)
+		case keyMaxConnections:
+			return decodeInteger(d, &service.MaxConnections)
+		case keyProtocol:
+			return decodeString(d, &service.Protocol)
+		case keyTLS:
+			service.TLS, err = d.Bool()
+			return err
+		}
+		return d.Skip()
+	})
 }
 
 func decodeLimits(d *jx.Decoder, limits *Limits) error {
 	*limits = DefaultLimits()
-	return limitFields.decode(d, limits)
+	return decodeFields(d, func(d *jx.Decoder, key string) error {
+		switch key {
+		case keyMaxHeaderBytes:
+			return decodeInteger(d, &limits.MaxHeaderBytes)
+		case keyMaxBodyBytes:
+			return decodeBytes(d, &limits.MaxBodyBytes)
+		case keyHeaderTimeout:
+			return decodeSeconds(d, &limits.HeaderTimeout)
+		case keyIdleTimeout:
+			return decodeSeconds(d, &limits.IdleTimeout)
+		}
+		return d.Skip()
+	})
 }
 
 // inField says where an error is.
