--- a/internal/coordination/sessions.go
+++ b/internal/coordination/sessions.go
@@ -48,10 +48,6 @@
 	t.sessions.idleTime, t.sessions.limit = idleTime, limit
 }
 
-// PinCount is the number of pins kept, those included that ended and were not
-// discarded yet.
-func (t *Table) PinCount() int { return len(t.sessions.pins) }
-
 // PinResult answers a node that asked for a session's endpoint.
 type PinResult struct {
 	// Service and Endpoint are empty if the session has no endpoint and the node
--- a/internal/routeconfig/hot_key.go
+++ b/internal/routeconfig/hot_key.go
@@ -27,16 +27,6 @@
 	Segment int
 }
 
-func (k HotKeySource) String() string {
-	switch k.Location {
-	case "":
-		return ""
-	case LocationPath:
-		return k.Location + " " + strconv.Itoa(k.Segment)
-	}
-	return k.Location + " " + k.Name
-}
-
 // ParseHotKeySource reads "path N" (the Nth segment after the route's prefix,
 // from 1), "query NAME" or "header NAME"; an empty text names no source.
 func ParseHotKeySource(text string) (HotKeySource, error) {
