--- a/internal/controlapi/watch.go
+++ b/internal/controlapi/watch.go
@@ -34,11 +34,11 @@
 	parameters := r.URL.Query()
 	after, err := parseRevision(parameters.Get(paramAfter))
 	if err != nil {
-		return watchResponse{}, errMalformed("after is no revision")
+		return watchResponse{}, errMalformed(paramAfter + " is no revision")
 	}
 	wait, err := parseWatchWait(parameters)
 	if err != nil {
-		return watchResponse{}, errMalformed("waitMs is no number of milliseconds")
+		return watchResponse{}, errMalformed(paramWaitMs + " is no number of milliseconds")
 	}
 	list, err := callOwner(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.EventList, error) {
 		return s.Coordination.Watch(ctx, r.name, after, wait)
