--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -89,7 +89,7 @@
 // Compare holds the forecast against a recording that was taken once the change
 // was live.
 func (f Forecast) Compare(recording *meshpb.ReplayFile, options CompareOptions) (*Comparison, error) {
-	if err := f.CheckRecording(recording); err != nil && !options.AnyConfig {
+	if err := f.checkRecording(recording); err != nil && !options.AnyConfig {
 		return nil, err
 	}
 	version := f.ConfigVersion
--- a/internal/replay/forecast.go
+++ b/internal/replay/forecast.go
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// CheckRecording returns an error unless the recording was taken while the
+// checkRecording returns an error unless the recording was taken while the
 // forecast's proposal was in force.
-func (f Forecast) CheckRecording(recording *meshpb.ReplayFile) error {
+func (f Forecast) checkRecording(recording *meshpb.ReplayFile) error {
 	if err := f.checkRetries(recording); err != nil {
 		return err
 	}
--- a/internal/replay/helpers_test.go
+++ b/internal/replay/helpers_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"net/http"
 	"slices"
@@ -106,8 +108,8 @@
 		time.Sleep(time.Minute)
 	})
 	var file bytes.Buffer
-	qt.Assert(t, Write(&file, recording), qt.IsNil)
-	parsed, err := Parse(file.Bytes())
+	qt.Assert(t, writeRecording(&file, recording), qt.IsNil)
+	parsed, err := ReadFrom(&file)
 	qt.Assert(t, err, qt.IsNil)
 	return parsed
 }
@@ -148,3 +150,22 @@
 func firstAttemptFailed(record *meshpb.RequestRecord) bool {
 	return len(record.Attempts) > 0 && record.Attempts[0].Outcome == "unsure"
 }
+
+// writeRecording writes a complete recording.
+func writeRecording(out io.Writer, recording *meshpb.ReplayFile) error {
+	w, err := NewWriter(out)
+	if err != nil {
+		return err
+	}
+	for _, node := range recording.Nodes {
+		err = errors.Join(err, w.WriteNode(node))
+	}
+	for _, view := range recording.Views {
+		err = errors.Join(err, w.WriteView(view))
+	}
+	for _, config := range recording.Configs {
+		err = errors.Join(err, w.WriteConfig(config))
+	}
+	trailer := &meshpb.ReplayTrailer{CreatedUs: recording.CreatedUs, SpanUs: recording.SpanUs, Unreachable: recording.Unreachable}
+	return errors.Join(err, w.Close(trailer))
+}
--- a/internal/replay/recording_reader.go
+++ b/internal/replay/recording_reader.go
@@ -41,9 +41,6 @@
 	return Error.Wrap(err)
 }
 
-// Parse reads a recording from memory.
-func Parse(b []byte) (*meshpb.ReplayFile, error) { return ReadFrom(bytes.NewReader(b)) }
-
 // ReadFile reads a recording from the named file.
 func ReadFile(path string) (*meshpb.ReplayFile, error) {
 	f, err := os.Open(path)
--- a/internal/replay/recording_test.go
+++ b/internal/replay/recording_test.go
@@ -14,14 +14,14 @@
 func TestDamagedRecordingsAreRefusedWithAReason(t *testing.T) {
 	recording := recordTraffic(t, nil, 20)
 	var file bytes.Buffer
-	qt.Assert(t, Write(&file, recording), qt.IsNil)
+	qt.Assert(t, writeRecording(&file, recording), qt.IsNil)
 	complete := file.Bytes()
 	changedChecksum := slices.Clone(complete)
 	changedChecksum[len(changedChecksum)-3] ^= 1
 	changedSection := slices.Clone(complete)
 	changedSection[len(changedSection)/2] ^= 1
 	var empty bytes.Buffer
-	qt.Assert(t, Write(&empty, &meshpb.ReplayFile{}), qt.IsNil)
+	qt.Assert(t, writeRecording(&empty, &meshpb.ReplayFile{}), qt.IsNil)
 	for want, content := range map[string][]byte{
 		"cut short":       complete[:len(complete)/2],
 		"checksum":        changedChecksum,
@@ -30,11 +30,11 @@
 		"another version": []byte("corkcove replay 9\nxx"),
 		"empty":           empty.Bytes(),
 	} {
-		_, err := Parse(content)
+		_, err := ReadFrom(bytes.NewReader(content))
 		qt.Assert(t, err, qt.ErrorMatches, ".*"+want+".*")
 	}
 	for i := range len(complete) {
-		_, err := Parse(complete[:i])
+		_, err := ReadFrom(bytes.NewReader(complete[:i]))
 		qt.Assert(t, err, qt.IsNotNil)
 	}
 	_, err := ReadFile(t.TempDir() + "/none")
--- a/internal/replay/recording_writer.go
+++ b/internal/replay/recording_writer.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
-	"errors"
 	"hash"
 	"io"
 
@@ -93,22 +92,3 @@
 	_, err := w.out.Write(w.checksum.Sum(nil))
 	return Error.Wrap(err)
 }
-
-// Write writes a complete recording to out.
-func Write(out io.Writer, recording *meshpb.ReplayFile) error {
-	w, err := NewWriter(out)
-	if err != nil {
-		return err
-	}
-	for _, node := range recording.Nodes {
-		err = errors.Join(err, w.WriteNode(node))
-	}
-	for _, view := range recording.Views {
-		err = errors.Join(err, w.WriteView(view))
-	}
-	for _, config := range recording.Configs {
-		err = errors.Join(err, w.WriteConfig(config))
-	}
-	trailer := &meshpb.ReplayTrailer{CreatedUs: recording.CreatedUs, SpanUs: recording.SpanUs, Unreachable: recording.Unreachable}
-	return errors.Join(err, w.Close(trailer))
-}
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -45,7 +45,7 @@
 	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
 	out, err := os.Create(storedFile)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, Write(out, file), qt.IsNil)
+	qt.Assert(t, writeRecording(out, file), qt.IsNil)
 	qt.Assert(t, out.Close(), qt.IsNil)
 	qt.Assert(t, os.WriteFile(storedText, []byte(prototest.Text(recording)), 0o644), qt.IsNil)
 }
