--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -48,33 +48,55 @@
 }
 
 func (n *Network) dial(_ context.Context, _, address string) (net.Conn, error) {
-	n.mu.Lock()
-	l := n.listeners[strings.TrimSuffix(address, defaultPort)]
-	n.mu.Unlock()
+	return n.Dial(strings.TrimSuffix(address, defaultPort), func(server net.Conn) net.Conn { return server })
+}
+
+// Dial connects to the listener of an address, which accepts what wrap makes of
+// its side of the connection. It fails if nobody listens there.
+func (n *Network) Dial(address string, wrap func(server net.Conn) net.Conn) (net.Conn, error) {
+	l, client, server := n.connect(address)
 	if l == nil {
 		return nil, dialError()
 	}
-	client, server := net.Pipe()
-	n.mu.Lock()
-	n.connections = append(n.connections, client, server)
-	n.mu.Unlock()
 	select {
-	case l.accepted <- server:
+	case l.accepted <- wrap(server):
 		return client, nil
 	case <-l.closed:
 		return nil, dialError()
 	}
 }
 
+// connect makes a connection that the address's listener has not accepted yet;
+// without a listener it makes none.
+func (n *Network) connect(address string) (l *listener, client, server net.Conn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	l = n.listeners[address]
+	if l == nil {
+		return nil, nil, nil
+	}
+	client, server = net.Pipe()
+	n.connections = append(n.connections, client, server)
+	return l, client, server
+}
+
 func dialError() error { return &net.OpError{Op: "dial", Err: errRefused} }
 
 // Close ends all listeners and connections.
 func (n *Network) Close() {
 	n.mu.Lock()
-	defer n.mu.Unlock()
 	for _, l := range n.listeners {
 		close(l.closed)
 	}
+	n.mu.Unlock()
+	n.CloseConnections()
+}
+
+// CloseConnections ends all connections; listeners go on, and so do dials that
+// have not been accepted.
+func (n *Network) CloseConnections() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	for _, c := range n.connections {
 		_ = c.Close() // the close of a pipe cannot fail
 	}
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -50,7 +50,7 @@
 				s := newFaultRig(t, hop, 2, 2, fault{afterRequest: hang})
 				defer s.close()
 				s.armed.Store(x.hang)
-				c, shut := s.network.dialHalfClosable("out")
+				c, shut := s.network.dialHalfClosable(t, "out")
 				go func() {
 					writeText(c, x.say)
 					synctest.Wait()
@@ -90,7 +90,7 @@
 			s := newFaultRig(t, inboundToEndpoint, 1, 1, fault{always: true, afterRequest: respondAndClose(largeChunkedResponse)})
 			defer s.close()
 			s.armed.Store(true)
-			c, _ := s.network.dialHalfClosable("in0")
+			c, _ := s.network.dialHalfClosable(t, "in0")
 			go writeText(c, fmt.Sprintf("POST /u/%sr\r\nX-Expect-Instance: e0\r\nContent-Length: %d\r\n\r\nhalf", requestHeaders, x.length))
 			synctest.Wait()
 			qt.Assert(t, s.agents[0].Load().Running, qt.Equals, 1)
@@ -108,7 +108,7 @@
 				s := newFaultRig(t, inboundToEndpoint, 1, 1, fault{afterRequest: respondAndClose(largeChunkedResponse)})
 				defer s.close()
 				s.armed.Store(true)
-				c, _ := s.network.dialHalfClosable(at)
+				c, _ := s.network.dialHalfClosable(t, at)
 				br := bufio.NewReader(c)
 				for i := range 3 {
 					id := fmt.Sprint("r", i)
--- a/internal/proxy/faultrig_test.go
+++ b/internal/proxy/faultrig_test.go
@@ -193,7 +193,7 @@
 
 func newFaultRig(t *testing.T, hop string, endpoints, maxAttempts int, f fault) *faultRig {
 	s := &faultRig{
-		network: newMemoryNetwork(),
+		network: &memoryNetwork{},
 		runs:    &runLog{runs: map[string][]string{}, bodies: map[string]string{}},
 		fault:   f,
 	}
@@ -207,14 +207,14 @@
 		Service:     "caller",
 		Balancer:    balancer,
 		Routes:      compileRoutes(t, fmt.Sprintf(faultConfig, maxAttempts)),
-		Transport:   s.network.transport(),
+		Transport:   s.network.Transport(),
 		AppClient:   s.network.appClient(),
 		RetryBudget: newTestBudget(400),
 		Ready:       alwaysReady,
 		BufferLimit: testBufferLimit,
 	})
-	go serveHTTP(s.outbound, s.network.listen("out"))
-	s.client = s.network.transport()
+	go serveHTTP(s.outbound, s.network.Listen("out"))
+	s.client = s.network.Transport()
 	return s
 }
 
@@ -227,17 +227,17 @@
 	switch hop {
 	case gatewayToEndpoint:
 		e.Addr = appAddr
-		go s.serve(id, s.network.listen(appAddr))
+		go s.serve(id, s.network.Listen(appAddr))
 	case nodeToNode:
 		e.Inbound = inboundAddr
-		go s.serve(id, s.network.listen(inboundAddr))
+		go s.serve(id, s.network.Listen(inboundAddr))
 	default:
 		e.Inbound = inboundAddr
-		go s.serve(id, s.network.listen(appAddr))
+		go s.serve(id, s.network.Listen(appAddr))
 		agent := newTestAgent(id, slots)
 		s.agents = append(s.agents, agent)
 		inbound := NewInbound(InboundOptions{AppAddr: appAddr, Agent: agent, AppClient: s.network.appClient(), BufferLimit: testBufferLimit})
-		go serveHTTP(inbound, s.network.listen(inboundAddr))
+		go serveHTTP(inbound, s.network.Listen(inboundAddr))
 	}
 	return e
 }
@@ -247,7 +247,7 @@
 }
 
 func (s *faultRig) close() {
-	s.network.close()
+	s.network.Close()
 	time.Sleep(time.Minute)
 }
 
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -142,7 +142,7 @@
 // addEndpoint starts an endpoint and returns its address.
 func (m *testMesh) addEndpoint(index int) (e *testEndpoint, addr string) {
 	e, addr = newTestEndpoint(fmt.Sprint("e", index)), fmt.Sprint("app", index)
-	go e.serve(m.network.listen(addr))
+	go e.serve(m.network.Listen(addr))
 	m.endpoints = append(m.endpoints, e)
 	return e, addr
 }
@@ -154,31 +154,31 @@
 	options.Ready = alwaysReady
 	options.BufferLimit = testBufferLimit
 	m.outbound = NewOutbound(options)
-	go serveHTTP(m.outbound, m.network.listen("out"))
+	go serveHTTP(m.outbound, m.network.Listen("out"))
 }
 
 // newSidecarMesh returns a sidecar and endpoints that have sidecars themselves.
 func newSidecarMesh(t *testing.T, count int) *testMesh {
-	m := &testMesh{network: newMemoryNetwork()}
+	m := &testMesh{network: &memoryNetwork{}}
 	view := &meshpb.View{Version: 1, Nodes: uint32(count)}
 	for i := range count {
 		e, addr := m.addEndpoint(i)
 		agent := newTestAgent(e.id, 2)
 		inbound := NewInbound(InboundOptions{AppAddr: addr, Agent: agent, AppClient: m.network.appClient(), BufferLimit: testBufferLimit})
 		inboundAddr := fmt.Sprint("in", i)
-		go serveHTTP(inbound, m.network.listen(inboundAddr))
+		go serveHTTP(inbound, m.network.Listen(inboundAddr))
 		view.Endpoints = append(view.Endpoints, &meshpb.Endpoint{Id: e.id, Service: "s", Inbound: inboundAddr, Zone: "z", Slots: 2, State: "up"})
 		m.agents, m.inbounds = append(m.agents, agent), append(m.inbounds, inbound)
 	}
 	balancer := loadbalancer.New("z", 1, 1)
 	balancer.ApplyView(view)
-	m.serveOutbound(t, OutboundOptions{Service: "caller", Balancer: balancer, Transport: m.network.transport()})
+	m.serveOutbound(t, OutboundOptions{Service: "caller", Balancer: balancer, Transport: m.network.Transport()})
 	return m
 }
 
 // newGatewayMesh returns a gateway and endpoints that it dials itself.
 func newGatewayMesh(t *testing.T, count int) *testMesh {
-	m := &testMesh{network: newMemoryNetwork()}
+	m := &testMesh{network: &memoryNetwork{}}
 	view := &meshpb.View{Version: 1, Nodes: 1}
 	for i := range count {
 		e, addr := m.addEndpoint(i)
@@ -199,7 +199,7 @@
 	r.Header.Set(headerRequestID, id)
 	r.Header.Set(headerDeadline, "2500")
 	r.Header.Set(headerCaller, "liar")
-	transport := m.network.transport()
+	transport := m.network.Transport()
 	transport.DisableKeepAlives = true
 	response, err := transport.RoundTrip(r)
 	if err != nil {
--- a/internal/proxy/network_test.go
+++ b/internal/proxy/network_test.go
@@ -1,102 +1,22 @@
 package proxy
 
 import (
-	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
-	"time"
-)
-
-// memoryNetwork leads addresses to listeners over pipes.
-type memoryNetwork struct {
-	mu          sync.Mutex
-	listeners   map[string]*memoryListener
-	connections []net.Conn
-}
-
-func newMemoryNetwork() *memoryNetwork {
-	return &memoryNetwork{listeners: map[string]*memoryListener{}}
-}
-
-type memoryListener struct {
-	accepted chan net.Conn
-	closed   chan bool
-}
-
-func (l *memoryListener) Accept() (net.Conn, error) {
-	select {
-	case conn := <-l.accepted:
-		return conn, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *memoryListener) Close() error { return nil }
-
-func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
-
-func (n *memoryNetwork) listen(addr string) *memoryListener {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l := &memoryListener{accepted: make(chan net.Conn), closed: make(chan bool)}
-	n.listeners[addr] = l
-	return l
-}
-
-// pipe returns the two ends of a new connection and the listener of the address,
-// if there is one.
-func (n *memoryNetwork) pipe(addr string) (client, server net.Conn, l *memoryListener) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	l = n.listeners[addr]
-	if l == nil {
-		return nil, nil, nil
-	}
-	client, server = net.Pipe()
-	n.connections = append(n.connections, client, server)
-	return client, server, l
-}
 
-var errRefused = &net.OpError{Op: "dial", Err: errors.New("refused")}
+	qt "github.com/frankban/quicktest"
 
-func (n *memoryNetwork) dial(_ context.Context, _, addr string) (net.Conn, error) {
-	client, server, l := n.pipe(strings.TrimSuffix(addr, ":80"))
-	if l == nil {
-		return nil, errRefused
-	}
-	select {
-	case l.accepted <- server:
-		return client, nil
-	case <-l.closed:
-		return nil, errRefused
-	}
-}
-
-func (n *memoryNetwork) transport() *http.Transport {
-	return &http.Transport{DisableCompression: true, ExpectContinueTimeout: time.Second, DialContext: n.dial}
-}
+	"corkcove/internal/memnet"
+)
 
-func (n *memoryNetwork) appClient() *AppClient { return NewAppClient(n.transport(), n.transport()) }
+// memoryNetwork is a network in memory with what tests of proxies connect by.
+type memoryNetwork struct{ memnet.Network }
 
-// close ends all listeners and connections.
-func (n *memoryNetwork) close() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, l := range n.listeners {
-		close(l.closed)
-	}
-	for _, conn := range n.connections {
-		closeQuietly(conn)
-	}
-}
+func (n *memoryNetwork) appClient() *AppClient { return NewAppClient(n.Transport(), n.Transport()) }
 
 // halfClosableConn is a connection whose other side may close its sending half.
 type halfClosableConn struct {
@@ -119,11 +39,16 @@
 	server net.Conn
 }
 
-func (n *memoryNetwork) dialHalfClosable(addr string) (client net.Conn, writeClosed *atomic.Bool) {
-	client, server, l := n.pipe(addr)
+func (n *memoryNetwork) dialHalfClosable(t *testing.T, addr string) (client net.Conn, writeClosed *atomic.Bool) {
+	t.Helper()
 	writeClosed = &atomic.Bool{}
-	l.accepted <- halfClosableConn{server, writeClosed}
-	return &halfClosableClient{client, server}, writeClosed
+	var serverSide net.Conn
+	client, err := n.Dial(addr, func(server net.Conn) net.Conn {
+		serverSide = server
+		return halfClosableConn{server, writeClosed}
+	})
+	qt.Assert(t, err, qt.IsNil)
+	return &halfClosableClient{client, serverSide}, writeClosed
 }
 
 // inVirtualTime runs a subtest in a bubble with a clock of its own.
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -119,7 +119,7 @@
 
 func TestRequestOnAnIdleConnectionIsServedWhileDraining(t *testing.T) {
 	m := newSidecarMesh(t, 1)
-	c, err := m.network.transport().DialContext(context.Background(), "tcp", "out")
+	c, err := m.network.Transport().DialContext(context.Background(), "tcp", "out")
 	qt.Assert(t, err, qt.IsNil)
 	defer closeQuietly(c)
 	br := bufio.NewReader(c)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -74,7 +74,7 @@
 }
 
 func (rig *shutdownRig) close() {
-	rig.network.close()
+	rig.network.Close()
 	time.Sleep(2 * stuckFor)
 }
 
@@ -84,11 +84,7 @@
 	go func() {
 		s.Run()
 		rig.exited <- time.Since(rig.started)
-		rig.network.mu.Lock()
-		defer rig.network.mu.Unlock()
-		for _, c := range rig.network.connections {
-			closeQuietly(c)
-		}
+		rig.network.CloseConnections()
 	}()
 }
 
@@ -110,7 +106,7 @@
 	r.Header.Set(headerDeadline, formatMillis(cmp.Or(q.deadline, testDeadline)))
 	r.Header.Set(headerExpectInstance, "e0")
 	r.Header.Set(hdrTakes, cmp.Or(q.takes, quick).String())
-	line := rig.network.transport()
+	line := rig.network.Transport()
 	line.DisableKeepAlives = true
 	start := time.Now()
 	p, err := line.RoundTrip(r)
