--- a/cmd/corkcove/pins.go
+++ b/cmd/corkcove/pins.go
@@ -85,7 +85,7 @@
 func (p *process) newCords(lines *rpc.Clients, ag *nodeagent.Agent) *affinity.Sessions {
 	a := &pinAsker{lines: lines, ag: ag, last: map[byte]string{}}
 	idle := settings.Seconds(p.options.Affinity.IdleSeconds)
-	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.options.Affinity.MaxSessions,
+	return affinity.New(affinity.Options{Pin: a.ask, Now: time.Now, ConfigVersion: ag.ConfigVersion, MoveDelay: 300 * time.Millisecond, RefreshInterval: idle / 8, IdleTimeout: idle, MaxSessions: p.options.Affinity.MaxSessions,
 		Trace: func(what, key string) {
 			p.traceRing.Add(changetrace.Event{Time: time.Now(), Action: what, Kind: changetrace.SessionKind(key)})
 		}})
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -57,7 +57,7 @@
 
 func newTestNode(core *testCore, now *time.Time, endpoints *testEndpoints) *testNode {
 	node := &testNode{endpoints: endpoints, configVersion: 1}
-	node.sessions = New(Options{Now: func() time.Time { return *now }, ConfigVersion: func() uint64 { return node.configVersion }, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
+	node.sessions = New(Options{Now: func() time.Time { return *now }, ConfigVersion: func() uint64 { return node.configVersion }, MoveDelay: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
 		Pin: func(_ context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			node.yield()
 			return core.answer(request), nil
@@ -147,7 +147,7 @@
 				}
 			})
 		}
-		// The settle time is longer than the views take to all nodes.
+		// The move delay is longer than the views take to all nodes.
 		schedule.add("views", func(yield func()) {
 			for _, node := range nodes {
 				*node.endpoints = testEndpoints{available: map[string][]string{"s": others}, reasons: map[string]string{home: ReasonDrain}}
@@ -186,14 +186,14 @@
 	qt.Assert(t, total > 200, qt.IsTrue, qt.Commentf("%d orders", total))
 }
 
-func TestKnownPinsHoldWithoutACoreAndNewSessionsFollowTheHash(t *testing.T) {
+func TestKnownPinsStayWithoutACoreAndNewSessionsFollowTheHash(t *testing.T) {
 	now := time.Unix(0, 0)
 	core := &testCore{coordination.NewTable(time.Minute)}
 	endpoints := &testEndpoints{available: map[string][]string{"s": {"e0", "e1", "e2"}}}
 	node := newTestNode(core, &now, endpoints)
 	node.yield = noYield
 	pinned := node.find("k1", "s").Endpoint
-	withoutCore := New(Options{Now: node.sessions.options.Now, ConfigVersion: node.sessions.options.ConfigVersion, SettleTime: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
+	withoutCore := New(Options{Now: node.sessions.options.Now, ConfigVersion: node.sessions.options.ConfigVersion, MoveDelay: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
 		Pin: func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			return nil, errors.New("silent")
 		}})
--- a/internal/affinity/find.go
+++ b/internal/affinity/find.go
@@ -77,7 +77,7 @@
 			return assignment
 		}
 	}
-	return s.pending(s.options.SettleTime)
+	return s.pending(s.options.MoveDelay)
 }
 
 func (s *Sessions) pending(after time.Duration) Assignment {
@@ -102,11 +102,11 @@
 	s, endpoint := l.sessions, l.pin.endpoint
 	accepts, reason := l.endpoints.Accepts(l.id.service, endpoint)
 	if accepts {
-		s.clearGone(endpoint)
+		s.clearUnavailable(endpoint)
 		s.recordUse(ctx, l.id, endpoint)
 		return Assignment{Service: l.id.service, Endpoint: endpoint}, true
 	}
-	if left := s.untilSettled(endpoint, l.pin.seenAccepting); left > 0 {
+	if left := s.untilMovable(endpoint, l.pin.seenAccepting); left > 0 {
 		return s.pending(left), true
 	}
 	l.reason = reason
@@ -118,7 +118,7 @@
 	s, service := l.sessions, l.chooseService()
 	candidate := Candidate(l.SessionKey, l.endpoints.Available(service))
 	if candidate == "" {
-		return s.pending(s.options.SettleTime), true
+		return s.pending(s.options.MoveDelay), true
 	}
 	request := &meshpb.PinRequest{
 		Key:     l.SessionKey,
@@ -137,7 +137,7 @@
 		l.apply(response)
 		return Assignment{}, false
 	case l.known:
-		return s.pending(s.options.SettleTime), true
+		return s.pending(s.options.MoveDelay), true
 	}
 	s.set(sessionID{l.SessionKey, service}, candidate, false)
 	return Assignment{Service: service, Endpoint: candidate, State: Provisional}, true
@@ -173,38 +173,39 @@
 }
 
 const (
-	// unseenSettleFactor is how many settle times a node waits for a view with an
+	// unseenDelayFactor is how many move delays a node waits for a view with an
 	// endpoint that only others have seen so far, before it takes it for ended.
-	unseenSettleFactor = 10
-	// goneMemory is how long it counts when an endpoint was first found gone.
-	goneMemory = time.Minute
-	// maxGone bounds the endpoints for which that is remembered.
-	maxGone = 4096
+	unseenDelayFactor = 10
+	// unavailableMemory is how long it counts when an endpoint was first found to
+	// take no requests.
+	unavailableMemory = time.Minute
+	// maxUnavailable bounds the endpoints for which that is remembered.
+	maxUnavailable = 4096
 )
 
-// untilSettled returns how long to wait until an endpoint has been out for long
+// untilMovable returns how long to wait until an endpoint has been out for long
 // enough that its sessions may move.
-func (s *Sessions) untilSettled(endpoint string, seenAccepting bool) time.Duration {
+func (s *Sessions) untilMovable(endpoint string, seenAccepting bool) time.Duration {
 	now := s.options.Now()
-	settle := s.options.SettleTime
+	delay := s.options.MoveDelay
 	if !seenAccepting {
-		settle *= unseenSettleFactor
+		delay *= unseenDelayFactor
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since, known := s.goneSince[endpoint]
-	if !known || now.Sub(since) > goneMemory {
-		if len(s.goneSince) > maxGone {
-			clear(s.goneSince)
+	since, known := s.unavailableSince[endpoint]
+	if !known || now.Sub(since) > unavailableMemory {
+		if len(s.unavailableSince) > maxUnavailable {
+			clear(s.unavailableSince)
 		}
-		s.goneSince[endpoint] = now
-		return settle
+		s.unavailableSince[endpoint] = now
+		return delay
 	}
-	return settle - now.Sub(since)
+	return delay - now.Sub(since)
 }
 
-func (s *Sessions) clearGone(endpoint string) {
+func (s *Sessions) clearUnavailable(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.goneSince, endpoint)
+	delete(s.unavailableSince, endpoint)
 }
--- a/internal/affinity/sessions.go
+++ b/internal/affinity/sessions.go
@@ -18,9 +18,9 @@
 	Now func() time.Time
 	// ConfigVersion returns the version of the configuration in force.
 	ConfigVersion func() uint64
-	// SettleTime is how long an endpoint must have been out of the view before its
+	// MoveDelay is how long an endpoint must have been out of the view before its
 	// sessions move, so that all nodes have heard of it.
-	SettleTime time.Duration
+	MoveDelay time.Duration
 	// RefreshInterval is how often the core is told that a session is in use. It
 	// must be well below the time after which the core forgets idle sessions.
 	RefreshInterval time.Duration
@@ -64,9 +64,9 @@
 	// mu guards what follows. It is not held while the core is asked.
 	mu   sync.Mutex
 	pins map[sessionID]cachedPin
-	// goneSince is when each endpoint was first found to take no requests.
-	goneSince map[string]time.Time
-	moves     []*meshpb.SessionMove
+	// unavailableSince is when each endpoint was first found to take no requests.
+	unavailableSince map[string]time.Time
+	moves            []*meshpb.SessionMove
 	// dropped counts evicted pins and moves.
 	dropped uint64
 }
@@ -76,7 +76,7 @@
 	if options.Trace == nil {
 		options.Trace = func(string, string) {}
 	}
-	return &Sessions{options: options, pins: map[sessionID]cachedPin{}, goneSince: map[string]time.Time{}}
+	return &Sessions{options: options, pins: map[sessionID]cachedPin{}, unavailableSince: map[string]time.Time{}}
 }
 
 // Add puts a session into the cache that is known to be pinned to the endpoint.
@@ -127,9 +127,9 @@
 	s.pins[id] = pin
 }
 
-// evictedPart is the part of the cache, one in so many, that goes when it is
+// evictedFraction is the part of the cache, one in so many, that goes when it is
 // full of sessions in use.
-const evictedPart = 10
+const evictedFraction = 10
 
 // evict forgets idle sessions, and if there are none the tenth used longest ago:
 // they stay pinned in the control state.
@@ -147,7 +147,7 @@
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b sessionID) int { return s.pins[a].used.Compare(s.pins[b].used) })
-	for _, id := range ids[:max(len(ids)/evictedPart, 1)] {
+	for _, id := range ids[:max(len(ids)/evictedFraction, 1)] {
 		delete(s.pins, id)
 		s.dropped++
 	}
--- a/internal/meshtest/node.go
+++ b/internal/meshtest/node.go
@@ -76,7 +76,7 @@
 		Pin:             m.PinSession,
 		Now:             time.Now,
 		ConfigVersion:   n.configVersion,
-		SettleTime:      sessionSettleTime,
+		MoveDelay:       sessionSettleTime,
 		RefreshInterval: sessionRefresh,
 		IdleTimeout:     sessionIdle,
 		MaxSessions:     maxSessions,
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -13,9 +13,9 @@
 const (
 	// noEndpointPoll is how often a request that finds no endpoint looks again.
 	noEndpointPoll = 20 * time.Millisecond
-	// silentEjection is how long an endpoint is left out that was silent for too
+	// slowEjection is how long an endpoint is left out that was silent for too
 	// long.
-	silentEjection = time.Second
+	slowEjection = time.Second
 )
 
 // attemptResult is how one attempt ended; one that was answered still holds its
@@ -43,68 +43,68 @@
 }
 
 // sendToEndpoints makes attempts until an endpoint answers or the plan gives up.
-func (x *exchange) sendToEndpoints() (done bool) {
-	x.outbound.options.RetryBudget.RecordRequest(x.service)
+func (r *outboundRequest) sendToEndpoints() (done bool) {
+	r.outbound.options.RetryBudget.RecordRequest(r.service)
 	for moves := 0; ; moves++ {
-		x.startPlan()
-		reply, answered := x.followPlan()
+		r.startPlan()
+		reply, answered := r.followPlan()
 		if answered {
 			return true
 		}
-		if !x.maySessionMove(reply, moves) {
-			return x.giveUp(reply)
+		if !r.maySessionMove(reply, moves) {
+			return r.giveUp(reply)
 		}
-		if x.findSessionEndpoint() {
+		if r.findSessionEndpoint() {
 			return true
 		}
 	}
 }
 
-func (x *exchange) startPlan() {
-	earlier := x.plan
-	bulk := loadbalancer.IsBulk(x.route.Kind, int64(len(x.body.kept)))
-	x.plan = retry.NewPlan(x.outbound.options.Balancer, x.outbound.options.RetryBudget, x.route, x.service, bulk)
-	x.plan.ContinueFrom(earlier)
-	x.plan.PinTo(x.session.endpoint)
-	x.plan.SetKey(x.hotKey)
+func (r *outboundRequest) startPlan() {
+	earlier := r.plan
+	bulk := loadbalancer.IsBulk(r.route.Kind, int64(len(r.body.kept)))
+	r.plan = retry.NewPlan(r.outbound.options.Balancer, r.outbound.options.RetryBudget, r.route, r.service, bulk)
+	r.plan.ContinueFrom(earlier)
+	r.plan.PinTo(r.session.endpoint)
+	r.plan.SetKey(r.hotKey)
 }
 
 // maySessionMove tells that the session's endpoint is leaving and has not run
 // the request.
-func (x *exchange) maySessionMove(reply localreply.Reply, moves int) bool {
-	if x.session.endpoint == "" || x.plan.MayHaveRun() || x.body.remaining.endAttempt() {
+func (r *outboundRequest) maySessionMove(reply localreply.Reply, moves int) bool {
+	if r.session.endpoint == "" || r.plan.MayHaveRun() || r.body.remaining.endAttempt() {
 		return false
 	}
 	if moves >= MaxSessionMoves || reply != localreply.NoEndpoint {
 		return false
 	}
-	accepts, _ := x.outbound.options.Balancer.Accepts(x.service, x.session.endpoint)
+	accepts, _ := r.outbound.options.Balancer.Accepts(r.service, r.session.endpoint)
 	return !accepts
 }
 
 // followPlan makes the plan's attempts until an endpoint's answer has been
 // relayed, or returns the reply with which the plan ends.
-func (x *exchange) followPlan() (reply localreply.Reply, answered bool) {
-	for time.Now().Before(x.deadline) && x.ctx.Err() == nil {
-		endpoint, action := x.plan.Next()
+func (r *outboundRequest) followPlan() (reply localreply.Reply, answered bool) {
+	for time.Now().Before(r.deadline) && r.ctx.Err() == nil {
+		endpoint, action := r.plan.Next()
 		if action == retry.GiveUp {
 			break
 		}
 		if action == retry.Wait {
-			if !x.sleep(noEndpointPoll) {
+			if !r.sleep(noEndpointPoll) {
 				break
 			}
 			continue
 		}
-		result := x.tryEndpoint(endpoint)
+		result := r.attemptWithHedge(endpoint)
 		switch result.outcome {
 		case retry.Answered:
-			x.relay(result)
+			r.relay(result)
 			return 0, true
-		case retry.ClientGone:
-			x.abort()
+		case retry.Canceled:
+			r.abort()
 		}
-		reply, ends := x.plan.AttemptFailed(result.endpoint, result.outcome, x.body.remaining.endAttempt())
+		reply, ends := r.plan.AttemptFailed(result.endpoint, result.outcome, r.body.remaining.endAttempt())
 		if ends {
 			return reply, false
 		}
@@ -115,26 +115,26 @@
 // attempt sends the request to an endpoint and reads the start of its answer.
 // ShortWait tells that the request should not wait for long in the endpoint's
 // queue, mayRetry that another endpoint may be tried.
-func (x *exchange) attempt(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait, mayRetry bool) attemptResult {
+func (r *outboundRequest) attempt(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait, mayRetry bool) attemptResult {
 	endpoint.BeginAttempt()
 	defer endpoint.EndAttempt()
-	usual := x.usualTime()
-	silence := time.AfterFunc(retry.SilenceLimit(usual), func() { recordSilence(endpoint) })
+	usual := r.usualTime()
+	slow := time.AfterFunc(retry.SlowLimit(usual), func() { recordSlowEndpoint(endpoint) })
 	started := time.Now()
 	result := attemptResult{endpoint: endpoint}
 	if endpoint.IsDirect() {
-		result.response, result.outcome = x.callEndpoint(ctx, endpoint)
+		result.response, result.outcome = r.callEndpoint(ctx, endpoint)
 	} else {
-		result.response, result.outcome = x.callNode(ctx, endpoint, shortWait)
+		result.response, result.outcome = r.callNode(ctx, endpoint, shortWait)
 	}
 	if result.outcome == retry.Answered {
-		x.readAnswer(ctx, &result, mayRetry, usual)
+		r.readAnswer(ctx, &result, mayRetry, usual)
 	}
 	result.took = time.Since(started)
-	inTime := silence.Stop()
-	x.record.addAttempt(x, result, started)
+	inTime := slow.Stop()
+	r.record.addAttempt(r, result, started)
 	if result.outcome == retry.Answered {
-		x.recordAnswer(result)
+		r.recordAnswer(result)
 	}
 	if endpoint.IsDirect() {
 		recordDirectResult(result, usual, inTime)
@@ -142,61 +142,61 @@
 	return result
 }
 
-// recordSilence notes that an endpoint has been silent for too long. Where a
+// recordSlowEndpoint notes that an endpoint has been silent for too long. Where a
 // node stands beside the endpoint, that node judges it.
-func recordSilence(endpoint *loadbalancer.Endpoint) {
+func recordSlowEndpoint(endpoint *loadbalancer.Endpoint) {
 	if endpoint.IsDirect() {
 		endpoint.RecordResult(false, time.Now())
-		endpoint.EjectFor(silentEjection)
+		endpoint.EjectFor(slowEjection)
 	}
 }
 
 // readAnswer reads the start of an answer's body, unless it is a server error
 // that another endpoint may not have.
-func (x *exchange) readAnswer(ctx context.Context, result *attemptResult, mayRetry bool, usual time.Duration) {
+func (r *outboundRequest) readAnswer(ctx context.Context, result *attemptResult, mayRetry bool, usual time.Duration) {
 	response := result.response
-	if mayRetry && x.isWorthRetry(response, usual) {
+	if mayRetry && r.shouldRetryError(response, usual) {
 		discard(response, maxDrained)
 		result.outcome = retry.Failed
 		return
 	}
 	var err error
-	result.prefix, result.complete, err = readPrefix(response.Body, response.ContentLength, x.outbound.options.BufferLimit)
-	if err != nil && x.request.Method != http.MethodHead {
+	result.prefix, result.complete, err = readPrefix(response.Body, response.ContentLength, r.outbound.options.BufferLimit)
+	if err != nil && r.request.Method != http.MethodHead {
 		closeBody(response)
-		result.outcome = x.failureOutcome(ctx)
+		result.outcome = r.failureOutcome(ctx)
 	}
 }
 
-// isWorthRetry tells whether an endpoint's error should be tried elsewhere: the
+// shouldRetryError tells whether an endpoint's error should be tried elsewhere: the
 // request may run twice, and there are time and budget for it.
-func (x *exchange) isWorthRetry(response *http.Response, usual time.Duration) bool {
+func (r *outboundRequest) shouldRetryError(response *http.Response, usual time.Duration) bool {
 	return response.StatusCode >= 500 &&
-		x.route.Kind.Idempotent() &&
-		time.Until(x.deadline) > 2*usual &&
-		x.outbound.options.RetryBudget.CanSpend(x.service)
+		r.route.Kind.Idempotent() &&
+		time.Until(r.deadline) > 2*usual &&
+		r.outbound.options.RetryBudget.CanSpend(r.service)
 }
 
 // failureOutcome tells how an attempt ended that broke off.
-func (x *exchange) failureOutcome(ctx context.Context) retry.Outcome {
+func (r *outboundRequest) failureOutcome(ctx context.Context) retry.Outcome {
 	switch {
-	case x.isClientGone():
-		return retry.ClientGone
-	case ctx.Err() != nil || x.isExpired():
+	case r.isCanceled():
+		return retry.Canceled
+	case ctx.Err() != nil || r.isExpired():
 		return retry.TimedOut
 	}
 	return retry.Failed
 }
 
-func (x *exchange) recordAnswer(result attemptResult) {
-	x.outbound.routeStats.recordAnswer(x.route.Name, result.took)
-	x.outbound.Flows.add(flowKey{
-		route:    x.route.Name,
-		kind:     x.route.Kind,
-		service:  x.service,
+func (r *outboundRequest) recordAnswer(result attemptResult) {
+	r.outbound.routeStats.recordAnswer(r.route.Name, result.took)
+	r.outbound.Flows.add(flowKey{
+		route:    r.route.Name,
+		kind:     r.route.Kind,
+		service:  r.service,
 		endpoint: result.endpoint.ID(),
 		node:     result.endpoint.Node(),
-		target:   x.route.LatencyTarget,
+		target:   r.route.LatencyTarget,
 	}, result.took)
 }
 
@@ -214,7 +214,7 @@
 			}
 			return
 		}
-	case retry.ClientGone:
+	case retry.Canceled:
 		return
 	case retry.Declined, retry.Failed, retry.Unreachable:
 		endpoint.RecordResult(false, now)
@@ -223,14 +223,14 @@
 }
 
 // relay passes an endpoint's answer on to the client.
-func (x *exchange) relay(result attemptResult) {
+func (r *outboundRequest) relay(result attemptResult) {
 	if result.cancel != nil {
-		x.onClose(result.cancel)
+		r.onClose(result.cancel)
 	}
 	defer closeBody(result.response)
-	x.outbound.pending.remove(x.pending)
-	defer x.recordResponseTime()
-	x.record.setReply(result.response.StatusCode, "")
-	writeResponseHead(x.writer, x.request.Method, result.response, result.prefix, result.complete)
-	writeResponseBody(x.writer, result.response, result.prefix, result.complete, x.outbound.options.Pacer, x.deadline)
+	r.outbound.pending.remove(r.pending)
+	defer r.recordResponseTime()
+	r.record.setReply(result.response.StatusCode, "")
+	writeResponseHead(r.writer, r.request.Method, result.response, result.prefix, result.complete)
+	writeResponseBody(r.writer, result.response, result.prefix, result.complete, r.outbound.options.Pacer, r.deadline)
 }
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -21,10 +21,10 @@
 const attemptHeaders = 6
 
 // newHeaders returns the headers of an attempt at an endpoint.
-func (x *exchange) newHeaders(endpoint *loadbalancer.Endpoint) http.Header {
-	h := forwardedHeaders(x.request, attemptHeaders)
+func (r *outboundRequest) newHeaders(endpoint *loadbalancer.Endpoint) http.Header {
+	h := forwardedHeaders(r.request, attemptHeaders)
 	delete(h, headerCaller)
-	if service := x.outbound.options.Service; service != "" {
+	if service := r.outbound.options.Service; service != "" {
 		h[headerCaller] = []string{service}
 	}
 	h[headerExpectInstance] = []string{endpoint.ID()}
@@ -32,19 +32,19 @@
 }
 
 // newRequest returns the request of an attempt to the address.
-func (x *exchange) newRequest(ctx context.Context, addr string, headers http.Header) *http.Request {
-	r := forwardedRequest(ctx, x.request, addr, headers)
-	if x.body.complete {
-		r.Body = singleUseBody{bytes.NewReader(x.body.kept)}
-		if r.ContentLength < 0 {
-			r.ContentLength = int64(len(x.body.kept))
+func (r *outboundRequest) newRequest(ctx context.Context, addr string, headers http.Header) *http.Request {
+	attempt := forwardedRequest(ctx, r.request, addr, headers)
+	if r.body.complete {
+		attempt.Body = singleUseBody{bytes.NewReader(r.body.kept)}
+		if attempt.ContentLength < 0 {
+			attempt.ContentLength = int64(len(r.body.kept))
 		}
-		return r
+		return attempt
 	}
 	// The body is sent once the other side wants it, since it can't be sent again.
 	headers["Expect"] = []string{"100-continue"}
-	r.Body = singleUseBody{io.MultiReader(bytes.NewReader(x.body.kept), x.body.remaining.forAttempt())}
-	return r
+	attempt.Body = singleUseBody{io.MultiReader(bytes.NewReader(r.body.kept), r.body.remaining.forAttempt())}
+	return attempt
 }
 
 // forwardedRequest returns a request to the address with the method, target and
@@ -64,40 +64,40 @@
 }
 
 // callEndpoint dials the endpoint itself.
-func (x *exchange) callEndpoint(ctx context.Context, endpoint *loadbalancer.Endpoint) (*http.Response, retry.Outcome) {
-	headers := x.newHeaders(endpoint)
-	headers[headerDeadline] = []string{formatMillis(time.Until(x.deadline) - x.outbound.options.DeadlineMargin)}
-	request := x.newRequest(ctx, endpoint.Addr(), headers)
-	response, outcome, err := x.outbound.options.AppClient.send(request, x.request.Header.Get(headerRequestID), x.route.Kind.Idempotent())
+func (r *outboundRequest) callEndpoint(ctx context.Context, endpoint *loadbalancer.Endpoint) (*http.Response, retry.Outcome) {
+	headers := r.newHeaders(endpoint)
+	headers[headerDeadline] = []string{formatMillis(time.Until(r.deadline) - r.outbound.options.DeadlineMargin)}
+	request := r.newRequest(ctx, endpoint.Addr(), headers)
+	response, outcome, err := r.outbound.options.AppClient.send(request, r.request.Header.Get(headerRequestID), r.route.Kind.Idempotent())
 	switch outcome {
 	case callAnswered:
 		return response, retry.Answered
 	case callDeclined:
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			endpoint.MarkDraining()
+			endpoint.SetDraining()
 		}
 		return nil, retry.Declined
 	case callDialFailed, callNotSent:
-		if x.isClientGone() {
-			return nil, retry.ClientGone
+		if r.isCanceled() {
+			return nil, retry.Canceled
 		}
 		return nil, retry.Unreachable
 	}
-	failure := x.failureOutcome(ctx)
+	failure := r.failureOutcome(ctx)
 	if failure == retry.Failed {
-		x.outbound.options.Log.Warn("endpoint closed its connection early", "endpoint", endpoint.ID(), "error", err)
+		r.outbound.options.Log.Warn("endpoint closed its connection early", "endpoint", endpoint.ID(), "error", err)
 	}
 	return nil, failure
 }
 
 // callNode sends the request to the node beside the endpoint.
-func (x *exchange) callNode(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait bool) (*http.Response, retry.Outcome) {
+func (r *outboundRequest) callNode(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait bool) (*http.Response, retry.Outcome) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
-	request := x.newRequest(ctx, endpoint.InboundAddr(), x.newNodeHeaders(endpoint, shortWait))
-	response, err := x.outbound.options.Transport.RoundTrip(request)
+	request := r.newRequest(ctx, endpoint.InboundAddr(), r.newNodeHeaders(endpoint, shortWait))
+	response, err := r.outbound.options.Transport.RoundTrip(request)
 	if err != nil {
-		return nil, x.nodeCallFailed(ctx, endpoint, sent.Load(), err)
+		return nil, r.nodeCallFailed(ctx, endpoint, sent.Load(), err)
 	}
 	endpoint.ClearFailures()
 	if load, ok := loadbalancer.ParseLoadReport(response.Header.Get(headerLoad)); ok {
@@ -107,39 +107,39 @@
 		closeBody(response)
 		return nil, applyNodeOutcome(endpoint, nodeOutcome(outcome), response.Header.Get(headerReason))
 	}
-	if reason := invalidReason(response, x.request.Header.Get(headerRequestID), x.route.Kind.Idempotent()); reason != "" {
+	if reason := invalidReason(response, r.request.Header.Get(headerRequestID), r.route.Kind.Idempotent()); reason != "" {
 		closeBody(response)
 		endpoint.NodeFailed()
-		x.outbound.options.Log.Warn("rejected an invalid response of a peer node", "endpoint", endpoint.ID(), "reason", reason)
+		r.outbound.options.Log.Warn("rejected an invalid response of a peer node", "endpoint", endpoint.ID(), "reason", reason)
 		return nil, retry.Failed
 	}
 	return response, retry.Answered
 }
 
-func (x *exchange) newNodeHeaders(endpoint *loadbalancer.Endpoint, shortWait bool) http.Header {
-	h := x.newHeaders(endpoint)
-	remaining := time.Until(x.deadline) - x.outbound.options.DeadlineMargin
+func (r *outboundRequest) newNodeHeaders(endpoint *loadbalancer.Endpoint, shortWait bool) http.Header {
+	h := r.newHeaders(endpoint)
+	remaining := time.Until(r.deadline) - r.outbound.options.DeadlineMargin
 	wait := retry.QueueWait{
-		Target:    x.route.LatencyTarget,
-		Passed:    time.Since(x.started),
+		Target:    r.route.LatencyTarget,
+		Passed:    time.Since(r.started),
 		Remaining: remaining,
-		Usual:     x.usualTime(),
-		FirstSeen: x.firstSeen,
+		Usual:     r.usualTime(),
+		FirstSeen: r.firstSeen,
 		Short:     shortWait,
 	}
-	h[headerPriority] = []string{strconv.Itoa(x.route.Priority)}
+	h[headerPriority] = []string{strconv.Itoa(r.route.Priority)}
 	h[headerDeadline] = []string{formatMillis(remaining)}
 	h[headerQueueWait] = []string{formatMillis(wait.Limit())}
-	if !x.firstSeen {
+	if !r.firstSeen {
 		h[headerLate] = []string{headerSet}
 	}
-	if x.outbound.options.Balancer.IsHot(x.hotKey) {
+	if r.outbound.options.Balancer.IsHot(r.hotKey) {
 		h[headerHotKey] = []string{headerSet}
 	}
-	if !x.route.Kind.Idempotent() {
+	if !r.route.Kind.Idempotent() {
 		h[headerOnce] = []string{headerSet}
 	}
-	if x.route.Kind == routeconfig.KindDownload {
+	if r.route.Kind == routeconfig.KindDownload {
 		h[headerBulk] = []string{bulkWait(shortWait)}
 	}
 	return h
@@ -154,10 +154,10 @@
 
 // nodeCallFailed tells how an attempt ended that got no response from the node
 // beside the endpoint; sent tells that the node may have read it.
-func (x *exchange) nodeCallFailed(ctx context.Context, endpoint *loadbalancer.Endpoint, sent bool, err error) retry.Outcome {
+func (r *outboundRequest) nodeCallFailed(ctx context.Context, endpoint *loadbalancer.Endpoint, sent bool, err error) retry.Outcome {
 	switch {
-	case x.isClientGone():
-		return retry.ClientGone
+	case r.isCanceled():
+		return retry.Canceled
 	case !sent && (isDialError(err) || ctx.Err() == nil):
 		endpoint.NodeFailed()
 		return retry.Rejected
@@ -190,7 +190,7 @@
 	case nodeRejected:
 		switch endpointagent.RejectReason(reason) {
 		case endpointagent.RejectedDraining, endpointagent.RejectedOtherIncarnation:
-			endpoint.MarkDraining()
+			endpoint.SetDraining()
 		case endpointagent.RejectedUnhealthy, endpointagent.RejectedNoEndpoint, endpointagent.RejectedStopping:
 			endpoint.EjectFor(unhealthyEjection)
 		}
@@ -200,7 +200,7 @@
 		return retry.Rejected
 	case nodeDeclined:
 		if reason == misdirected {
-			endpoint.MarkDraining()
+			endpoint.SetDraining()
 		}
 		return retry.Declined
 	case nodeTimedOut:
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -10,10 +10,10 @@
 // sidecar on the other side and dials endpoints itself.
 //
 // Each request is carried by the goroutine that net/http runs its handler on,
-// which owns the request's exchange; only hedged attempts (hedge.go) run on
-// goroutines of their own, and these only read the exchange. What requests share
-// (the retry budget, the load balancer, the pacer of the link, meters) guards
-// itself with short locks or atomics.
+// which owns the request's state (outboundRequest, inboundRequest); only hedged
+// attempts (hedge.go) run on goroutines of their own, and these only read it. What
+// requests share (the retry budget, the load balancer, the pacer of the link,
+// meters) guards itself with short locks or atomics.
 //
 // The chains never send a request on that may have run unless its route says
 // that it can be repeated, never pass an endpoint's response on that may be
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -13,69 +13,69 @@
 )
 
 // checkReady refuses requests that this node can't serve yet or any more.
-func (x *exchange) checkReady() (done bool) {
-	if x.outbound.stopped.Load() {
-		return x.reply(localreply.NotReady)
+func (r *outboundRequest) checkReady() (done bool) {
+	if r.outbound.stopped.Load() {
+		return r.reply(localreply.NotReady)
 	}
-	x.routes = x.outbound.options.Routes.Load()
-	if x.routes == nil || !x.outbound.options.Ready() {
-		return x.reply(localreply.NotReady)
+	r.routes = r.outbound.options.Routes.Load()
+	if r.routes == nil || !r.outbound.options.Ready() {
+		return r.reply(localreply.NotReady)
 	}
-	if !strings.HasPrefix(x.request.RequestURI, "/") {
-		return x.reply(localreply.Malformed)
+	if !strings.HasPrefix(r.request.RequestURI, "/") {
+		return r.reply(localreply.Malformed)
 	}
 	return false
 }
 
 // matchRoute finds the request's route and, by the route's weights, its service.
-func (x *exchange) matchRoute() (done bool) {
-	path, _, _ := strings.Cut(x.request.RequestURI, "?")
-	x.route = x.routes.Match(x.request.Host, path)
-	if x.route == nil {
-		return x.reply(localreply.NoRoute)
+func (r *outboundRequest) matchRoute() (done bool) {
+	path, _, _ := strings.Cut(r.request.RequestURI, "?")
+	r.route = r.routes.Match(r.request.Host, path)
+	if r.route == nil {
+		return r.reply(localreply.NoRoute)
 	}
 	draw := rand.Float64()
-	x.record.setDraw(draw)
-	index, ok := x.route.PickService(draw)
+	r.record.setDraw(draw)
+	index, ok := r.route.PickService(draw)
 	if !ok {
-		return x.reply(localreply.NoEndpoint)
+		return r.reply(localreply.NoEndpoint)
 	}
-	x.service = x.routes.Services[index].Name
-	x.findHotKey()
+	r.service = r.routes.Services[index].Name
+	r.findHotKey()
 	return false
 }
 
 // findHotKey finds the key that a read asks for, and counts it.
-func (x *exchange) findHotKey() {
-	route := x.route
+func (r *outboundRequest) findHotKey() {
+	route := r.route
 	if route.HotKey.Location == "" || !route.Kind.Idempotent() {
 		return
 	}
-	path, query, _ := strings.Cut(x.request.RequestURI, "?")
-	key := route.HotKey.Extract(route.Prefix, path, query, x.record.keepHeader(x.request.Header.Get))
-	x.hotKey = hotkeys.Hash(x.service, key)
-	x.outbound.options.KeyMeter.Record(x.hotKey, route.Name, x.service, x.usualTime())
+	path, query, _ := strings.Cut(r.request.RequestURI, "?")
+	key := route.HotKey.Extract(route.Prefix, path, query, r.record.keepHeader(r.request.Header.Get))
+	r.hotKey = hotkeys.Hash(r.service, key)
+	r.outbound.options.KeyMeter.Record(r.hotKey, route.Name, r.service, r.usualTime())
 }
 
 // applyPolicy refuses requests that the route's policy does not allow.
-func (x *exchange) applyPolicy() (done bool) {
-	if x.route.Policy == nil {
+func (r *outboundRequest) applyPolicy() (done bool) {
+	if r.route.Policy == nil {
 		return false
 	}
-	path, query, _ := strings.Cut(x.request.RequestURI, "?")
-	allowed, err := x.route.Policy.Allows(routeconfig.PolicyInput{
-		Method:    x.request.Method,
+	path, query, _ := strings.Cut(r.request.RequestURI, "?")
+	allowed, err := r.route.Policy.Allows(routeconfig.PolicyInput{
+		Method:    r.request.Method,
 		Path:      path,
 		Query:     query,
-		Caller:    x.outbound.options.Service,
-		BodyBytes: int(x.request.ContentLength),
-		Header:    x.record.keepHeader(x.request.Header.Get),
+		Caller:    r.outbound.options.Service,
+		BodyBytes: int(r.request.ContentLength),
+		Header:    r.record.keepHeader(r.request.Header.Get),
 	})
 	if err != nil {
-		x.outbound.options.Log.Warn("failed to evaluate policy", "route", x.route.Name, "error", err)
+		r.outbound.options.Log.Warn("failed to evaluate policy", "route", r.route.Name, "error", err)
 	}
 	if !allowed {
-		return x.reply(localreply.Forbidden)
+		return r.reply(localreply.Forbidden)
 	}
 	return false
 }
@@ -85,22 +85,22 @@
 
 // setDeadline bounds the request by its client's deadline and its route's
 // timeout.
-func (x *exchange) setDeadline() (done bool) {
-	timeout := x.timeout()
-	x.deadline = x.started.Add(timeout)
-	if !x.outbound.endsInTime(x.route.Name, x.deadline) {
-		return x.reply(localreply.NotReady)
-	}
-	x.firstSeen = x.outbound.routeStats.isFirstSeen(x.route.Name, timeout)
-	ctx, pending, release := x.outbound.pending.add(x.request.Context(), x.route.Name, x.deadline)
-	x.onClose(release)
-	x.ctx, x.pending = ctx, pending
+func (r *outboundRequest) setDeadline() (done bool) {
+	timeout := r.timeout()
+	r.deadline = r.started.Add(timeout)
+	if !r.outbound.endsInTime(r.route.Name, r.deadline) {
+		return r.reply(localreply.NotReady)
+	}
+	r.firstSeen = r.outbound.routeStats.isFirstSeen(r.route.Name, timeout)
+	ctx, pending, release := r.outbound.pending.add(r.request.Context(), r.route.Name, r.deadline)
+	r.onClose(release)
+	r.ctx, r.pending = ctx, pending
 	return false
 }
 
-func (x *exchange) timeout() time.Duration {
-	requested, ok := parseDeadline(x.request.Header)
-	limit := x.route.Timeout
+func (r *outboundRequest) timeout() time.Duration {
+	requested, ok := parseDeadline(r.request.Header)
+	limit := r.route.Timeout
 	switch {
 	case limit > 0 && (!ok || limit < requested):
 		return limit
@@ -111,34 +111,34 @@
 }
 
 // readBody keeps the request's body as far as BufferLimit allows.
-func (x *exchange) readBody() (done bool) {
-	limit := x.routes.Limits.MaxBodyBytes
-	if x.request.ContentLength > limit {
-		return x.reply(localreply.BodyTooLarge)
+func (r *outboundRequest) readBody() (done bool) {
+	limit := r.routes.Limits.MaxBodyBytes
+	if r.request.ContentLength > limit {
+		return r.reply(localreply.BodyTooLarge)
 	}
-	if x.request.ContentLength == 0 {
-		x.body.complete = true
+	if r.request.ContentLength == 0 {
+		r.body.complete = true
 		return false
 	}
-	setReadDeadline(x.writer, x.deadline)
-	source := http.MaxBytesReader(x.writer, x.request.Body, limit)
-	kept, complete, err := readPrefix(source, x.request.ContentLength, x.outbound.options.BufferLimit)
+	setReadDeadline(r.writer, r.deadline)
+	source := http.MaxBytesReader(r.writer, r.request.Body, limit)
+	kept, complete, err := readPrefix(source, r.request.ContentLength, r.outbound.options.BufferLimit)
 	if err != nil {
-		return x.reply(x.bodyError(err))
+		return r.reply(r.bodyError(err))
 	}
-	x.body = requestBody{kept: kept, complete: complete}
+	r.body = requestBody{kept: kept, complete: complete}
 	if !complete {
-		x.body.remaining = &remainingBody{reader: source}
+		r.body.remaining = &remainingBody{reader: source}
 	}
 	return false
 }
 
-func (x *exchange) bodyError(err error) localreply.Reply {
+func (r *outboundRequest) bodyError(err error) localreply.Reply {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return localreply.BodyTooLarge
-	case x.isExpired():
+	case r.isExpired():
 		return localreply.Expired
 	}
 	return localreply.BodyIncomplete
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -8,28 +8,28 @@
 	"corkcove/internal/proxy/retry"
 )
 
-// tryEndpoint makes an attempt. A request that may run twice gets a hedged
+// attemptWithHedge makes an attempt. A request that may run twice gets a hedged
 // attempt beside it, paid by the budget, once the first has been silent for much
 // longer than usual; the first good answer counts, and the other is let end by
 // itself.
-func (x *exchange) tryEndpoint(endpoint *loadbalancer.Endpoint) attemptResult {
-	shortWait := x.plan.ShortWait()
-	if !x.body.complete || !x.plan.MayHedge() {
-		return x.attempt(x.ctx, endpoint, shortWait, x.plan.MayRetry())
+func (r *outboundRequest) attemptWithHedge(endpoint *loadbalancer.Endpoint) attemptResult {
+	shortWait := r.plan.ShortWait()
+	if !r.body.complete || !r.plan.MayHedge() {
+		return r.attempt(r.ctx, endpoint, shortWait, r.plan.MayRetry())
 	}
-	pair := hedgedPair{exchange: x, shortWait: shortWait, results: make(chan hedgedResult, 2)}
+	pair := hedgedPair{request: r, shortWait: shortWait, results: make(chan hedgedResult, 2)}
 	pair.start(0, endpoint)
-	delay := time.NewTimer(min(retry.HedgeDelay(x.usualTime()), time.Until(x.deadline)/2))
+	delay := time.NewTimer(min(retry.HedgeDelay(r.usualTime()), time.Until(r.deadline)/2))
 	defer delay.Stop()
 	select {
 	case only := <-pair.results:
 		return only.attemptResult
 	case <-delay.C:
 	}
-	if x.ctx.Err() != nil {
+	if r.ctx.Err() != nil {
 		return (<-pair.results).attemptResult
 	}
-	second, ok := x.plan.NextHedge()
+	second, ok := r.plan.NextHedge()
 	if !ok {
 		return (<-pair.results).attemptResult
 	}
@@ -39,10 +39,10 @@
 
 // hedgedPair is up to two attempts of one request under way at once.
 type hedgedPair struct {
-	exchange  *exchange
+	request   *outboundRequest
 	shortWait bool
 	results   chan hedgedResult
-	// detach keeps an attempt from being cancelled with the exchange.
+	// detach keeps an attempt from being canceled with the request.
 	detach [2]func() bool
 }
 
@@ -55,11 +55,11 @@
 // at the request's deadline at the latest.
 func (p *hedgedPair) start(index int, endpoint *loadbalancer.Endpoint) {
 	// The goroutine gets these rather than p, which so needs no heap.
-	x, shortWait, results := p.exchange, p.shortWait, p.results
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(x.request.Context()), x.deadline)
-	p.detach[index] = context.AfterFunc(x.ctx, cancel)
+	request, shortWait, results := p.request, p.shortWait, p.results
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(request.request.Context()), request.deadline)
+	p.detach[index] = context.AfterFunc(request.ctx, cancel)
 	go func() {
-		result := x.attempt(ctx, endpoint, shortWait, true)
+		result := request.attempt(ctx, endpoint, shortWait, true)
 		result.cancel = cancel
 		if result.outcome != retry.Answered {
 			cancel()
@@ -71,12 +71,12 @@
 // wait returns the result that counts of two attempts under way.
 func (p *hedgedPair) wait() attemptResult {
 	first := <-p.results
-	if first.outcome == retry.Answered || first.outcome == retry.ClientGone {
+	if first.outcome == retry.Answered || first.outcome == retry.Canceled {
 		p.detach[1-first.index]()
 		results := p.results
 		go func() { (<-results).discard() }()
 		return first.attemptResult
 	}
-	p.exchange.plan.HedgeFailed(first.endpoint, first.outcome)
+	p.request.plan.HedgeFailed(first.endpoint, first.outcome)
 	return (<-p.results).attemptResult
 }
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -39,9 +39,9 @@
 
 	draining atomic.Bool
 	pending  pendingRequests
-	// heldBytes is how much of responses is kept beyond BufferLimit.
-	heldBytes atomic.Int64
-	sent      sentRate
+	// bufferedBytes is how much of responses is kept beyond BufferLimit.
+	bufferedBytes atomic.Int64
+	sent          sentRate
 }
 
 // NewInbound returns an inbound chain.
@@ -52,10 +52,10 @@
 
 // inboundFilters are the steps of a request, in order. Each tells whether the
 // request has ended with it.
-var inboundFilters = [...]func(*inboundExchange) (done bool){
-	(*inboundExchange).readHeaders,
-	(*inboundExchange).admit,
-	(*inboundExchange).forward,
+var inboundFilters = [...]func(*inboundRequest) (done bool){
+	(*inboundRequest).readHeaders,
+	(*inboundRequest).admit,
+	(*inboundRequest).forward,
 }
 
 // ServeHTTP carries one request. It panics with http.ErrAbortHandler where the
@@ -66,10 +66,10 @@
 	if n.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &inboundExchange{inbound: n, writer: w, request: r}
-	defer x.close()
+	request := &inboundRequest{inbound: n, writer: w, request: r}
+	defer request.close()
 	for _, filter := range inboundFilters {
-		if filter(x) {
+		if filter(request) {
 			return
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // inboundExchange is one request on its way through the inbound chain.
-type inboundExchange struct {
+type inboundRequest struct {
 	inbound  *Inbound
 	writer   http.ResponseWriter
 	request  *http.Request
@@ -108,46 +108,46 @@
 	releaseSlot func()
 }
 
-// onClose runs f when the exchange ends; the last one added runs first.
-func (x *inboundExchange) onClose(f func()) { x.cleanups = append(x.cleanups, f) }
+// onClose runs f when the request ends; the last one added runs first.
+func (r *inboundRequest) onClose(f func()) { r.cleanups = append(r.cleanups, f) }
 
-func (x *inboundExchange) close() {
-	for i := len(x.cleanups) - 1; i >= 0; i-- {
-		x.cleanups[i]()
+func (r *inboundRequest) close() {
+	for i := len(r.cleanups) - 1; i >= 0; i-- {
+		r.cleanups[i]()
 	}
 }
 
 // reply answers that the attempt brought no answer of the endpoint.
-func (x *inboundExchange) reply(outcome nodeOutcome, reason string) (done bool) {
-	h := x.writer.Header()
+func (r *inboundRequest) reply(outcome nodeOutcome, reason string) (done bool) {
+	h := r.writer.Header()
 	h["Date"] = nil
 	h.Set(headerOutcome, string(outcome))
 	h.Set(headerReason, reason)
-	h.Set(headerLoad, x.inbound.loadReport().String())
+	h.Set(headerLoad, r.inbound.loadReport().String())
 	h.Set("Content-Length", "0")
 	code := http.StatusBadGateway
 	if outcome == nodeRejected || outcome == nodeUnreachable {
 		code = http.StatusServiceUnavailable
 	}
-	x.writer.WriteHeader(code)
+	r.writer.WriteHeader(code)
 	return true
 }
 
 // readHeaders reads what the sender says of the request and bounds it by its
 // deadline.
-func (x *inboundExchange) readHeaders() (done bool) {
-	h := x.request.Header
-	x.requestID, x.instance = h.Get(headerRequestID), h.Get(headerExpectInstance)
+func (r *inboundRequest) readHeaders() (done bool) {
+	h := r.request.Header
+	r.requestID, r.instance = h.Get(headerRequestID), h.Get(headerExpectInstance)
 	// A request without a priority is among the first.
-	x.priority, _ = strconv.Atoi(h.Get(headerPriority))
+	r.priority, _ = strconv.Atoi(h.Get(headerPriority))
 	timeout, ok := parseDeadline(h)
-	if !ok || x.instance == "" {
-		return x.reply(nodeRejected, reasonMalformed)
+	if !ok || r.instance == "" {
+		return r.reply(nodeRejected, reasonMalformed)
 	}
-	x.deadline = time.Now().Add(timeout)
-	ctx, pending, release := x.inbound.pending.add(x.request.Context(), "", x.deadline)
-	x.onClose(release)
-	x.ctx, x.pending = ctx, pending
+	r.deadline = time.Now().Add(timeout)
+	ctx, pending, release := r.inbound.pending.add(r.request.Context(), "", r.deadline)
+	r.onClose(release)
+	r.ctx, r.pending = ctx, pending
 	return false
 }
 
@@ -159,29 +159,29 @@
 }
 
 // admit waits for one of the endpoint's slots.
-func (x *inboundExchange) admit() (done bool) {
-	h := x.request.Header
-	if bulk := h.Get(headerBulk); bulk != "" && x.inbound.options.Pacer.backlog(time.Now()) > maxLinkBacklog[bulk] {
-		return x.reply(nodeRejected, reasonLinkFull)
+func (r *inboundRequest) admit() (done bool) {
+	h := r.request.Header
+	if bulk := h.Get(headerBulk); bulk != "" && r.inbound.options.Pacer.backlog(time.Now()) > maxLinkBacklog[bulk] {
+		return r.reply(nodeRejected, reasonLinkFull)
 	}
 	priority := endpointagent.Priority{
 		Late:     h.Get(headerLate) != "",
-		Rank:     x.priority,
-		Deadline: x.deadline,
+		Rank:     r.priority,
+		Deadline: r.deadline,
 		Hot:      h.Get(headerHotKey) != "",
 	}
-	release, rejected := x.inbound.options.Agent.Admit(x.ctx, x.instance, priority, x.maxQueueWait())
+	release, rejected := r.inbound.options.Agent.Admit(r.ctx, r.instance, priority, r.maxQueueWait())
 	if rejected != endpointagent.NotRejected {
-		return x.reply(nodeRejected, string(rejected))
+		return r.reply(nodeRejected, string(rejected))
 	}
-	x.releaseSlot = sync.OnceFunc(release)
-	x.onClose(x.releaseSlot)
+	r.releaseSlot = sync.OnceFunc(release)
+	r.onClose(r.releaseSlot)
 	return false
 }
 
-func (x *inboundExchange) maxQueueWait() time.Duration {
-	limit := time.Until(x.deadline)
-	if ms, err := strconv.ParseInt(x.request.Header.Get(headerQueueWait), 10, 32); err == nil {
+func (r *inboundRequest) maxQueueWait() time.Duration {
+	limit := time.Until(r.deadline)
+	if ms, err := strconv.ParseInt(r.request.Header.Get(headerQueueWait), 10, 32); err == nil {
 		limit = min(limit, time.Duration(ms)*time.Millisecond)
 	}
 	return limit
@@ -192,121 +192,121 @@
 const forwardMargin = 2 * time.Millisecond
 
 // forward sends the request to the endpoint.
-func (x *inboundExchange) forward() (done bool) {
-	request := x.newRequest()
+func (r *inboundRequest) forward() (done bool) {
+	request := r.newRequest()
 	started := time.Now()
-	idempotent := x.request.Header.Get(headerOnce) == ""
-	response, outcome, err := x.inbound.options.AppClient.send(request, x.requestID, idempotent)
+	idempotent := r.request.Header.Get(headerOnce) == ""
+	response, outcome, err := r.inbound.options.AppClient.send(request, r.requestID, idempotent)
 	switch {
 	case outcome == callAnswered:
 		defer closeBody(response)
-		return x.relay(response, started)
+		return r.relay(response, started)
 	case outcome == callDeclined:
-		x.recordOutcome(false)
-		return x.reply(nodeDeclined, strconv.Itoa(response.StatusCode))
-	case x.ctx.Err() != nil && outcome != callBroken:
-		return x.reply(nodeRejected, string(endpointagent.RejectedLate))
-	case x.ctx.Err() != nil:
-		return x.interrupted()
+		r.recordOutcome(false)
+		return r.reply(nodeDeclined, strconv.Itoa(response.StatusCode))
+	case r.ctx.Err() != nil && outcome != callBroken:
+		return r.reply(nodeRejected, string(endpointagent.RejectedLate))
+	case r.ctx.Err() != nil:
+		return r.interrupted()
 	case outcome == callDialFailed:
-		x.inbound.options.Agent.RecordConnectionRefused(x.instance)
-		return x.reply(nodeUnreachable, reasonDialFailed)
+		r.inbound.options.Agent.RecordConnectionRefused(r.instance)
+		return r.reply(nodeUnreachable, reasonDialFailed)
 	case outcome == callNotSent:
-		return x.reply(nodeUnreachable, reasonNotSent)
+		return r.reply(nodeUnreachable, reasonNotSent)
 	}
-	x.recordOutcome(false)
-	return x.reply(nodeLost, err.Error())
+	r.recordOutcome(false)
+	return r.reply(nodeLost, err.Error())
 }
 
-func (x *inboundExchange) newRequest() *http.Request {
-	headers := forwardedHeaders(x.request, 0)
-	headers[headerDeadline] = []string{formatMillis(time.Until(x.deadline) - forwardMargin)}
-	r := forwardedRequest(x.ctx, x.request, x.inbound.options.AppAddr, headers)
-	if x.request.ContentLength == 0 {
-		r.Body = singleUseBody{strings.NewReader("")}
-		return r
+func (r *inboundRequest) newRequest() *http.Request {
+	headers := forwardedHeaders(r.request, 0)
+	headers[headerDeadline] = []string{formatMillis(time.Until(r.deadline) - forwardMargin)}
+	forwarded := forwardedRequest(r.ctx, r.request, r.inbound.options.AppAddr, headers)
+	if r.request.ContentLength == 0 {
+		forwarded.Body = singleUseBody{strings.NewReader("")}
+		return forwarded
 	}
-	r.Body = singleUseBody{x.request.Body}
-	setReadDeadline(x.writer, x.deadline)
-	return r
+	forwarded.Body = singleUseBody{r.request.Body}
+	setReadDeadline(r.writer, r.deadline)
+	return forwarded
 }
 
 // interrupted answers a request whose context ended while the endpoint may have
 // been running it.
-func (x *inboundExchange) interrupted() (done bool) {
-	if shutDown(x.ctx) {
-		return x.reply(nodeLost, reasonShutdown)
+func (r *inboundRequest) interrupted() (done bool) {
+	if isShutdown(r.ctx) {
+		return r.reply(nodeLost, reasonShutdown)
 	}
-	if time.Now().After(x.deadline) {
-		x.recordOutcome(false)
+	if time.Now().After(r.deadline) {
+		r.recordOutcome(false)
 	}
-	return x.reply(nodeTimedOut, reasonDeadline)
+	return r.reply(nodeTimedOut, reasonDeadline)
 }
 
 // recordOutcome tells the agent whether the endpoint did what was asked of it.
-func (x *inboundExchange) recordOutcome(success bool) {
-	x.inbound.options.Agent.RecordOutcome(x.instance, success)
+func (r *inboundRequest) recordOutcome(success bool) {
+	r.inbound.options.Agent.RecordOutcome(r.instance, success)
 }
 
 const (
-	// maxHeldBytes bounds the responses that a node keeps whole for its link, so
+	// maxBufferedBytes bounds the responses that a node keeps whole for its link, so
 	// that the endpoint's slot is free before they are on their way.
-	maxHeldBytes = 24 << 20
-	// maxHeldResponse bounds one of them.
-	maxHeldResponse = maxHeldBytes / 4
+	maxBufferedBytes = 24 << 20
+	// maxBufferedResponse bounds one of them.
+	maxBufferedResponse = maxBufferedBytes / 4
 	// responseOverhead is about what a response takes of the link beside its body,
 	// in bytes.
 	responseOverhead = 600
 )
 
 // relay passes the endpoint's response on.
-func (x *inboundExchange) relay(response *http.Response, started time.Time) (done bool) {
-	n := x.inbound
-	prefix, complete, err := readPrefix(response.Body, response.ContentLength, x.bufferLimit(response))
-	if err != nil && x.request.Method != http.MethodHead {
-		return x.relayFailed(err)
+func (r *inboundRequest) relay(response *http.Response, started time.Time) (done bool) {
+	n := r.inbound
+	prefix, complete, err := readPrefix(response.Body, response.ContentLength, r.bufferLimit(response))
+	if err != nil && r.request.Method != http.MethodHead {
+		return r.relayFailed(err)
 	}
-	n.pending.remove(x.pending)
-	x.recordOutcome(response.StatusCode < 500)
+	n.pending.remove(r.pending)
+	r.recordOutcome(response.StatusCode < 500)
 	if complete {
-		n.options.Agent.RecordResponse(x.instance, time.Since(started))
-		x.releaseSlot()
+		n.options.Agent.RecordResponse(r.instance, time.Since(started))
+		r.releaseSlot()
 	} else {
-		setWriteDeadline(x.writer, x.deadline)
+		setWriteDeadline(r.writer, r.deadline)
 	}
 	n.sent.add(max(response.ContentLength, int64(len(prefix)))+responseOverhead, time.Now())
-	x.writer.Header().Set(headerLoad, n.loadReport().String())
-	writeResponseHead(x.writer, x.request.Method, response, prefix, complete)
-	writeResponseBody(x.writer, response, prefix, complete, n.options.Pacer, x.deadline)
+	r.writer.Header().Set(headerLoad, n.loadReport().String())
+	writeResponseHead(r.writer, r.request.Method, response, prefix, complete)
+	writeResponseBody(r.writer, response, prefix, complete, n.options.Pacer, r.deadline)
 	if !complete {
-		n.options.Agent.RecordResponse(x.instance, time.Since(started))
+		n.options.Agent.RecordResponse(r.instance, time.Since(started))
 	}
 	return true
 }
 
 // bufferLimit returns how much of a response is kept: all of a larger one too,
 // while there is room for it.
-func (x *inboundExchange) bufferLimit(response *http.Response) int {
-	n, length := x.inbound, response.ContentLength
+func (r *inboundRequest) bufferLimit(response *http.Response) int {
+	n, length := r.inbound, response.ContentLength
 	limit := int64(n.options.BufferLimit)
-	if length <= limit || length >= maxHeldResponse {
+	if length <= limit || length >= maxBufferedResponse {
 		return int(limit)
 	}
-	if n.heldBytes.Add(length) <= maxHeldBytes {
+	if n.bufferedBytes.Add(length) <= maxBufferedBytes {
 		limit = length
 	}
-	x.onClose(func() { n.heldBytes.Add(-length) })
+	r.onClose(func() { n.bufferedBytes.Add(-length) })
 	return int(limit)
 }
 
 // relayFailed answers a request whose response broke off at its start.
-func (x *inboundExchange) relayFailed(err error) (done bool) {
+func (r *inboundRequest) relayFailed(err error) (done bool) {
 	switch {
-	case shutDown(x.ctx):
-		return x.reply(nodeLost, reasonShutdown)
-	case x.ctx.Err() != nil:
-		return x.reply(nodeTimedOut, reasonDeadline)
+	case isShutdown(r.ctx):
+		return r.reply(nodeLost, reasonShutdown)
+	case r.ctx.Err() != nil:
+		return r.reply(nodeTimedOut, reasonDeadline)
 	}
-	x.recordOutcome(false)
-	return x.reply(nodeLost, err.Error())
+	r.recordOutcome(false)
+	return r.reply(nodeLost, err.Error())
 }
--- a/internal/proxy/loadbalancer/bench_test.go
+++ b/internal/proxy/loadbalancer/bench_test.go
@@ -5,13 +5,14 @@
 	"testing"
 	"time"
 
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/rpc/meshpb"
 )
 
 func benchView(endpoints int, direct bool) *meshpb.View {
 	v := &meshpb.View{Version: 1, Nodes: 1}
 	for i := range endpoints {
-		e := &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", Addr: fmt.Sprint("app", i), Zone: fmt.Sprint("z", i%3), Slots: 4, State: endpointUp}
+		e := &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", Addr: fmt.Sprint("app", i), Zone: fmt.Sprint("z", i%3), Slots: 4, State: string(lifecycle.Up)}
 		if !direct {
 			e.Inbound, e.Node = fmt.Sprint("in", i), fmt.Sprint("n", i)
 		}
--- a/internal/proxy/loadbalancer/direct.go
+++ b/internal/proxy/loadbalancer/direct.go
@@ -4,7 +4,7 @@
 // endpoints' whole load, so two are drawn and the one that owes this node less
 // and has answered it faster is taken.
 func (s *selection) pickDirect() *Endpoint {
-	if s.tryOutlier {
+	if s.probesOutlier {
 		isOutlier := func(e *Endpoint) bool { return e.outlier && e.isAvailable(s.now) }
 		if e := s.drawFitting(s.service.sameZone, isOutlier); e != nil {
 			return e
--- a/internal/proxy/loadbalancer/endpoint.go
+++ b/internal/proxy/loadbalancer/endpoint.go
@@ -67,8 +67,8 @@
 // EndAttempt ends what BeginAttempt began.
 func (e *Endpoint) EndAttempt() { e.inFlight.Add(-1) }
 
-// MarkDraining notes that this instance takes no more requests.
-func (e *Endpoint) MarkDraining() { e.draining.Store(true) }
+// SetDraining notes that this instance takes no more requests.
+func (e *Endpoint) SetDraining() { e.draining.Store(true) }
 
 // EjectFor keeps the endpoint from being chosen for a while, unless there is no
 // other.
--- a/internal/proxy/loadbalancer/hotkeys.go
+++ b/internal/proxy/loadbalancer/hotkeys.go
@@ -140,7 +140,7 @@
 
 // recentLoad returns the load last reported, or 0 where that was long ago.
 func (e *Endpoint) recentLoad(now int64) int64 {
-	if now-e.lastReport.Load() > int64(reportHalfLife) {
+	if now-e.lastReport.Load() > int64(reportHalfTime) {
 		return 0
 	}
 	return e.load.Load()
--- a/internal/proxy/loadbalancer/hotkeys_test.go
+++ b/internal/proxy/loadbalancer/hotkeys_test.go
@@ -8,6 +8,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/rpc/meshpb"
 )
 
@@ -18,7 +19,7 @@
 	for i := range 6 {
 		id := fmt.Sprint("e", i)
 		if id != gone {
-			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: id, Service: "s", Inbound: "in-" + id, Node: "n-" + id, Zone: "z", Slots: 4, State: endpointUp})
+			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: id, Service: "s", Inbound: "in-" + id, Node: "n-" + id, Zone: "z", Slots: 4, State: string(lifecycle.Up)})
 		}
 	}
 	if copies > 1 {
--- a/internal/proxy/loadbalancer/score.go
+++ b/internal/proxy/loadbalancer/score.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// reportHalfLife is the age at which a load report counts as much as what is
+	// reportHalfTime is the age at which a load report counts as much as what is
 	// usual in the endpoint's zone.
-	reportHalfLife = 500 * time.Millisecond
-	// linkHalfLife and workHalfLife are the same, in times of reportHalfLife, of
+	reportHalfTime = 500 * time.Millisecond
+	// linkHalfTime and workHalfTime are the same, in times of reportHalfTime, of
 	// links and of the time that a request takes, which change more slowly.
-	linkHalfLife = 4
-	workHalfLife = 8
+	linkHalfTime = 4
+	workHalfTime = 8
 	// unknownWork is what a request is taken to need while no endpoint of the
 	// service has reported.
 	unknownWork = float64(50 * time.Millisecond)
@@ -27,10 +27,10 @@
 const (
 	// quietLink is the use of a link below which it slows no request down.
 	quietLink = 0.35
-	// linkAtRest and linkLimit shape how bodies slow down as a link fills:
-	// linkAtRest / (linkLimit - use), which is 1 at quietLink.
-	linkAtRest = 0.7
-	linkLimit  = 1.05
+	// quietLinkScale and linkLimit shape how bodies slow down as a link fills:
+	// quietLinkScale / (linkLimit - use), which is 1 at quietLink.
+	quietLinkScale = 0.7
+	linkLimit      = 1.05
 	// smallOnFullLink is the part of a full link's slowness that requests with
 	// small bodies meet.
 	smallOnFullLink = 4
@@ -61,9 +61,9 @@
 	return score
 }
 
-// reportAge returns the age of the last load report in times of reportHalfLife.
+// reportAge returns the age of the last load report in times of reportHalfTime.
 func (e *Endpoint) reportAge(now int64) float64 {
-	return float64(now-e.lastReport.Load()) / float64(reportHalfLife)
+	return float64(now-e.lastReport.Load()) / float64(reportHalfTime)
 }
 
 // expectedLoad returns the requests running and queued at the endpoint, as far
@@ -80,11 +80,11 @@
 func (e *Endpoint) linkSlowdown(now int64) float64 {
 	age := e.reportAge(now)
 	usual := e.zoneLoad.links.value()
-	use := usual + (float64(e.linkPercent.Load())/100-usual)/(1+age*age/(linkHalfLife*linkHalfLife))
+	use := usual + (float64(e.linkPercent.Load())/100-usual)/(1+age*age/(linkHalfTime*linkHalfTime))
 	if use < quietLink {
 		return 1
 	}
-	return linkAtRest / (linkLimit - min(use, 1))
+	return quietLinkScale / (linkLimit - min(use, 1))
 }
 
 // expectedWork returns the time in nanoseconds that a request takes at the
@@ -94,7 +94,7 @@
 	if reported == 0 {
 		return usual
 	}
-	age := float64(now-e.lastReport.Load()) / float64(workHalfLife*reportHalfLife)
+	age := float64(now-e.lastReport.Load()) / float64(workHalfTime*reportHalfTime)
 	return usual + (float64(reported)-usual)/(1+age*age)
 }
 
--- a/internal/proxy/loadbalancer/select.go
+++ b/internal/proxy/loadbalancer/select.go
@@ -44,19 +44,19 @@
 	return false
 }
 
-// outlierTrialShare is the share of idempotent requests that try out an outlier,
+// outlierProbeShare is the share of idempotent requests that try out an outlier,
 // so that it is seen when it has recovered.
-const outlierTrialShare = 0.01
+const outlierProbeShare = 0.01
 
 // selection is one choice under way.
 type selection struct {
 	Criteria
-	balancer     *Balancer
-	service      *service
-	now          int64
-	remoteWeight float64
-	usualWork    float64
-	tryOutlier   bool
+	balancer      *Balancer
+	service       *service
+	now           int64
+	remoteWeight  float64
+	usualWork     float64
+	probesOutlier bool
 }
 
 // Pick returns the endpoint that should answer first, or nil if there is none.
@@ -69,11 +69,11 @@
 		return nil
 	}
 	s := selection{Criteria: c, balancer: b, service: service, now: b.now(), remoteWeight: b.remoteWeight}
-	s.tryOutlier = c.Idempotent && len(c.Tried) == 0 && b.random() < outlierTrialShare
+	s.probesOutlier = c.Idempotent && len(c.Tried) == 0 && b.random() < outlierProbeShare
 	if c.Bulk {
 		s.remoteWeight = b.bulkWeight
 	}
-	if c.Key != 0 && len(c.Tried) == 0 && !s.tryOutlier {
+	if c.Key != 0 && len(c.Tried) == 0 && !s.probesOutlier {
 		s.usualWork = usualWork(service.all)
 		if e := s.pickByKey(current.hotKeys[c.Key]); e != nil {
 			return e
@@ -89,7 +89,7 @@
 // pickByLoad serves nodes that know the endpoints' load from the nodes beside
 // them.
 func (s *selection) pickByLoad() *Endpoint {
-	if s.tryOutlier {
+	if s.probesOutlier {
 		if e := s.pickOutlier(); e != nil {
 			return e
 		}
@@ -99,14 +99,14 @@
 			return e
 		}
 	}
-	best, score, fallback := s.leastLoaded(s.service.sameZone)
+	best, score, fallback := s.bestScored(s.service.sameZone)
 	if best != nil && !s.AnyZone && s.keepsToZone(best, score) {
 		return best
 	}
 	if best != nil && s.isZoneBusy(best) {
 		s.remoteWeight = 1 + (s.remoteWeight-1)/busyZoneWeight
 	}
-	anywhere, _, fallbackAnywhere := s.leastLoaded(s.service.all)
+	anywhere, _, fallbackAnywhere := s.bestScored(s.service.all)
 	switch {
 	case anywhere != nil:
 		return anywhere
@@ -184,9 +184,9 @@
 	comparedScoreNoise = 0.3
 )
 
-// leastLoaded returns the endpoint with the lowest score, and one to fall back
+// bestScored returns the endpoint with the lowest score, and one to fall back
 // on where all are outliers or ejected.
-func (s *selection) leastLoaded(endpoints []*Endpoint) (best *Endpoint, bestScore float64, fallback *Endpoint) {
+func (s *selection) bestScored(endpoints []*Endpoint) (best *Endpoint, bestScore float64, fallback *Endpoint) {
 	if len(endpoints) > maxCompared {
 		if best, bestScore = s.bestOfDrawn(endpoints); best != nil {
 			return best, bestScore, nil
--- a/internal/proxy/loadbalancer/view.go
+++ b/internal/proxy/loadbalancer/view.go
@@ -10,9 +10,6 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// endpointUp is the state of an endpoint that takes requests, as views have it.
-const endpointUp = string(lifecycle.Up)
-
 // table is what one view says. It is never changed once it is in use.
 type table struct {
 	services map[string]*service
@@ -66,7 +63,7 @@
 		addr:          published.Addr,
 		zone:          published.Zone,
 		slots:         max(int64(published.Slots), 1),
-		up:            published.State == endpointUp,
+		up:            lifecycle.State(published.State) == lifecycle.Up,
 		warmingUp:     published.WarmupMs > 0,
 		outlier:       published.Outlier,
 		hash:          xxhash.Sum64String(published.Id),
--- a/internal/proxy/localreply/localreply.go
+++ b/internal/proxy/localreply/localreply.go
@@ -86,9 +86,9 @@
 // 0 where it is not asked to.
 func (r Reply) RetryAfter() time.Duration { return definitions[r].retryAfter }
 
-// PromisesNotRun tells whether a status code says that the request has not run
+// GuaranteesNotRun tells whether a status code says that the request has not run
 // and never will.
-func PromisesNotRun(code int) bool {
+func GuaranteesNotRun(code int) bool {
 	switch code {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -108,14 +108,14 @@
 
 // outboundFilters are the steps of a request, in order. Each tells whether the
 // request has ended with it.
-var outboundFilters = [...]func(*exchange) (done bool){
-	(*exchange).checkReady,
-	(*exchange).matchRoute,
-	(*exchange).applyPolicy,
-	(*exchange).setDeadline,
-	(*exchange).readBody,
-	(*exchange).pinSession,
-	(*exchange).sendToEndpoints,
+var outboundFilters = [...]func(*outboundRequest) (done bool){
+	(*outboundRequest).checkReady,
+	(*outboundRequest).matchRoute,
+	(*outboundRequest).applyPolicy,
+	(*outboundRequest).setDeadline,
+	(*outboundRequest).readBody,
+	(*outboundRequest).pinSession,
+	(*outboundRequest).sendToEndpoints,
 }
 
 // ServeHTTP carries one request. It panics with http.ErrAbortHandler where the
@@ -124,11 +124,11 @@
 	o.InFlight.Add(1)
 	defer o.InFlight.Add(-1)
 	o.announceConnection(w.Header())
-	x := &exchange{outbound: o, writer: w, request: r, started: time.Now()}
-	x.record = o.newRecord(x)
-	defer x.close()
+	request := &outboundRequest{outbound: o, writer: w, request: r, started: time.Now()}
+	request.record = o.newRecord(request)
+	defer request.close()
 	for _, filter := range outboundFilters {
-		if filter(x) {
+		if filter(request) {
 			return
 		}
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/outboundrequest.go
@@ -13,8 +13,8 @@
 	"corkcove/internal/routeconfig"
 )
 
-// exchange is one request on its way through the outbound chain.
-type exchange struct {
+// outboundRequest is one request on its way through the outbound chain.
+type outboundRequest struct {
 	outbound *Outbound
 	writer   http.ResponseWriter
 	request  *http.Request
@@ -50,13 +50,13 @@
 	remaining *remainingBody
 }
 
-// onClose runs f when the exchange ends; the last one added runs first.
-func (x *exchange) onClose(f func()) { x.cleanups = append(x.cleanups, f) }
+// onClose runs f when the request ends; the last one added runs first.
+func (r *outboundRequest) onClose(f func()) { r.cleanups = append(r.cleanups, f) }
 
-func (x *exchange) close() {
-	x.saveRecord()
-	for i := len(x.cleanups) - 1; i >= 0; i-- {
-		x.cleanups[i]()
+func (r *outboundRequest) close() {
+	r.saveRecord()
+	for i := len(r.cleanups) - 1; i >= 0; i-- {
+		r.cleanups[i]()
 	}
 }
 
@@ -65,69 +65,71 @@
 const maxQueueRetryAfter = time.Second
 
 // reply answers the request with a response of this node's own.
-func (x *exchange) reply(reply localreply.Reply) (done bool) {
-	x.outbound.LocalReplies[reply].Add(1)
-	x.record.setReply(reply.Code(), reply.Text())
-	h := x.writer.Header()
+func (r *outboundRequest) reply(reply localreply.Reply) (done bool) {
+	r.outbound.LocalReplies[reply].Add(1)
+	r.record.setReply(reply.Code(), reply.Text())
+	h := r.writer.Header()
 	h["Date"] = nil
 	h["Content-Type"] = []string{"text/plain"}
 	if after := reply.RetryAfter(); after > 0 {
-		after = max(after, x.session.retryAfter, min(x.plan.QueueTime(), maxQueueRetryAfter))
+		after = max(after, r.session.retryAfter, min(r.plan.QueueTime(), maxQueueRetryAfter))
 		// Spread, so that those refused together don't come back together.
 		after += time.Duration(rand.Int64N(int64(after)))
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 	h.Set("Content-Length", strconv.Itoa(len(reply.Text())))
-	x.writer.WriteHeader(reply.Code())
+	r.writer.WriteHeader(reply.Code())
 	// A client that has left can't be told.
-	_, _ = io.WriteString(x.writer, reply.Text())
+	_, _ = io.WriteString(r.writer, reply.Text())
 	return true
 }
 
 // giveUp ends a request that got no endpoint's answer.
-func (x *exchange) giveUp(reply localreply.Reply) (done bool) {
-	if x.isClientGone() {
-		x.abort()
+func (r *outboundRequest) giveUp(reply localreply.Reply) (done bool) {
+	if r.isCanceled() {
+		r.abort()
 	}
-	if x.plan.MayHaveRun() {
-		x.recordResponseTime()
+	if r.plan.MayHaveRun() {
+		r.recordResponseTime()
 	}
-	reply = x.plan.FinalReply(reply, x.isExpired())
-	if reply == localreply.TimedOut && shutDown(x.ctx) {
+	reply = r.plan.FinalReply(reply, r.isExpired())
+	if reply == localreply.TimedOut && isShutdown(r.ctx) {
 		reply = localreply.ShuttingDown
 	}
-	return x.reply(reply)
+	return r.reply(reply)
 }
 
 // abort ends a request whose client has left. To return without an answer would
 // be an empty success to one that has closed its sending side only.
-func (x *exchange) abort() {
-	x.recordResponseTime()
+func (r *outboundRequest) abort() {
+	r.recordResponseTime()
 	panic(http.ErrAbortHandler)
 }
 
 // recordResponseTime notes how long a request took that may have run, or whose
 // client gave it up.
-func (x *exchange) recordResponseTime() {
-	x.outbound.responseTimes.record(x.route.Name, time.Since(x.started))
+func (r *outboundRequest) recordResponseTime() {
+	r.outbound.responseTimes.record(r.route.Name, time.Since(r.started))
 }
 
-func (x *exchange) isExpired() bool { return !time.Now().Before(x.deadline) }
+func (r *outboundRequest) isExpired() bool { return !time.Now().Before(r.deadline) }
 
-// isClientGone tells that the client has left, not that its time is over.
-func (x *exchange) isClientGone() bool { return x.request.Context().Err() != nil && !x.isExpired() }
+// isCanceled tells that the client has left, not that its time is over.
+func (r *outboundRequest) isCanceled() bool {
+	return r.request.Context().Err() != nil && !r.isExpired()
+}
 
 // sleep tells whether the request still goes on after the pause.
-func (x *exchange) sleep(d time.Duration) bool {
+func (r *outboundRequest) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-x.ctx.Done():
+	case <-r.ctx.Done():
 		return false
 	}
 }
 
 // usualTime returns how long the route's requests usually take.
-func (x *exchange) usualTime() time.Duration { return x.outbound.routeStats.usual(x.route.Name) }
+func (r *outboundRequest) usualTime() time.Duration { return r.outbound.routeStats.usual(r.route.Name) }
--- a/internal/proxy/pacer.go
+++ b/internal/proxy/pacer.go
@@ -11,9 +11,9 @@
 	// pacedShare is the share of the link's rate at which large bodies are
 	// written; the rest is for small ones and for what the link adds.
 	pacedShare = 0.91
-	// pieceBytes is how much of a large body is written at once; bodies up to that
+	// chunkBytes is how much of a large body is written at once; bodies up to that
 	// size are small.
-	pieceBytes = 16 << 10
+	chunkBytes = 16 << 10
 	// agingShare is how much a waiting body gains on later ones, in shares of what
 	// the link carries meanwhile.
 	agingShare = 0.5
@@ -84,8 +84,8 @@
 	return &Pacer{bytesPerSecond: mbps * 1e6 / 8 * pacedShare, started: time.Now()}
 }
 
-// carryTime is how long the link takes for so many bytes.
-func (p *Pacer) carryTime(bytes int) time.Duration {
+// transferTime is how long the link takes for so many bytes.
+func (p *Pacer) transferTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / p.bytesPerSecond * float64(time.Second))
 }
 
@@ -98,7 +98,7 @@
 		p.free = now
 	}
 	wait := p.free.Sub(now)
-	p.free = p.free.Add(p.carryTime(bytes))
+	p.free = p.free.Add(p.transferTime(bytes))
 	return wait
 }
 
@@ -109,7 +109,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.free.Sub(now), 0) + p.carryTime(p.largeBytes)
+	return max(p.free.Sub(now), 0) + p.transferTime(p.largeBytes)
 }
 
 // acquire waits until the link is a large body's, or until the deadline. Calling
@@ -121,7 +121,7 @@
 		return func() {}
 	}
 	passOn := sync.OnceFunc(func() { p.passOn(bytes) })
-	stalled := time.AfterFunc(2*p.carryTime(bytes)+stallAllowance, passOn)
+	stalled := time.AfterFunc(2*p.transferTime(bytes)+stallAllowance, passOn)
 	return func() {
 		stalled.Stop()
 		passOn()
@@ -184,7 +184,7 @@
 // write writes b; a small body takes its share of the link and does not wait.
 // After the deadline, what is left is written at once.
 func (p *Pacer) write(w io.Writer, b []byte, deadline time.Time) error {
-	if p == nil || len(b) <= pieceBytes {
+	if p == nil || len(b) <= chunkBytes {
 		if p != nil {
 			p.reserve(len(b), time.Now())
 		}
@@ -193,7 +193,7 @@
 	}
 	defer p.acquire(len(b), deadline)()
 	for len(b) > 0 {
-		n := min(len(b), pieceBytes)
+		n := min(len(b), chunkBytes)
 		if wait := min(p.reserve(n, time.Now()), time.Until(deadline)); wait > 0 {
 			time.Sleep(wait)
 		}
--- a/internal/proxy/pending.go
+++ b/internal/proxy/pending.go
@@ -11,8 +11,8 @@
 // ends.
 var errShutdown = errors.New("the process is shutting down")
 
-// shutDown tells that ctx was cancelled because the process ends.
-func shutDown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
+// isShutdown tells that ctx was cancelled because the process ends.
+func isShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
 // pendingRequest is an accepted request whose answer has not begun.
 type pendingRequest struct {
--- a/internal/proxy/requestrecord.go
+++ b/internal/proxy/requestrecord.go
@@ -17,45 +17,45 @@
 	entry *meshpb.RequestRecord
 }
 
-func (o *Outbound) newRecord(x *exchange) *requestRecord {
+func (o *Outbound) newRecord(request *outboundRequest) *requestRecord {
 	if o.options.RequestLog == nil {
 		return nil
 	}
 	o.options.RequestLog.Begin()
 	return &requestRecord{entry: &meshpb.RequestRecord{
-		Id:        x.request.Header.Get(headerRequestID),
-		AtUs:      x.started.UnixMicro(),
-		Method:    x.request.Method,
-		Host:      strings.Clone(x.request.Host),
-		Target:    strings.Clone(x.request.RequestURI),
+		Id:        request.request.Header.Get(headerRequestID),
+		AtUs:      request.started.UnixMicro(),
+		Method:    request.request.Method,
+		Host:      strings.Clone(request.request.Host),
+		Target:    strings.Clone(request.request.RequestURI),
 		Caller:    o.options.Service,
-		BodyBytes: x.request.ContentLength,
+		BodyBytes: request.request.ContentLength,
 	}}
 }
 
 // saveRecord puts the request's entry into the log.
-func (x *exchange) saveRecord() {
-	if x.record == nil {
+func (r *outboundRequest) saveRecord() {
+	if r.record == nil {
 		return
 	}
-	entry := x.record.take()
-	entry.TookUs = time.Since(x.started).Microseconds()
-	if x.route != nil {
-		entry.Route = x.route.Name
-		entry.Kind = x.route.Kind.String()
-		entry.LatencyTargetUs = x.route.LatencyTarget.Microseconds()
-		entry.Service = x.service
-		entry.Session = x.session.key
-		entry.DueUs = x.deadline.Sub(x.started).Microseconds()
-		entry.FirstSeen = x.firstSeen
+	entry := r.record.take()
+	entry.TookUs = time.Since(r.started).Microseconds()
+	if r.route != nil {
+		entry.Route = r.route.Name
+		entry.Kind = r.route.Kind.String()
+		entry.LatencyTargetUs = r.route.LatencyTarget.Microseconds()
+		entry.Service = r.service
+		entry.Session = r.session.key
+		entry.DueUs = r.deadline.Sub(r.started).Microseconds()
+		entry.FirstSeen = r.firstSeen
 	}
-	if x.routes != nil {
-		entry.Config = x.routes.Version
+	if r.routes != nil {
+		entry.Config = r.routes.Version
 	}
-	if requested, ok := parseDeadline(x.request.Header); ok {
+	if requested, ok := parseDeadline(r.request.Header); ok {
 		entry.DeadlineUs = requested.Microseconds()
 	}
-	x.outbound.options.RequestLog.End(entry, x.outbound.options.RetryBudget.Balance)
+	r.outbound.options.RequestLog.End(entry, r.outbound.options.RetryBudget.Balance)
 }
 
 // take returns the entry; what is noted later is dropped.
@@ -89,17 +89,17 @@
 	}
 }
 
-func (r *requestRecord) addAttempt(x *exchange, result attemptResult, started time.Time) {
+func (r *requestRecord) addAttempt(request *outboundRequest, result attemptResult, started time.Time) {
 	if r == nil {
 		return
 	}
 	attempt := &meshpb.Attempt{
 		Endpoint: result.endpoint.ID(),
 		Node:     result.endpoint.Node(),
-		AtUs:     started.Sub(x.started).Microseconds(),
+		AtUs:     started.Sub(request.started).Microseconds(),
 		TookUs:   result.took.Microseconds(),
 		Outcome:  result.outcome.String(),
-		Service:  x.service,
+		Service:  request.service,
 	}
 	if result.outcome == retry.Answered {
 		attempt.Code = uint32(result.response.StatusCode)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -33,7 +33,7 @@
 		return invalidEncoding
 	case success && endsWithConnection(response):
 		return invalidOpenEnd
-	case !idempotent && localreply.PromisesNotRun(response.StatusCode):
+	case !idempotent && localreply.GuaranteesNotRun(response.StatusCode):
 		return invalidPromise
 	}
 	return ""
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -92,8 +92,8 @@
 	u.requestsSum++
 }
 
-// TrySpend pays for one more attempt and tells whether the balance allowed it.
-func (b *Budget) TrySpend(service string) bool {
+// Spend pays for one more attempt and tells whether the balance allowed it.
+func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.use(service)
--- a/internal/proxy/retry/budget_test.go
+++ b/internal/proxy/retry/budget_test.go
@@ -51,7 +51,7 @@
 						b.RecordRequest("s")
 						e.asks++
 					}
-					for b.TrySpend("s") {
+					for b.Spend("s") {
 						e.got++
 					}
 				}
@@ -72,15 +72,15 @@
 	}
 }
 
-func TestShareBelowOneAddsUpToAWholeToken(t *testing.T) {
+func TestShareBelowOneAddsUpToOneRetry(t *testing.T) {
 	now := time.Duration(0)
 	b := NewBudget(0.2, 50, 10*time.Second, func() int { return 100 }, func() time.Duration { return now })
-	qt.Assert(t, b.TrySpend("s"), qt.IsFalse)
+	qt.Assert(t, b.Spend("s"), qt.IsFalse)
 	n := 0
 	for range 100 {
 		now += 20 * time.Millisecond
 		b.RecordRequest("s")
-		if b.TrySpend("s") {
+		if b.Spend("s") {
 			n++
 		}
 	}
--- a/internal/proxy/retry/outcome.go
+++ b/internal/proxy/retry/outcome.go
@@ -19,8 +19,8 @@
 	// TimedOut attempts were still under way when the request's time was over;
 	// the request may have run.
 	TimedOut
-	// ClientGone attempts were given up because the client left.
-	ClientGone
+	// Canceled attempts were given up because the client left.
+	Canceled
 )
 
 // outcomeNames are the outcomes as request records keep them.
@@ -31,7 +31,7 @@
 	Declined:    "turned away",
 	Failed:      "unsure",
 	TimedOut:    "late",
-	ClientGone:  "quit",
+	Canceled:    "quit",
 }
 
 // String returns the outcome as request records keep it.
--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -116,7 +116,7 @@
 		}
 		return nil, Wait
 	}
-	if p.arrivals > 0 && !p.budget.TrySpend(p.service) {
+	if p.arrivals > 0 && !p.budget.Spend(p.service) {
 		return nil, GiveUp
 	}
 	return endpoint, Send
@@ -168,7 +168,7 @@
 	switch outcome {
 	case Rejected:
 		p.rejected++
-		p.noteQueueTime(endpoint.QueueTime())
+		p.recordQueueTime(endpoint.QueueTime())
 		p.refund()
 		if p.rejected > shortWaits || stuck {
 			return localreply.NoEndpoint, true
@@ -196,7 +196,7 @@
 	p.arrivals++
 }
 
-func (p *Plan) noteQueueTime(d time.Duration) {
+func (p *Plan) recordQueueTime(d time.Duration) {
 	if p.queueTime == 0 || d < p.queueTime {
 		p.queueTime = d
 	}
@@ -221,7 +221,7 @@
 		return nil, false
 	}
 	endpoint := p.choose()
-	if endpoint == nil || !p.budget.TrySpend(p.service) {
+	if endpoint == nil || !p.budget.Spend(p.service) {
 		return nil, false
 	}
 	p.arrivals++
--- a/internal/proxy/retry/timing.go
+++ b/internal/proxy/retry/timing.go
@@ -6,13 +6,13 @@
 	// minShortWait is the least time that a request waits in a queue that it
 	// should not wait in for long.
 	minShortWait = 10 * time.Millisecond
-	// minHedgeDelay and minSilenceLimit keep very quick routes from hedging or
+	// minHedgeDelay and minSlowLimit keep very quick routes from hedging or
 	// blaming endpoints at each small delay.
-	minHedgeDelay   = 200 * time.Millisecond
-	minSilenceLimit = 500 * time.Millisecond
-	// silenceFactor is how many times the usual response time an endpoint may be
+	minHedgeDelay = 200 * time.Millisecond
+	minSlowLimit  = 500 * time.Millisecond
+	// slowFactor is how many times the usual response time an endpoint may be
 	// silent.
-	silenceFactor = 4
+	slowFactor = 4
 )
 
 // QueueWait describes a request that may have to wait in an endpoint's queue.
@@ -42,15 +42,15 @@
 	return limit
 }
 
-// SilenceLimit returns how long an endpoint may be silent before that counts as
+// SlowLimit returns how long an endpoint may be silent before that counts as
 // a failure, on a route whose requests usually take that long.
-func SilenceLimit(usual time.Duration) time.Duration {
-	return max(silenceFactor*usual, minSilenceLimit)
+func SlowLimit(usual time.Duration) time.Duration {
+	return max(slowFactor*usual, minSlowLimit)
 }
 
 // HedgeDelay returns how long a first attempt may be silent before a second goes
 // out beside it. Most long requests are long wherever they run, so it is well
 // past the usual time.
 func HedgeDelay(usual time.Duration) time.Duration {
-	return min(max(5*usual/2, minHedgeDelay), SilenceLimit(usual))
+	return min(max(5*usual/2, minHedgeDelay), SlowLimit(usual))
 }
--- a/internal/proxy/routestats.go
+++ b/internal/proxy/routestats.go
@@ -10,8 +10,8 @@
 	usualTimeSpan = 16
 	// A request counts as a first try if it has more than firstTryShare of the
 	// longest time that clients of its route had: firstTryShare is 19/20.
-	firstTryNumerator   = 19
-	firstTryDenominator = 20
+	firstAttemptNumerator   = 19
+	firstAttemptDenominator = 20
 )
 
 // routeStats keeps the longest time that clients of each route had: a request
@@ -56,5 +56,5 @@
 		s.longestTimeout[route] = timeout
 		return true
 	}
-	return timeout > s.longestTimeout[route]*firstTryNumerator/firstTryDenominator
+	return timeout > s.longestTimeout[route]*firstAttemptNumerator/firstAttemptDenominator
 }
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -59,18 +59,18 @@
 }
 
 // sessionKey returns the key of the request's session, empty if it has none.
-func (x *exchange) sessionKey() string {
-	source := x.route.SessionKey
-	if source.Name == "" || x.outbound.options.Sessions == nil {
+func (r *outboundRequest) sessionKey() string {
+	source := r.route.SessionKey
+	if source.Name == "" || r.outbound.options.Sessions == nil {
 		return ""
 	}
 	value := ""
 	if source.FromCookie {
-		if cookie, err := x.request.Cookie(source.Name); err == nil {
+		if cookie, err := r.request.Cookie(source.Name); err == nil {
 			value = cookie.Value
 		}
 	} else {
-		value = x.request.Header.Get(source.Name)
+		value = r.request.Header.Get(source.Name)
 	}
 	if value == "" {
 		return ""
@@ -79,42 +79,42 @@
 }
 
 // pinSession leads a session's request to the endpoint that knows the session.
-func (x *exchange) pinSession() (done bool) {
-	x.session.key = x.sessionKey()
-	if x.session.key == "" {
+func (r *outboundRequest) pinSession() (done bool) {
+	r.session.key = r.sessionKey()
+	if r.session.key == "" {
 		return false
 	}
-	return x.findSessionEndpoint()
+	return r.findSessionEndpoint()
 }
 
 // findSessionEndpoint waits for a session that is moving, as long as the request
 // has time.
-func (x *exchange) findSessionEndpoint() (done bool) {
-	query := x.sessionQuery()
-	end := x.started.Add(max(x.route.LatencyTarget/2, minSessionWait))
+func (r *outboundRequest) findSessionEndpoint() (done bool) {
+	query := r.sessionQuery()
+	end := r.started.Add(max(r.route.LatencyTarget/2, minSessionWait))
 	for {
-		found := x.outbound.options.Sessions.Find(x.ctx, query, x.outbound.options.Balancer)
+		found := r.outbound.options.Sessions.Find(r.ctx, query, r.outbound.options.Balancer)
 		if found.State != affinity.Pending {
-			x.service, x.session.endpoint, x.session.retryAfter = found.Service, found.Endpoint, 0
+			r.service, r.session.endpoint, r.session.retryAfter = found.Service, found.Endpoint, 0
 			return false
 		}
-		x.session.retryAfter = found.RetryAfter
-		if time.Now().Add(found.RetryAfter).After(end) || !x.sleep(max(found.RetryAfter, minSessionPoll)) {
-			return x.giveUp(localreply.NoEndpoint)
+		r.session.retryAfter = found.RetryAfter
+		if time.Now().Add(found.RetryAfter).After(end) || !r.sleep(max(found.RetryAfter, minSessionPoll)) {
+			return r.giveUp(localreply.NoEndpoint)
 		}
 	}
 }
 
-func (x *exchange) sessionQuery() affinity.Query {
-	active := x.routes.ActiveServices(x.route)
-	service := x.service
-	if index, ok := x.route.PickService(affinity.Position(x.session.key)); ok {
-		service = x.routes.Services[index].Name
+func (r *outboundRequest) sessionQuery() affinity.Query {
+	active := r.routes.ActiveServices(r.route)
+	service := r.service
+	if index, ok := r.route.PickService(affinity.Position(r.session.key)); ok {
+		service = r.routes.Services[index].Name
 	}
 	return affinity.Query{
-		SessionKey:      x.session.key,
+		SessionKey:      r.session.key,
 		AllowedServices: active,
 		Service:         service,
-		EarlierServices: x.outbound.earlierServices.add(x.route, active),
+		EarlierServices: r.outbound.earlierServices.add(r.route, active),
 	}
 }
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -58,7 +58,7 @@
 func (a *simulatedAttempt) follow(recorded *meshpb.Attempt) {
 	outcome, _ := retry.ParseOutcome(recorded.Outcome)
 	endUs := a.startUs + recorded.TookUs
-	if endUs > a.request.deadlineUs && outcome != retry.ClientGone {
+	if endUs > a.request.deadlineUs && outcome != retry.Canceled {
 		endUs, outcome = a.request.deadlineUs, retry.TimedOut
 	}
 	result := a.result(outcome, int(recorded.Code), endUs)
--- a/internal/replay/flags.go
+++ b/internal/replay/flags.go
@@ -81,7 +81,7 @@
 		return HarmSentTwice, fmt.Sprintf("kind %s lets it go on after it may have run: %s", result.Kind, attemptsText(possibleRuns(result.Attempts)))
 	case has(VerdictLost):
 		return HarmDropped, fmt.Sprintf("ends with %d after %d ms, and whether it ran is not known%s", result.Code, result.TookMs, o.shorterTimeout())
-	case has(VerdictRejected) && !localreply.PromisesNotRun(result.Code):
+	case has(VerdictRejected) && !localreply.GuaranteesNotRun(result.Code):
 		return HarmDropped, fmt.Sprintf("answered %d by the system: %s", result.Code, localReplyReason(result.Code))
 	case has(VerdictRejected):
 		return HarmDropped, fmt.Sprintf("refused with %d; it has not run, and its sender is told so", result.Code)
--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -331,7 +331,7 @@
 	case attempt.outcome == retry.Answered:
 		r.result.answered = true
 		r.finish(attempt.code)
-	case attempt.outcome == retry.ClientGone:
+	case attempt.outcome == retry.Canceled:
 		r.result.clientGone = true
 		r.finish(0)
 	case r.hedged:
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -27,7 +27,7 @@
 // mayHaveRun tells that the endpoint ran the request, or may have.
 func (a Attempt) mayHaveRun() bool {
 	switch a.outcome {
-	case retry.Answered, retry.Failed, retry.TimedOut, retry.ClientGone:
+	case retry.Answered, retry.Failed, retry.TimedOut, retry.Canceled:
 		return true
 	}
 	return false
--- a/internal/replay/verdicts.go
+++ b/internal/replay/verdicts.go
@@ -86,7 +86,7 @@
 // tellsNotRun reports whether an error status tells the client that its request
 // has not run.
 func tellsNotRun(code int) bool {
-	return localreply.PromisesNotRun(code) || code >= http.StatusBadRequest && code < http.StatusInternalServerError
+	return localreply.GuaranteesNotRun(code) || code >= http.StatusBadRequest && code < http.StatusInternalServerError
 }
 
 // newFaults are the faults under the proposal that are not there without it.
