--- a/cmd/corkcove/stored_test.go
+++ b/cmd/corkcove/stored_test.go
@@ -21,16 +21,16 @@
 		{Name: "users", Version: 6, Data: []byte(usersData)},
 		{Name: "view", Version: 7, Data: []byte("view data")},
 	}}, 0, true)
-	found := kept(table, 3)
+	found := storedVersions(table, 3)
 	qt.Check(t, found.ConfigVersion, qt.Equals, uint64(5))
 	qt.Check(t, found.ViewVersion, qt.Equals, uint64(7))
-	qt.Check(t, users(table), qt.DeepEquals, map[string]string{"endpoint": "draining"})
-	qt.Check(t, shards, qt.Equals, 13)
+	qt.Check(t, storedUserStates(table), qt.DeepEquals, map[string]string{"endpoint": "draining"})
+	qt.Check(t, shardCount, qt.Equals, 13)
 }
 
 // TestViewOf242832aIsRead reads a stored view, which is deflated.
 func TestViewOf242832aIsRead(t *testing.T) {
-	view := keptView(&meshpb.Blob{Version: 7, Data: []byte("\x01\x08\x00\xf7\xff\x08\x03\x10\x07\x32\x02m0")})
+	view := decodeStoredView(&meshpb.Blob{Version: 7, Data: []byte("\x01\x08\x00\xf7\xff\x08\x03\x10\x07\x32\x02m0")})
 	qt.Check(t, view.Epoch, qt.Equals, uint64(3))
 	qt.Check(t, view.Version, qt.Equals, uint64(7))
 	qt.Check(t, view.Master, qt.Equals, "m0")
