--- /dev/null
+++ b/cmd/controlload/report_test.go
@@ -0,0 +1,18 @@
+package main
+
+import (
+	"encoding/json"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// Scripts read the report by these keys, which are those of release 242832a.
+func TestReportKeysOf242832a(t *testing.T) {
+	const usageKeys = `{"Seconds":0,"MasterCore":0,"OtherCore":0,"Node":0,"MasterMB":0,"OtherMB":0,"NodeMB":0,"NodeInKBs":0,"NodeOutKBs":0}`
+	report, err := json.Marshal(loadReport{})
+	qt.Assert(t, err, qt.IsNil)
+	qt.Assert(t, string(report), qt.Equals, `{"Nodes":0,"Cores":0,"Services":0,"Routes":0,"StartS":0,"Quiet":`+usageKeys+
+		`,"configEverywhereS":null,"ConfigUse":`+usageKeys+`,"viewEverywhereS":null,"Churn":`+usageKeys+
+		`,"ChurnPerS":0,"restartedTenthKnownEverywhereS":0,"takeoverEverywhereS":0,"Missing":0}`)
+}
