--- a/cmd/corkcove/sessionpins.go
+++ b/cmd/corkcove/sessionpins.go
@@ -20,8 +20,8 @@
 	// maxPinCalls bounds the core nodes that are asked, and pinTimeout all calls.
 	maxPinCalls = 4
 	pinTimeout  = 3 * pinCallTimeout
-	// pinMoveDelay is how long a new pin is not yet certain at other nodes.
-	pinMoveDelay = 300 * time.Millisecond
+	// sessionMoveDelay is how long a new pin is not yet certain at other nodes.
+	sessionMoveDelay = 300 * time.Millisecond
 	// pinRefreshesPerIdle is how often a pin in use is refreshed in the time after
 	// which an idle one ends.
 	pinRefreshesPerIdle = 8
@@ -44,7 +44,7 @@
 func newSessions(p *process, clients *rpc.Clients, agent *nodeagent.Agent) *affinity.Sessions {
 	client := &pinClient{clients: clients, agent: agent, lastAnswered: map[byte]string{}}
 	idle := settings.Seconds(p.options.Affinity.IdleSeconds)
-	return affinity.New(affinity.Options{Pin: client.pin, Now: time.Now, ConfigVersion: agent.ConfigVersion, MoveDelay: pinMoveDelay,
+	return affinity.New(affinity.Options{Pin: client.pin, Now: time.Now, ConfigVersion: agent.ConfigVersion, MoveDelay: sessionMoveDelay,
 		RefreshInterval: idle / pinRefreshesPerIdle, IdleTimeout: idle, MaxSessions: p.options.Affinity.MaxSessions,
 		Trace: func(action, key string) {
 			p.traceRing.Add(changetrace.Event{Time: time.Now(), Action: action, Kind: changetrace.SessionKind(key)})
