--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -28,6 +28,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/nodeagent"
 	"corkcove/internal/routeconfig"
 	"corkcove/internal/rpc"
@@ -173,8 +174,8 @@
 		return nil
 	}
 	zone := fmt.Sprint("zone-", i%8)
-	h.ag.Start(&meshpb.NodeState{Name: name, Incarnation: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: "up",
-		Endpoint: &meshpb.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: "ready", Healthy: true, SoftwareVersion: "v1"}})
+	h.ag.Start(&meshpb.NodeState{Name: name, Incarnation: life, Addr: h.addr, Inbound: h.addr, Zone: zone, Service: fmt.Sprint("service-", i%b.service), State: string(lifecycle.Up),
+		Endpoint: &meshpb.Endpoint{Id: "i-" + life, Service: fmt.Sprint("service-", i%b.service), Addr: h.addr, Zone: zone, Slots: 8, State: string(lifecycle.Ready), Healthy: true, SoftwareVersion: "v1"}})
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewNodeServer(h.ag))
 	h.srv = &http.Server{Handler: mux, IdleTimeout: 3 * time.Minute, ErrorLog: log.New(io.Discard, "", 0)}
@@ -363,14 +364,14 @@
 	if err != nil {
 		return err
 	}
-	state := func(h *hollow, st string) {
+	state := func(h *hollow, st lifecycle.State) {
 		h.ag.UpdateState(func(n *meshpb.NodeState) {
-			n.Endpoint.State = st
+			n.Endpoint.State = string(st)
 		})
 	}
 	for range 3 {
 		was := b.nodes[0].view.Load()
-		state(b.nodes[rand.IntN(len(b.nodes))], "draining")
+		state(b.nodes[rand.IntN(len(b.nodes))], lifecycle.Draining)
 		d, left := b.until(func(h *hollow) bool { return h.view.Load() > was })
 		s.View = append(s.View, d.Seconds())
 		s.Missing += left
@@ -379,9 +380,9 @@
 	s.ChurnPerS = 4
 	s.Churn = b.measure(m, func() {
 		for i := range 4 * seconds {
-			st := "draining"
+			st := lifecycle.Draining
 			if i%2 == 1 {
-				st = "ready"
+				st = lifecycle.Ready
 			}
 			state(b.nodes[i/2%len(b.nodes)], st)
 			time.Sleep(250 * time.Millisecond)
@@ -393,7 +394,7 @@
 		h := b.nodes[i]
 		h.ag.UpdateState(func(n *meshpb.NodeState) {
 			n.Endpoint.Id = "j-" + strconv.FormatUint(rand.Uint64(), 16)
-			n.Endpoint.State = "ready"
+			n.Endpoint.State = string(lifecycle.Ready)
 			lives[n.Endpoint.Id] = true
 		})
 	}
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -12,6 +12,7 @@
 
 	"corkcove/internal/controlapi"
 	"corkcove/internal/endpointagent"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/nodeagent"
 	"corkcove/internal/proxy"
 	"corkcove/internal/proxy/loadbalancer"
@@ -145,7 +146,7 @@
 	grace := settings.Seconds(bd.GraceSeconds)
 	proxy.Shutdown{Grace: grace, Linger: min(grace/2, 2500*time.Millisecond), Outbound: out, Inbound: in, StopInbound: func() {
 		sub.Stop()
-		ag.UpdateState(func(n *meshpb.NodeState) { n.State = "stopping" })
+		ag.UpdateState(func(n *meshpb.NodeState) { n.State = string(lifecycle.Stopping) })
 	}}.Run()
 	return nil
 }
--- a/cmd/corkcove/station.go
+++ b/cmd/corkcove/station.go
@@ -8,6 +8,7 @@
 
 	"corkcove/internal/affinity"
 	"corkcove/internal/hotkeys"
+	"corkcove/internal/lifecycle"
 	"corkcove/internal/nodeagent"
 	"corkcove/internal/proxy"
 	"corkcove/internal/proxy/loadbalancer"
@@ -36,7 +37,7 @@
 	lines := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	ag := &nodeagent.Agent{Clients: lines, Seeds: o.SeedInternalAddrs(), Incarnation: newID(), Name: o.Self.NodeName, RegisterAfter: 2400 * time.Millisecond,
 		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
-	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Incarnation, o.InternalAddr(), o.Self.ZoneName, "up"
+	n.Name, n.Incarnation, n.Addr, n.Zone, n.State = o.Self.NodeName, ag.Incarnation, o.InternalAddr(), o.Self.ZoneName, string(lifecycle.Up)
 	ag.Start(n)
 	tickets := p.newTickets()
 	ag.OnView = func(v *meshpb.View) {
--- a/internal/clustercontroller/options.go
+++ b/internal/clustercontroller/options.go
@@ -4,16 +4,11 @@
 	"context"
 	"time"
 
-	"github.com/zeebo/errs"
-
 	"corkcove/internal/hotkeys"
 	"corkcove/internal/logring"
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Error is the class of this package's errors.
-var Error = errs.Class("clustercontroller")
-
 // ViewStore saves views in shard 0.
 type ViewStore interface {
 	// SaveView returns once v is committed. After an error it may be or not.
