--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -187,7 +187,7 @@
 	rpc.Handle(mux, meshpb.NewReplicationServer(replication.Handler{Mailbox: c.mailbox, Replica: c.replica}))
 	rpc.Handle(mux, meshpb.NewControlServer(c))
 	rpc.Handle(mux, meshpb.NewDiagnosticsServer(processDiagnostics{c.process}))
-	c.serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
+	serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
 }
 
 // serveControlAPI answers operators and applications.
@@ -197,7 +197,7 @@
 	api.OnConfigAccepted = func(version uint64) {
 		c.trace(changetrace.KindConfig, "acknowledged", c.replica.MasterEpoch(), version)
 	}
-	c.serve(&http.Server{Handler: api, IdleTimeout: toolIdleTimeout, ReadHeaderTimeout: apiHeaderTimeout}, listener)
+	serve(&http.Server{Handler: api, IdleTimeout: toolIdleTimeout, ReadHeaderTimeout: apiHeaderTimeout}, listener)
 	return api
 }
 
--- a/cmd/corkcove/listeners.go
+++ b/cmd/corkcove/listeners.go
@@ -24,19 +24,16 @@
 	return listeners, nil
 }
 
-// serve answers a listener's connections until the process ends.
-func (p *process) serve(server *http.Server, listener net.Listener) {
-	go func() {
-		err := server.Serve(listener)
-		p.log("listener").Warn("stopped listening", "address", listener.Addr().String(), "error", err)
-	}()
+// serve answers a listener's connections until the process ends; before that it
+// ends only if the listener is closed, which nobody does.
+func serve(server *http.Server, listener net.Listener) {
+	go func() { _ = server.Serve(listener) }()
 }
 
 // limitedListener serves a listener with the limits of the configuration. New
 // connections go to a server made for the limits in force; open ones keep
 // theirs.
 type limitedListener struct {
-	process  *process
 	listener net.Listener
 	handler  http.Handler
 
@@ -46,8 +43,8 @@
 }
 
 // newLimitedListener begins to accept connections, with the default limits.
-func newLimitedListener(p *process, listener net.Listener, handler http.Handler) *limitedListener {
-	l := &limitedListener{process: p, listener: listener, handler: handler}
+func newLimitedListener(listener net.Listener, handler http.Handler) *limitedListener {
+	l := &limitedListener{listener: listener, handler: handler}
 	l.setLimits(routeconfig.DefaultLimits())
 	go l.acceptLoop()
 	return l
@@ -75,7 +72,7 @@
 	}
 	l.limits = limits
 	l.current = &handoffListener{connections: make(chan net.Conn), address: l.listener.Addr()}
-	l.process.serve(&http.Server{Handler: l.handler, MaxHeaderBytes: limits.MaxHeaderBytes, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout}, l.current)
+	serve(&http.Server{Handler: l.handler, MaxHeaderBytes: limits.MaxHeaderBytes, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout}, l.current)
 }
 
 // handoffListener is the net.Listener of a server whose connections another
--- a/cmd/corkcove/sessionpins.go
+++ b/cmd/corkcove/sessionpins.go
@@ -20,7 +20,7 @@
 	// maxPinCalls bounds the core nodes that are asked, and pinTimeout all calls.
 	maxPinCalls = 4
 	pinTimeout  = 3 * pinCallTimeout
-	// sessionMoveDelay is how long a new pin is not yet certain at other nodes.
+	// sessionMoveDelay is how long an endpoint must be gone before its sessions move.
 	sessionMoveDelay = 300 * time.Millisecond
 	// pinRefreshesPerIdle is how often a pin in use is refreshed in the time after
 	// which an idle one ends.
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -111,7 +111,7 @@
 // serveOutbound passes requests to the outbound chain, under the limits of the
 // configurations that the agent applies from now on.
 func (n *trafficNode) serveOutbound(listener net.Listener, outbound *proxy.Outbound) {
-	limited := newLimitedListener(n.process, listener, outbound)
+	limited := newLimitedListener(listener, outbound)
 	n.applyConfigs(limited.setLimits)
 }
 
@@ -120,13 +120,13 @@
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewNodeServer(n.agent))
 	rpc.Handle(mux, meshpb.NewDiagnosticsServer(newNodeDiagnostics(n, flows, preferredEndpoints)))
-	n.serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
+	serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
 }
 
 // serveReadiness tells the platform whether the node takes requests.
 func (n *trafficNode) serveReadiness(listener net.Listener) {
 	handler := readinessHandler(func() bool { return !n.stopping.Load() && n.agent.Ready() })
-	n.serve(&http.Server{Handler: handler, IdleTimeout: toolIdleTimeout}, listener)
+	serve(&http.Server{Handler: handler, IdleTimeout: toolIdleTimeout}, listener)
 }
 
 func readinessHandler(ready func() bool) http.Handler {
