--- a/cmd/corkcove/check.go
+++ b/cmd/corkcove/check.go
@@ -22,10 +22,11 @@
 }
 
 func checked(err error) error {
-	if err == nil {
-		fmt.Println("ok")
+	if err != nil {
+		return &checkError{err}
 	}
-	return err
+	fmt.Println("ok")
+	return nil
 }
 
 func checkSettings(file, role string) error {
--- a/cmd/corkcove/process.go
+++ b/cmd/corkcove/process.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"fmt"
 	"io"
 	"log"
 	"os"
@@ -55,14 +54,14 @@
 	runtime.GOMAXPROCS(1)
 	p, err := newProcess(role, global)
 	if err != nil {
-		return fmt.Errorf("%s: %w", role, err)
+		return &roleError{role, err}
 	}
 	p.limitMemory()
 	log.SetOutput(io.Discard)
 	klog.LogToStderr(true)
 	if err := run(p); err != nil {
 		p.ring.Flush("corkcove " + role + " ends: " + err.Error())
-		return fmt.Errorf("%s: %w", role, err)
+		return &roleError{role, err}
 	}
 	return nil
 }
