--- a/cmd/corkcove/main_test.go
+++ b/cmd/corkcove/main_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"flag"
 	"fmt"
+	"maps"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -13,10 +14,12 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
 	qt "github.com/frankban/quicktest"
+	"google.golang.org/protobuf/proto"
 
 	"corkcove/internal/rpc"
 	"corkcove/internal/rpc/meshpb"
@@ -45,15 +48,41 @@
 // fakeControl answers as the master of a core, or as a member that is not.
 type fakeControl struct {
 	meshpb.Control
+
+	mu     sync.Mutex
 	status *meshpb.StatusResponse
 	states map[string]string
 }
 
+func (c *fakeControl) setStatus(status *meshpb.StatusResponse) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.status = status
+}
+
+// stepDown makes it a member that is no longer the master.
+func (c *fakeControl) stepDown() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.status.Master = false
+}
+
+// setStates returns the user states that were set.
+func (c *fakeControl) setStates() map[string]string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.states)
+}
+
 func (c *fakeControl) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
-	return c.status, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return proto.CloneOf(c.status), nil
 }
 
 func (c *fakeControl) SetState(_ context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !c.status.Master {
 		return &meshpb.SetStateResponse{Why: "not the master", MasterAddr: c.status.MasterAddr}, nil
 	}
@@ -135,8 +164,8 @@
 	followerAddr := serveFake(t, meshpb.NewControlServer(follower), meshpb.NewDiagnosticsServer(coreDiagnostics("core-2")))
 	membership := &meshpb.Membership{Version: 3, Size: 2, Gaps: []uint32{2}, Members: []*meshpb.Member{
 		{Id: "id1", Addr: masterAddr, Control: "10.0.0.1:8500", Zone: "zone-1"}, {Id: "id2", Addr: followerAddr, Control: "10.0.0.2:8500", Zone: "zone-2"}}}
-	master.status = masterStatus(masterAddr, membership, nodes)
-	follower.status = &meshpb.StatusResponse{Node: "core-2", MasterAddr: masterAddr, Epoch: 4, Membership: membership, DiskSound: true, Member: true}
+	master.setStatus(masterStatus(masterAddr, membership, nodes))
+	follower.setStatus(&meshpb.StatusResponse{Node: "core-2", MasterAddr: masterAddr, Epoch: 4, Membership: membership, DiskSound: true, Member: true})
 	return &fakeMesh{master: master, core: followerAddr,
 		replace: []string{masterAddr, "CORE-1", followerAddr, "CORE-2", nodes[0], "NODE-A", nodes[1], "NODE-B"}}
 }
@@ -313,7 +342,7 @@
 			checkRecorded(t, c.name, mesh.runCommand(t, in.folder, args...))
 			checkRecorded(t, c.name+".json", mesh.runCommand(t, in.folder, append([]string{"--json"}, args...)...))
 			if c.name == "state-set" {
-				qt.Check(t, mesh.master.states, qt.DeepEquals, map[string]string{"node-a": "maintenance"})
+				qt.Check(t, mesh.master.setStates(), qt.DeepEquals, map[string]string{"node-a": "maintenance"})
 			}
 		})
 	}
@@ -322,14 +351,14 @@
 // A master that has stepped down answers, but knows neither nodes nor view.
 func TestStatusPrintsWhatItDidWithoutMaster(t *testing.T) {
 	mesh := newFakeMesh(t)
-	mesh.master.status.Master = false
+	mesh.master.stepDown()
 	checkRecorded(t, "status-no-master", mesh.runCommand(t, t.TempDir(), "status", "--core", mesh.core))
 }
 
 func TestCommandsFailWithCode1(t *testing.T) {
 	in := newInputs(t)
 	noMaster := newFakeMesh(t)
-	noMaster.master.status.Master = false
+	noMaster.master.stepDown()
 	mesh := newFakeMesh(t)
 	unreachable := &fakeMesh{core: "127.0.0.1:1"}
 	cases := []struct {
