--- a/internal/clustercontroller/configs_test.go
+++ b/internal/clustercontroller/configs_test.go
@@ -41,6 +41,49 @@
 	return l.Node.DeliverConfig(c, q)
 }
 
+// slowLink brings calls with a configuration to a node after their caller has given
+// them up, as a link whose queue is full.
+type slowLink struct {
+	meshpb.Node
+	delay time.Duration
+}
+
+func (l *slowLink) DeliverConfig(ctx context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+	go func() {
+		time.Sleep(l.delay)
+		_, _ = l.Node.DeliverConfig(context.WithoutCancel(ctx), q)
+	}()
+	<-ctx.Done()
+	return nil, ctx.Err()
+}
+
+// On the day of docs/incidents/bmato-large-trouble-1-config.md a node behind a full
+// link took the first of three changes and refused all later sendings, whose base
+// it had left by then.
+func TestNodeBehindSlowLinkCatchesUpThoughNoAnswerArrives(t *testing.T) {
+	const delay = 1800 * time.Millisecond
+	synctest.Test(t, func(t *testing.T) {
+		cluster, members, membership := newClusterWithRelays(60, 3)
+		defer cluster.stopAfterCalls()
+		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
+		advance(time.Second)
+		qt.Assert(t, cluster.nodesBehind(5), qt.Equals, 0)
+		slow := &slowLink{Node: cluster.nodes[7], delay: delay}
+		addr := cluster.nodes[7].agent.State().Addr
+		cluster.master.clients.PutNode(addr, slow)
+		for _, m := range members {
+			m.clients.PutNode(addr, slow)
+		}
+		cluster.setConfig(patchedConfigOf(5, 6))
+		advance(600 * time.Millisecond)
+		cluster.setConfig(patchedConfigOf(5, 6, 7))
+		advance(300 * time.Millisecond)
+		cluster.setConfig(patchedConfigOf(5, 6, 7, 8))
+		advance(delay + patchRetryAfter + 100*time.Millisecond)
+		qt.Assert(t, cluster.nodes[7].current().ConfigVersion(), qt.Equals, uint64(8))
+	})
+}
+
 // stuckStore saves no view: each attempt lasts as long as it may.
 type stuckStore struct{}
 
--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -64,6 +64,8 @@
 
 	// configMu is held while a configuration is applied, mu is not.
 	configMu sync.Mutex
+	// patches led to the configuration in force; guarded by configMu.
+	patches patchHistory
 }
 
 // Start sets the first state that the node reports. It is called once, before
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -22,16 +22,16 @@
 func (a *Agent) applyConfig(q *meshpb.DeliverConfigRequest) bool {
 	a.configMu.Lock()
 	defer a.configMu.Unlock()
-	current := a.ConfigVersion()
-	if q.Version <= current {
+	if q.Version <= a.ConfigVersion() {
 		return true
 	}
-	if q.BaseVersion > 0 && q.BaseVersion != current {
-		return false
-	}
 	var err error
 	if q.BaseVersion > 0 {
-		err = a.applyPatches(q.Version, q.Patches)
+		patches, continues := a.patches.missing(q.BaseVersion, q.Patches)
+		if !continues {
+			return false
+		}
+		err = a.applyPatches(q.Version, patches)
 	} else {
 		err = a.applyFullConfig(q.Version, q.Data)
 	}
@@ -51,7 +51,11 @@
 	if err != nil {
 		return err
 	}
-	return a.OnConfig(version, data)
+	if err := a.OnConfig(version, data); err != nil {
+		return err
+	}
+	a.patches.reset(version)
+	return nil
 }
 
 func (a *Agent) applyPatches(version uint64, packed [][]byte) error {
@@ -63,5 +67,9 @@
 		}
 		patches = append(patches, patch)
 	}
-	return a.OnPatch(version, patches)
+	if err := a.OnPatch(version, patches); err != nil {
+		return err
+	}
+	a.patches.add(version, packed)
+	return nil
 }
