--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -13,8 +13,8 @@
 const (
 	// noEndpointPoll is how often a request that finds no endpoint looks again.
 	noEndpointPoll = 20 * time.Millisecond
-	// slowEjection is how long an endpoint is left out that was silent for too
-	// long.
+	// slowEjection is for how long an endpoint that did not answer in time is not
+	// chosen.
 	slowEjection = time.Second
 )
 
@@ -142,8 +142,8 @@
 	return result
 }
 
-// recordSlowEndpoint notes that an endpoint has been silent for too long. Where a
-// node stands beside the endpoint, that node judges it.
+// recordSlowEndpoint ejects an endpoint that has not answered for too long. An
+// endpoint with a sidecar is judged by that sidecar instead.
 func recordSlowEndpoint(endpoint *loadbalancer.Endpoint) {
 	if endpoint.IsDirect() {
 		endpoint.RecordResult(false, time.Now())
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -16,8 +16,8 @@
 	"corkcove/internal/routeconfig"
 )
 
-// attemptHeaders is for how many headers of its own a forwarded request has
-// room.
+// attemptHeaders is how many headers an attempt adds at most; the header map is
+// allocated for them.
 const attemptHeaders = 6
 
 // newHeaders returns the headers of an attempt at an endpoint.
@@ -171,16 +171,16 @@
 }
 
 const (
-	// unhealthyEjection is how long an endpoint is left out whose node does not
-	// admit requests for now.
+	// unhealthyEjection is for how long an endpoint is not chosen whose node does
+	// not admit requests.
 	unhealthyEjection = 200 * time.Millisecond
-	// unreachableEjection is how long an endpoint is left out that its node did
-	// not reach.
+	// unreachableEjection is for how long an endpoint is not chosen that its node
+	// did not reach.
 	unreachableEjection = 300 * time.Millisecond
 )
 
-// misdirected is the reason of a declined attempt by which the endpoint is
-// another instance than was meant.
+// misdirected is the reason of a declined attempt whose endpoint is another
+// incarnation than the one that was meant.
 var misdirected = strconv.Itoa(http.StatusMisdirectedRequest)
 
 // applyNodeOutcome takes in what the node beside an endpoint says of an attempt
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -64,8 +64,8 @@
 	nodeUnreachable nodeOutcome = "refused"
 	// nodeDeclined attempts were declined by the endpoint, which has not run them.
 	nodeDeclined nodeOutcome = "turned"
-	// nodeLost attempts broke off; the request may have run.
-	nodeLost nodeOutcome = "lost"
+	// nodeFailed attempts broke off; the request may have run.
+	nodeFailed nodeOutcome = "lost"
 	// nodeTimedOut attempts were under way when their deadline passed.
 	nodeTimedOut nodeOutcome = "late"
 )
@@ -94,8 +94,8 @@
 	"Upgrade":             true,
 }
 
-// endToEnd are headers that no Connection header takes off: what ran, and for
-// whom, hangs on them.
+// endToEnd are headers that are forwarded even if a Connection header names
+// them: without them a response can't be matched to its request and endpoint.
 var endToEnd = map[string]bool{headerRequestID: true, headerSeal: true}
 
 // connectionTokens returns the headers that a Connection header names.
@@ -152,7 +152,7 @@
 	return &url.URL{Scheme: "http", Host: host, Opaque: target}
 }
 
-// maxDeadline bounds deadlines that are taken for meant, in ms.
+// maxDeadline is the longest deadline that counts as valid, in ms.
 const maxDeadline = 1e9
 
 // parseDeadline returns how long the sender of a request waits for its answer.
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -82,12 +82,12 @@
 		Running:     int64(load.Running),
 		Queued:      int64(load.Queued),
 		Slots:       int64(load.Slots),
-		Work:        load.ServiceTime,
+		ServiceTime: load.ServiceTime,
 		LinkPercent: int64(n.linkPercent()),
 	}
 }
 
-// inboundExchange is one request on its way through the inbound chain.
+// inboundRequest is one request on its way through the inbound chain.
 type inboundRequest struct {
 	inbound  *Inbound
 	writer   http.ResponseWriter
@@ -96,11 +96,11 @@
 
 	// Set by readHeaders.
 	requestID string
-	// instance is the endpoint instance that the request is meant for.
-	instance string
-	priority int
-	deadline time.Time
-	ctx      context.Context
+	// incarnation is the endpoint's incarnation that the request is meant for.
+	incarnation string
+	priority    int
+	deadline    time.Time
+	ctx         context.Context
 	// pending is this request among those whose answers have not begun.
 	pending *pendingRequest
 
@@ -137,11 +137,11 @@
 // deadline.
 func (r *inboundRequest) readHeaders() (done bool) {
 	h := r.request.Header
-	r.requestID, r.instance = h.Get(headerRequestID), h.Get(headerExpectInstance)
-	// A request without a priority is among the first.
+	r.requestID, r.incarnation = h.Get(headerRequestID), h.Get(headerExpectInstance)
+	// Without a valid priority it is 0, which is served first.
 	r.priority, _ = strconv.Atoi(h.Get(headerPriority))
 	timeout, ok := parseDeadline(h)
-	if !ok || r.instance == "" {
+	if !ok || r.incarnation == "" {
 		return r.reply(nodeRejected, reasonMalformed)
 	}
 	r.deadline = time.Now().Add(timeout)
@@ -170,7 +170,7 @@
 		Deadline: r.deadline,
 		Hot:      h.Get(headerHotKey) != "",
 	}
-	release, rejected := r.inbound.options.Agent.Admit(r.ctx, r.instance, priority, r.maxQueueWait())
+	release, rejected := r.inbound.options.Agent.Admit(r.ctx, r.incarnation, priority, r.maxQueueWait())
 	if rejected != endpointagent.NotRejected {
 		return r.reply(nodeRejected, string(rejected))
 	}
@@ -209,13 +209,13 @@
 	case r.ctx.Err() != nil:
 		return r.interrupted()
 	case outcome == callDialFailed:
-		r.inbound.options.Agent.RecordConnectionRefused(r.instance)
+		r.inbound.options.Agent.RecordConnectionRefused(r.incarnation)
 		return r.reply(nodeUnreachable, reasonDialFailed)
 	case outcome == callNotSent:
 		return r.reply(nodeUnreachable, reasonNotSent)
 	}
 	r.recordOutcome(false)
-	return r.reply(nodeLost, err.Error())
+	return r.reply(nodeFailed, err.Error())
 }
 
 func (r *inboundRequest) newRequest() *http.Request {
@@ -235,7 +235,7 @@
 // been running it.
 func (r *inboundRequest) interrupted() (done bool) {
 	if isShutdown(r.ctx) {
-		return r.reply(nodeLost, reasonShutdown)
+		return r.reply(nodeFailed, reasonShutdown)
 	}
 	if time.Now().After(r.deadline) {
 		r.recordOutcome(false)
@@ -245,7 +245,7 @@
 
 // recordOutcome tells the agent whether the endpoint did what was asked of it.
 func (r *inboundRequest) recordOutcome(success bool) {
-	r.inbound.options.Agent.RecordOutcome(r.instance, success)
+	r.inbound.options.Agent.RecordOutcome(r.incarnation, success)
 }
 
 const (
@@ -269,7 +269,7 @@
 	n.pending.remove(r.pending)
 	r.recordOutcome(response.StatusCode < 500)
 	if complete {
-		n.options.Agent.RecordResponse(r.instance, time.Since(started))
+		n.options.Agent.RecordResponse(r.incarnation, time.Since(started))
 		r.releaseSlot()
 	} else {
 		setWriteDeadline(r.writer, r.deadline)
@@ -279,7 +279,7 @@
 	writeResponseHead(r.writer, r.request.Method, response, prefix, complete)
 	writeResponseBody(r.writer, response, prefix, complete, n.options.Pacer, r.deadline)
 	if !complete {
-		n.options.Agent.RecordResponse(r.instance, time.Since(started))
+		n.options.Agent.RecordResponse(r.incarnation, time.Since(started))
 	}
 	return true
 }
@@ -303,10 +303,10 @@
 func (r *inboundRequest) relayFailed(err error) (done bool) {
 	switch {
 	case isShutdown(r.ctx):
-		return r.reply(nodeLost, reasonShutdown)
+		return r.reply(nodeFailed, reasonShutdown)
 	case r.ctx.Err() != nil:
 		return r.reply(nodeTimedOut, reasonDeadline)
 	}
 	r.recordOutcome(false)
-	return r.reply(nodeLost, err.Error())
+	return r.reply(nodeFailed, err.Error())
 }
--- a/internal/proxy/loadbalancer/doc.go
+++ b/internal/proxy/loadbalancer/doc.go
@@ -7,7 +7,7 @@
 // that all methods may be called from any goroutine. The package opens no
 // connections, starts no goroutines and blocks on nothing.
 //
-// Where a node stands beside the endpoints, choices go by load: each response
+// Where endpoints have sidecars, choices go by load: each response
 // brings the endpoint's load, and the endpoint that should answer first is
 // taken, with its own zone preferred (select.go, score.go). Where endpoints are
 // dialled directly, nobody knows their whole load, and of two drawn ones the
--- a/internal/proxy/loadbalancer/endpoint.go
+++ b/internal/proxy/loadbalancer/endpoint.go
@@ -31,21 +31,21 @@
 	results  outlier.Counter
 	// inFlight is this node's attempts under way at the endpoint.
 	inFlight atomic.Int64
-	// load, work and linkPercent are from the load report of lastReport: requests
+	// load, serviceTime and linkPercent are from the load report of lastReport: requests
 	// running and queued, the time that one takes, and how full the link is.
 	load        atomic.Int64
-	work        atomic.Int64
+	serviceTime atomic.Int64
 	linkPercent atomic.Int64
 	lastReport  atomic.Int64
 	// ejectedUntil is when the endpoint may be chosen again after failures.
 	ejectedUntil        atomic.Int64
 	consecutiveFailures atomic.Int64
-	// draining is set once the endpoint or its node said that this instance takes
+	// draining is set once the endpoint or its node said that this incarnation takes
 	// no more requests, which the view will say later.
 	draining atomic.Bool
 }
 
-// ID returns the endpoint's instance ID.
+// ID returns the id of the endpoint's incarnation.
 func (e *Endpoint) ID() string { return e.id }
 
 // Node returns the name of the node beside the endpoint; empty if there is none.
@@ -58,7 +58,7 @@
 // there is none.
 func (e *Endpoint) InboundAddr() string { return e.inboundAddr }
 
-// IsDirect tells that no node stands beside the endpoint: it is dialled itself.
+// IsDirect tells that the endpoint has no sidecar and is dialled directly.
 func (e *Endpoint) IsDirect() bool { return e.inboundAddr == "" }
 
 // BeginAttempt counts an attempt at the endpoint until EndAttempt.
@@ -67,7 +67,7 @@
 // EndAttempt ends what BeginAttempt began.
 func (e *Endpoint) EndAttempt() { e.inFlight.Add(-1) }
 
-// SetDraining notes that this instance takes no more requests.
+// SetDraining records that this incarnation takes no more requests.
 func (e *Endpoint) SetDraining() { e.draining.Store(true) }
 
 // EjectFor keeps the endpoint from being chosen for a while, unless there is no
@@ -79,8 +79,8 @@
 const (
 	// maxBackoffFailures bounds how many failures in a row lengthen an ejection.
 	maxBackoffFailures = 4
-	// nodeBackoff is how much each failure in a row lengthens an ejection where a
-	// node stands beside the endpoint.
+	// nodeBackoff is how much each failure in a row lengthens the ejection of an
+	// endpoint with a sidecar.
 	nodeBackoff = 250 * time.Millisecond
 	// directBackoff is the first ejection of an endpoint that is dialled directly;
 	// each failure in a row doubles it.
@@ -115,7 +115,7 @@
 // QueueTime returns how long a request that comes now would stand in the
 // endpoint's queue.
 func (e *Endpoint) QueueTime() time.Duration {
-	return time.Duration(max(e.load.Load()-e.slots+1, 0) * e.work.Load() / e.slots)
+	return time.Duration(max(e.load.Load()-e.slots+1, 0) * e.serviceTime.Load() / e.slots)
 }
 
 // takesRequests tells that neither the view nor the endpoint says otherwise.
--- a/internal/proxy/loadbalancer/loadreport.go
+++ b/internal/proxy/loadbalancer/loadreport.go
@@ -15,8 +15,8 @@
 	Running int64
 	Queued  int64
 	Slots   int64
-	// Work is the time that one request takes, in whole milliseconds on the wire.
-	Work time.Duration
+	// ServiceTime is the time that one request takes, in whole milliseconds on the wire.
+	ServiceTime time.Duration
 	// LinkPercent is how full the machine's link is, 0 to 100.
 	LinkPercent int64
 }
@@ -26,7 +26,7 @@
 
 // String returns the report as it stands in the header.
 func (r LoadReport) String() string {
-	return fmt.Sprintf("%d,%d,%d,%d,%d", r.Running, r.Queued, r.Slots, r.Work/time.Millisecond, r.LinkPercent)
+	return fmt.Sprintf("%d,%d,%d,%d,%d", r.Running, r.Queued, r.Slots, r.ServiceTime/time.Millisecond, r.LinkPercent)
 }
 
 // ParseLoadReport reads a report from the header.
@@ -47,7 +47,7 @@
 		Running:     numbers[0],
 		Queued:      numbers[1],
 		Slots:       numbers[2],
-		Work:        time.Duration(numbers[3]) * time.Millisecond,
+		ServiceTime: time.Duration(numbers[3]) * time.Millisecond,
 		LinkPercent: min(max(numbers[4], 0), 100),
 	}, true
 }
@@ -56,7 +56,7 @@
 // response.
 func (e *Endpoint) ApplyLoadReport(r LoadReport) {
 	e.load.Store(r.Running + r.Queued)
-	e.work.Store(int64(r.Work))
+	e.serviceTime.Store(int64(r.ServiceTime))
 	e.linkPercent.Store(r.LinkPercent)
 	e.zoneLoad.slots.add(float64(r.Running+r.Queued) / float64(max(r.Slots, 1)))
 	e.zoneLoad.links.add(float64(r.LinkPercent) / 100)
@@ -65,10 +65,10 @@
 
 // SetLoad sets the endpoint's load, for simulations: requests running and queued
 // and the time that one takes, at a time in nanoseconds.
-func (e *Endpoint) SetLoad(load int, work time.Duration, now int64) {
+func (e *Endpoint) SetLoad(load int, serviceTime time.Duration, now int64) {
 	e.lastReport.Store(now)
 	e.load.Store(int64(load))
-	e.work.Store(int64(work))
+	e.serviceTime.Store(int64(serviceTime))
 }
 
 // zoneLoad is how full the slots of a service's endpoints in one zone and their
--- a/internal/proxy/loadbalancer/score.go
+++ b/internal/proxy/loadbalancer/score.go
@@ -9,15 +9,15 @@
 	// reportHalfTime is the age at which a load report counts as much as what is
 	// usual in the endpoint's zone.
 	reportHalfTime = 500 * time.Millisecond
-	// linkHalfTime and workHalfTime are the same, in times of reportHalfTime, of
+	// linkHalfTime and serviceTimeHalfTime are the same, in times of reportHalfTime, of
 	// links and of the time that a request takes, which change more slowly.
-	linkHalfTime = 4
-	workHalfTime = 8
-	// unknownWork is what a request is taken to need while no endpoint of the
+	linkHalfTime        = 4
+	serviceTimeHalfTime = 8
+	// defaultServiceTime is what a request is taken to need while no endpoint of the
 	// service has reported.
-	unknownWork = float64(50 * time.Millisecond)
-	// minUsualWork keeps the usual time of very short requests above 0.
-	minUsualWork = float64(time.Millisecond)
+	defaultServiceTime = float64(50 * time.Millisecond)
+	// minUsualServiceTime keeps the usual time of very short requests above 0.
+	minUsualServiceTime = float64(time.Millisecond)
 	// warmUpFactor is how much slower an endpoint counts that is warming up.
 	warmUpFactor = 2
 	// queueFactor is how much a request in the queue counts against one in a slot.
@@ -41,10 +41,10 @@
 // is taken to be as at the other endpoints of its zone.
 func (s *selection) score(e *Endpoint) float64 {
 	use := (max(e.expectedLoad(s.now), float64(e.inFlight.Load())) + 1) / float64(e.slots)
-	work := e.expectedWork(s.usualWork, s.now)
-	score := work * (1 + use*use)
+	serviceTime := e.expectedServiceTime(s.usualServiceTime, s.now)
+	score := serviceTime * (1 + use*use)
 	if use > 1 {
-		score += work * (use - 1) * queueFactor
+		score += serviceTime * (use - 1) * queueFactor
 	}
 	if slowdown := e.linkSlowdown(s.now); slowdown > 1 {
 		if !s.Bulk {
@@ -87,31 +87,31 @@
 	return quietLinkScale / (linkLimit - min(use, 1))
 }
 
-// expectedWork returns the time in nanoseconds that a request takes at the
+// expectedServiceTime returns the time in nanoseconds that a request takes at the
 // endpoint.
-func (e *Endpoint) expectedWork(usual float64, now int64) float64 {
-	reported := e.work.Load()
+func (e *Endpoint) expectedServiceTime(usual float64, now int64) float64 {
+	reported := e.serviceTime.Load()
 	if reported == 0 {
 		return usual
 	}
-	age := float64(now-e.lastReport.Load()) / float64(workHalfTime*reportHalfTime)
+	age := float64(now-e.lastReport.Load()) / float64(serviceTimeHalfTime*reportHalfTime)
 	return usual + (float64(reported)-usual)/(1+age*age)
 }
 
-// usualWork returns the mean time in nanoseconds that requests take at the
+// usualServiceTime returns the mean time in nanoseconds that requests take at the
 // endpoints that reported: what one without a recent report is taken to need.
-func usualWork(endpoints []*Endpoint) float64 {
+func usualServiceTime(endpoints []*Endpoint) float64 {
 	sum, count := int64(0), int64(0)
 	for _, e := range endpoints {
-		if work := e.work.Load(); work > 0 {
-			sum += work
+		if serviceTime := e.serviceTime.Load(); serviceTime > 0 {
+			sum += serviceTime
 			count++
 		}
 	}
 	if count == 0 {
-		return unknownWork
+		return defaultServiceTime
 	}
-	return max(float64(sum/count), minUsualWork)
+	return max(float64(sum/count), minUsualServiceTime)
 }
 
 // fullZoneLoad is the load per slot from which on no request keeps to its zone.
--- a/internal/proxy/loadbalancer/select.go
+++ b/internal/proxy/loadbalancer/select.go
@@ -51,17 +51,17 @@
 // selection is one choice under way.
 type selection struct {
 	Criteria
-	balancer      *Balancer
-	service       *service
-	now           int64
-	remoteWeight  float64
-	usualWork     float64
-	probesOutlier bool
+	balancer         *Balancer
+	service          *service
+	now              int64
+	remoteWeight     float64
+	usualServiceTime float64
+	probesOutlier    bool
 }
 
 // Pick returns the endpoint that should answer first, or nil if there is none.
-// Bytes between zones are dear, so the request keeps to its own zone while that
-// answers well within the target.
+// Traffic between zones is expensive, so the request keeps to its own zone while
+// that answers well within the target.
 func (b *Balancer) Pick(c Criteria) *Endpoint {
 	current := b.table.Load()
 	service := current.services[c.Service]
@@ -74,7 +74,7 @@
 		s.remoteWeight = b.bulkWeight
 	}
 	if c.Key != 0 && len(c.Tried) == 0 && !s.probesOutlier {
-		s.usualWork = usualWork(service.all)
+		s.usualServiceTime = usualServiceTime(service.all)
 		if e := s.pickByKey(current.hotKeys[c.Key]); e != nil {
 			return e
 		}
@@ -82,12 +82,11 @@
 	if len(service.all) > 0 && service.all[0].IsDirect() {
 		return s.pickDirect()
 	}
-	s.usualWork = usualWork(service.all)
+	s.usualServiceTime = usualServiceTime(service.all)
 	return s.pickByLoad()
 }
 
-// pickByLoad serves nodes that know the endpoints' load from the nodes beside
-// them.
+// pickByLoad chooses where the endpoints' sidecars report their load.
 func (s *selection) pickByLoad() *Endpoint {
 	if s.probesOutlier {
 		if e := s.pickOutlier(); e != nil {
@@ -244,7 +243,7 @@
 // capacity returns the weight with which an endpoint is drawn: the requests that
 // it can take in a time.
 func (s *selection) capacity(e *Endpoint) float64 {
-	capacity := float64(e.slots) / e.expectedWork(s.usualWork, s.now)
+	capacity := float64(e.slots) / e.expectedServiceTime(s.usualServiceTime, s.now)
 	if s.Bulk {
 		slowdown := e.linkSlowdown(s.now)
 		capacity /= slowdown * slowdown
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -27,7 +27,7 @@
 	Routes *atomic.Pointer[routeconfig.Table]
 	// Transport reaches the nodes beside endpoints.
 	Transport http.RoundTripper
-	// AppClient reaches endpoints that no node stands beside.
+	// AppClient reaches endpoints that have no sidecar.
 	AppClient *AppClient
 	// RetryBudget pays for retries and hedged attempts.
 	RetryBudget *retry.Budget
@@ -65,7 +65,7 @@
 
 	draining atomic.Bool
 	stopped  atomic.Bool
-	// lastEnd is when accepted requests must have ended; nil while it is far off.
+	// lastEnd is when accepted requests must have ended; nil outside a shutdown.
 	lastEnd         atomic.Pointer[time.Time]
 	pending         pendingRequests
 	routeStats      routeStats
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -8,7 +8,7 @@
 	"corkcove/internal/proxy/localreply"
 )
 
-// Reasons why a response can't be taken for the endpoint's own complete answer.
+// Reasons why a response is not accepted as the endpoint's own and complete.
 const (
 	invalidOtherRequest = "another request's answer"
 	invalidStatus       = "no final status"
@@ -18,8 +18,8 @@
 	invalidPromise      = "a promise by an endpoint that may have run it"
 )
 
-// invalidReason tells why a response can't be taken for the endpoint's own
-// complete answer to the request; it is empty if it can.
+// invalidReason tells why a response is not accepted as the endpoint's own and
+// complete answer to the request; it is empty if it is accepted.
 func invalidReason(response *http.Response, requestID string, idempotent bool) string {
 	success := response.StatusCode/100 == 2
 	switch {
--- a/internal/proxy/responsetimes.go
+++ b/internal/proxy/responsetimes.go
@@ -9,9 +9,9 @@
 	// minTailSamples is how many requests of a route must have ended before its
 	// slow tail counts as known.
 	minTailSamples = 50
-	// tailDecay is the share, one in so many, by which each quicker request draws
-	// a route's tail down: a slow one counts for some hundreds of requests.
-	tailDecay = 256
+	// Each quicker request lowers a route's tail by their difference divided by
+	// tailDecayDivisor: a slow one counts for some hundreds of requests.
+	tailDecayDivisor = 256
 )
 
 // responseTimes keeps the slow tail of each route's response times. A mean
@@ -45,7 +45,7 @@
 		tail.slowest = took
 		return
 	}
-	tail.slowest -= (tail.slowest - took) / tailDecay
+	tail.slowest -= (tail.slowest - took) / tailDecayDivisor
 }
 
 // tail gives the route's slow tail; false means that too little is known.
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -8,9 +8,9 @@
 const (
 	// budgetBuckets is how many parts the budget's window is counted in.
 	budgetBuckets = 10
-	// reservedFraction is the part of ratio and slack that a node leaves for
+	// A node spends ratio and slack divided by reservedDivisor; the rest is for
 	// retries that others cause and for nodes that come and go.
-	reservedFraction = 2
+	reservedDivisor = 2
 )
 
 // serviceUse is what one node sent and spent on one service in the last window.
@@ -46,8 +46,8 @@
 // nodes share that, and now the time on any clock that does not run backwards.
 func NewBudget(ratio, slack float64, window time.Duration, nodes func() int, now func() time.Duration) *Budget {
 	return &Budget{
-		ratio:      ratio / reservedFraction,
-		slack:      slack / reservedFraction,
+		ratio:      ratio / reservedDivisor,
+		slack:      slack / reservedDivisor,
 		window:     max(window, budgetBuckets),
 		bucketSpan: max(window/budgetBuckets, 1),
 		started:    now(),
--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -46,8 +46,8 @@
 	preferFirst func() string
 	key         uint64
 
-	// sends counts attempts, arrivals those that reached an endpoint.
-	sends       int
+	// attempts counts all attempts, arrivals those that reached an endpoint.
+	attempts    int
 	arrivals    int
 	rejected    int
 	unreachable int
@@ -101,17 +101,17 @@
 // Next returns the endpoint for the next attempt, which the budget has paid for
 // where it is not the first to arrive.
 func (p *Plan) Next() (*loadbalancer.Endpoint, Action) {
-	if p.sends >= maxAttempts || p.arrivals >= p.maxArrivals() {
+	if p.attempts >= maxAttempts || p.arrivals >= p.maxArrivals() {
 		return nil, GiveUp
 	}
 	if p.rejected == shortWaits {
 		// Now the endpoints without room are asked for a long wait.
 		p.tried = slices.Clone(p.arrivedAt)
 	}
-	p.sends++
+	p.attempts++
 	endpoint := p.choose()
 	if endpoint == nil {
-		if p.rejected > 0 || p.sends > 1 {
+		if p.rejected > 0 || p.attempts > 1 {
 			return nil, GiveUp
 		}
 		return nil, Wait
--- a/internal/proxy/routestats.go
+++ b/internal/proxy/routestats.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// usualTimeSpan is over how many answers the usual time of a route moves.
+	// usualTimeSpan is the divisor of the moving average of a route's response
+	// times.
 	usualTimeSpan = 16
-	// A request counts as a first try if it has more than firstTryShare of the
-	// longest time that clients of its route had: firstTryShare is 19/20.
+	// A request counts as a first attempt if its timeout is above this share of the
+	// longest one seen on its route.
 	firstAttemptNumerator   = 19
 	firstAttemptDenominator = 20
 )
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -258,7 +258,7 @@
 		got := rig.send(testRequest{to: "in0", path: "/e/", takes: stuckFor})
 		qt.Assert(t, got.err, qt.IsNil)
 		qt.Assert(t, got.code, qt.Equals, 502)
-		qt.Assert(t, got.headers.Get(headerOutcome), qt.Equals, string(nodeLost))
+		qt.Assert(t, got.headers.Get(headerOutcome), qt.Equals, string(nodeFailed))
 		qt.Assert(t, time.Since(rig.started) >= testGrace-finalAnswerLead, qt.IsTrue)
 		qt.Assert(t, <-rig.exited < testGrace-exitLead, qt.IsTrue)
 		bounced := <-late
@@ -281,7 +281,7 @@
 	tail, known := times.tail("r")
 	qt.Assert(t, known, qt.IsTrue)
 	qt.Assert(t, tail > 2*time.Second, qt.IsTrue, qt.Commentf("%v", tail))
-	for range 10 * tailDecay {
+	for range 10 * tailDecayDivisor {
 		times.record("r", 100*time.Millisecond)
 	}
 	tail, _ = times.tail("r")
