--- a/cmd/corkcove/core_control.go
+++ b/cmd/corkcove/core_control.go
@@ -31,10 +31,10 @@
 
 // Status tells a tool about this node, and about the mesh if it is the master.
 func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
-	r := &meshpb.StatusResponse{Node: c.options.Self.NodeName}
-	runOn(c.mailbox, func() { c.addReplicaStatus(r) })
-	runOn(c.master.Mailbox, func() { c.addMasterStatus(r) })
-	return r, nil
+	response := &meshpb.StatusResponse{Node: c.options.Self.NodeName}
+	runOn(c.mailbox, func() { c.addReplicaStatus(response) })
+	runOn(c.master.Mailbox, func() { c.addMasterStatus(response) })
+	return response, nil
 }
 
 // runOn runs a function on a mailbox and waits for its end.
@@ -45,52 +45,52 @@
 	})
 }
 
-func (c *coreNode) addReplicaStatus(r *meshpb.StatusResponse) {
-	r.Membership, r.Shards = c.replica.Membership(), c.replica.ShardStatuses()
-	r.DiskSound, r.Member = c.replica.DiskHealthy(), !c.replica.IsLearner()
+func (c *coreNode) addReplicaStatus(response *meshpb.StatusResponse) {
+	response.Membership, response.Shards = c.replica.Membership(), c.replica.ShardStatuses()
+	response.DiskSound, response.Member = c.replica.DiskHealthy(), !c.replica.IsLearner()
 	if master, ok := c.replica.Owner(controllerShard); ok {
-		r.MasterAddr = master.Addr
+		response.MasterAddr = master.Addr
 	}
 }
 
-func (c *coreNode) addMasterStatus(r *meshpb.StatusResponse) {
-	r.Master = c.master.IsMaster() && c.replica.HoldsMasterLease()
+func (c *coreNode) addMasterStatus(response *meshpb.StatusResponse) {
+	response.Master = c.master.IsMaster() && c.replica.HoldsMasterLease()
 	view := c.master.View()
-	r.Epoch, r.View, r.Config = view.Epoch, view.Version, c.master.ConfigVersion()
-	if !r.Master {
+	response.Epoch, response.View, response.Config = view.Epoch, view.Version, c.master.ConfigVersion()
+	if !response.Master {
 		return
 	}
-	r.Nodes = c.master.NodeStatuses()
-	r.Hot, r.HotCounts = c.master.HotKeys()
+	response.Nodes = c.master.NodeStatuses()
+	response.Hot, response.HotCounts = c.master.HotKeys()
 	for _, e := range view.Endpoints {
 		if e.Node == "" {
-			r.Listed++
+			response.Listed++
 		}
 		if e.Outlier {
-			r.Greys = append(r.Greys, e.Service+" "+e.Id)
+			response.Greys = append(response.Greys, e.Service+" "+e.Id)
 		}
 	}
 }
 
 // SetState stores a user state in the controller's shard; the master caps the
 // node's state with it from the next view on.
-func (c *coreNode) SetState(ctx context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
-	if !lifecycle.State(q.State).SettableByUser() {
+func (c *coreNode) SetState(ctx context.Context, request *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
+	if !lifecycle.State(request.State).SettableByUser() {
 		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
 	}
 	isMaster := c.replica.HoldsMasterLease()
-	known, _ := mailbox.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(q.Node) })
+	known, _ := mailbox.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(request.Node) })
 	if !isMaster {
 		return &meshpb.SetStateResponse{Why: reasonNotMaster, MasterAddr: c.masterAddress()}, nil
 	}
 	if !known {
-		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(q.Node) + " is known"}, nil
+		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(request.Node) + " is known"}, nil
 	}
-	users, err := c.storeUserState(ctx, q.Node, lifecycle.State(q.State))
+	users, err := c.storeUserState(ctx, request.Node, lifecycle.State(request.State))
 	if err != nil {
 		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
 	}
-	c.master.Mailbox.Post(func() { c.master.SetUserStates(users, q.Node) })
+	c.master.Mailbox.Post(func() { c.master.SetUserStates(users, request.Node) })
 	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
@@ -126,22 +126,22 @@
 
 // RegisterNode makes a traffic node known to the master, if this is it, and
 // tells the node who the core is.
-func (c *coreNode) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	r, _ := mailbox.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
-		last, isMaster := c.master.RegisterNode(q.Node)
+func (c *coreNode) RegisterNode(_ context.Context, request *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
+	response, _ := mailbox.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
+		last, isMaster := c.master.RegisterNode(request.Node)
 		return &meshpb.RegisterNodeResponse{Master: isMaster, LastEndpoint: last}
 	})
-	r.Membership, _ = mailbox.Call(c.mailbox, c.replica.Membership)
-	if !r.Master {
-		r.MasterAddr = c.masterAddress()
+	response.Membership, _ = mailbox.Call(c.mailbox, c.replica.Membership)
+	if !response.Master {
+		response.MasterAddr = c.masterAddress()
 	}
-	return r, nil
+	return response, nil
 }
 
 // Relay sends what the master names on to some of its nodes, while this member's
 // lease to it runs: for a master that was cut off or frozen nothing is sent.
-func (c *coreNode) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
-	epoch := max(q.GetPoll().GetEpoch(), q.GetView().GetEpoch(), q.GetConfig().GetEpoch())
+func (c *coreNode) Relay(ctx context.Context, request *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
+	epoch := max(request.GetPoll().GetEpoch(), request.GetView().GetEpoch(), request.GetConfig().GetEpoch())
 	if !c.waitForReplica(ctx, func() (done, never bool) {
 		return c.replica.LeaseGranted(controllerShard, epoch), c.replica.PromisedEpoch(controllerShard) > epoch
 	}) {
@@ -150,11 +150,11 @@
 	payloads := sync.OnceValue(func() clustercontroller.StoredPayloads {
 		// The entries may be about to arrive.
 		c.waitForReplica(ctx, func() (done, never bool) {
-			return hasStoredVersions(c.replica.StateMachine(controllerShard), q.Stored), false
+			return hasStoredVersions(c.replica.StateMachine(controllerShard), request.Stored), false
 		})
-		return c.readStoredPayloads(q.Stored)
+		return c.readStoredPayloads(request.Stored)
 	})
-	return clustercontroller.Relay(ctx, c.clients, q, payloads), nil
+	return clustercontroller.Relay(ctx, c.clients, request, payloads), nil
 }
 
 // waitForReplica asks the replica again and again, for a while after a takeover,
@@ -175,13 +175,13 @@
 
 // PinSession answers nodes that ask for the endpoint of a session. A response
 // that isn't ok promises nothing.
-func (c *coreNode) PinSession(ctx context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-	if q.Key == "" || len(q.Allowed) == 0 {
+func (c *coreNode) PinSession(ctx context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+	if request.Key == "" || len(request.Allowed) == 0 {
 		return &meshpb.PinResponse{}, nil
 	}
-	pin, err := c.service.PinSession(ctx, q)
+	pin, err := c.service.PinSession(ctx, request)
 	if errors.Is(err, replication.ErrNotOwner) {
-		return &meshpb.PinResponse{OwnerAddr: c.sessionOwnerAddress(q.Key)}, nil
+		return &meshpb.PinResponse{OwnerAddr: c.sessionOwnerAddress(request.Key)}, nil
 	}
 	if err != nil {
 		return &meshpb.PinResponse{}, nil
--- a/cmd/corkcove/core_stored.go
+++ b/cmd/corkcove/core_stored.go
@@ -86,7 +86,7 @@
 	if isStored(stored.view, versions.ViewVersion, versions.ViewDigest) {
 		if view := decodeStoredView(stored.view); view.Epoch > 0 && view.Epoch == versions.ViewEpoch {
 			// A view that can't be encoded is as good as none.
-			payloads.View, _ = proto.Marshal(view.Lean())
+			payloads.View, _ = proto.Marshal(view.ForNodes())
 		}
 	}
 	return payloads
--- a/cmd/corkcove/diagnostics.go
+++ b/cmd/corkcove/diagnostics.go
@@ -14,8 +14,8 @@
 type processDiagnostics struct{ *process }
 
 // Trace returns the steps of a change that this process remembers.
-func (d processDiagnostics) Trace(_ context.Context, q *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
-	change, err := changetrace.ParseChange(q.Subject)
+func (d processDiagnostics) Trace(_ context.Context, request *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
+	change, err := changetrace.ParseChange(request.Subject)
 	if err != nil {
 		return nil, err
 	}
@@ -45,11 +45,11 @@
 
 // newRecordsResponse adds to the records what the process is and which bounds
 // are in force.
-func (d processDiagnostics) newRecordsResponse(r *meshpb.RequestRecordsResponse) *meshpb.RequestRecordsResponse {
+func (d processDiagnostics) newRecordsResponse(response *meshpb.RequestRecordsResponse) *meshpb.RequestRecordsResponse {
 	self, bounds := d.options.Self, d.options.Requirements.Bounds
-	r.Node, r.Zone, r.Service, r.Role = self.NodeName, self.ZoneName, self.ServiceName, d.role
-	r.Ratio, r.Slack, r.WindowS = bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindowSeconds
-	return r
+	response.Node, response.Zone, response.Service, response.Role = self.NodeName, self.ZoneName, self.ServiceName, d.role
+	response.Ratio, response.Slack, response.WindowS = bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindowSeconds
+	return response
 }
 
 // nodeDiagnostics answers the tools' questions to a traffic node.
@@ -77,20 +77,20 @@
 }
 
 // Sessions returns the open sessions, and their moves since a configuration.
-func (d nodeDiagnostics) Sessions(_ context.Context, q *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
-	r := &meshpb.SessionsResponse{Node: d.options.Self.NodeName, Config: d.node.agent.ConfigVersion()}
-	r.Sessions, r.Moves, r.Dropped = d.node.sessions.Report(q.Since)
-	return r, nil
+func (d nodeDiagnostics) Sessions(_ context.Context, request *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
+	response := &meshpb.SessionsResponse{Node: d.options.Self.NodeName, Config: d.node.agent.ConfigVersion()}
+	response.Sessions, response.Moves, response.Dropped = d.node.sessions.Report(request.Since)
+	return response, nil
 }
 
 // RequestRecords returns a page of the records of the last span.
-func (d nodeDiagnostics) RequestRecords(_ context.Context, q *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
-	r := d.newRecordsResponse(d.node.requestLog.Report(time.Duration(q.SpanUs)*time.Microsecond, q.Offset, q.Limit))
-	r.RemoteWeight, r.BulkWeight, r.PreferredEndpoints = d.remoteWeight, d.bulkWeight, d.preferredEndpoints
-	return r, nil
+func (d nodeDiagnostics) RequestRecords(_ context.Context, request *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
+	response := d.newRecordsResponse(d.node.requestLog.Report(time.Duration(request.SpanUs)*time.Microsecond, request.Offset, request.Limit))
+	response.RemoteWeight, response.BulkWeight, response.PreferredEndpoints = d.remoteWeight, d.bulkWeight, d.preferredEndpoints
+	return response, nil
 }
 
 // Snapshots returns the views and configurations that the records name.
-func (d nodeDiagnostics) Snapshots(_ context.Context, q *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
-	return d.node.requestLog.Snapshots(q), nil
+func (d nodeDiagnostics) Snapshots(_ context.Context, request *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
+	return d.node.requestLog.Snapshots(request), nil
 }
--- a/internal/clustercontroller/batches.go
+++ b/internal/clustercontroller/batches.go
@@ -131,8 +131,8 @@
 	node := m.clients.Node(to.Addr)
 	done := b.callbacks[to.Name]
 	go func() {
-		a := callTarget(node, to, b.request, func() StoredPayloads { return m.readStored(b.request.Stored) })
-		m.Mailbox.Post(func() { done(a) })
+		ack := callTarget(node, to, b.request, func() StoredPayloads { return m.readStored(b.request.Stored) })
+		m.Mailbox.Post(func() { done(ack) })
 	}()
 }
 
@@ -148,11 +148,11 @@
 // while.
 func (m *Master) callThroughRelay(b *batch, addr string, targets []*meshpb.RelayTarget) {
 	relay := m.clients.Control(addr)
-	q := &meshpb.RelayRequest{Targets: targets, View: b.request.View, Config: b.request.Config, Poll: b.request.Poll, Stored: b.request.Stored}
+	request := &meshpb.RelayRequest{Targets: targets, View: b.request.View, Config: b.request.Config, Poll: b.request.Poll, Stored: b.request.Stored}
 	go func() {
-		r, err := rpc.Call(relayCallTimeout, relay.Relay, q)
+		response, err := rpc.Call(relayCallTimeout, relay.Relay, request)
 		m.Mailbox.Post(func() {
-			acked := b.runCallbacks(r.GetAcks())
+			acked := b.runCallbacks(response.GetAcks())
 			if err != nil || len(acked) == 0 {
 				m.relayRetryAt[addr] = m.options.Now() + relayRetryDelay
 			}
@@ -165,10 +165,10 @@
 // of these nodes.
 func (b *batch) runCallbacks(acks []*meshpb.RelayAck) map[string]bool {
 	acked := map[string]bool{}
-	for _, a := range acks {
-		if done := b.callbacks[a.Name]; done != nil && !acked[a.Name] {
-			acked[a.Name] = true
-			done(a)
+	for _, ack := range acks {
+		if done := b.callbacks[ack.Name]; done != nil && !acked[ack.Name] {
+			acked[ack.Name] = true
+			done(ack)
 		}
 	}
 	return acked
--- a/internal/clustercontroller/configs.go
+++ b/internal/clustercontroller/configs.go
@@ -8,7 +8,7 @@
 
 // A configuration without an acknowledgement is sent again by another way while the
 // first sending still runs. Two waits and a call must fit into 2 s, the shortest
-// time that a site gives its nodes to apply a version.
+// time that a deployment gives its nodes to apply a version.
 const (
 	// patchRetryAfter is twice what a relay waits for its next node.
 	patchRetryAfter = 2 * relayIdleTimeout
@@ -34,15 +34,15 @@
 
 // SetConfig takes a newly committed configuration, and a master sends it to all
 // nodes at once.
-func (m *Master) SetConfig(c *meshpb.Config) {
-	if c.GetVersion() > m.config.version {
-		m.config = configState{version: c.Version, packed: c.Packed, patches: c.Patches}
+func (m *Master) SetConfig(config *meshpb.Config) {
+	if config.GetVersion() > m.config.version {
+		m.config = configState{version: config.Version, packed: config.Packed, patches: config.Patches}
 	}
 	if !m.leadership.active {
 		return
 	}
-	for name, h := range m.histories {
-		m.sendConfig(name, h)
+	for name, history := range m.histories {
+		m.sendConfig(name, history)
 	}
 }
 
@@ -54,10 +54,10 @@
 func (c *configState) patchesFrom(version uint64) [][]byte {
 	var patches [][]byte
 	size := 0
-	for _, p := range c.patches {
-		if p.BaseVersion == version || patches != nil {
-			patches = append(patches, p.Patch)
-			size += len(p.Patch)
+	for _, patch := range c.patches {
+		if patch.BaseVersion == version || patches != nil {
+			patches = append(patches, patch.Patch)
+			size += len(patch.Patch)
 		}
 	}
 	if size > len(c.packed) {
@@ -68,46 +68,46 @@
 
 // sendConfig sends a node the patches from what it holds to the configuration in
 // force, or all of it, unless it holds that or it is under way.
-func (m *Master) sendConfig(name string, h *nodeHistory) {
+func (m *Master) sendConfig(name string, history *nodeHistory) {
 	if !m.checkLease() {
 		return
 	}
-	p := m.progressOf(name)
+	progress := m.progressOf(name)
 	now := m.options.Now()
-	if !m.needsConfig(p, h, now) || m.awaitsReport(p, now) {
+	if !m.needsConfig(progress, history, now) || m.awaitsReport(progress, now) {
 		return
 	}
-	q := m.configRequest(p)
-	p.configInFlight, p.configSentAt, p.sentFullConfig = true, now, q.BaseVersion == 0
-	p.configAttempt++
-	attempt := p.configAttempt
-	relayOffset := p.unansweredAttempts % relayChoices
-	p.unansweredAttempts++
-	key := batchKey{kind: configBatch, baseVersion: q.BaseVersion, version: q.Version, patches: len(q.Patches), full: len(q.Data) > 0, relayOffset: relayOffset}
-	m.enqueue(key, &meshpb.RelayRequest{Config: q}, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
+	request := m.configRequest(progress)
+	progress.configInFlight, progress.configSentAt, progress.sentFullConfig = true, now, request.BaseVersion == 0
+	progress.configAttempt++
+	attempt := progress.configAttempt
+	relayOffset := progress.unansweredAttempts % relayChoices
+	progress.unansweredAttempts++
+	key := batchKey{kind: configBatch, baseVersion: request.BaseVersion, version: request.Version, patches: len(request.Patches), full: len(request.Data) > 0, relayOffset: relayOffset}
+	m.enqueue(key, &meshpb.RelayRequest{Config: request}, &meshpb.RelayTarget{Name: name, Addr: history.state.Addr}, func(ack *meshpb.RelayAck) {
 		now := m.options.Now()
-		p.recordConfigAck(q, a.GetConfig(), attempt == p.configAttempt, now)
-		if a.GetConfig() != nil && attempt == p.configAttempt && m.leadership.active {
-			m.sendConfig(name, h)
+		progress.recordConfigAck(request, ack.GetConfig(), attempt == progress.configAttempt, now)
+		if ack.GetConfig() != nil && attempt == progress.configAttempt && m.leadership.active {
+			m.sendConfig(name, history)
 		}
 	})
 }
 
-func (m *Master) needsConfig(p *nodeProgress, h *nodeHistory, now time.Duration) bool {
-	if m.config.version == 0 || p.configVersion >= m.config.version || h.state.GetAddr() == "" {
+func (m *Master) needsConfig(progress *nodeProgress, history *nodeHistory, now time.Duration) bool {
+	if m.config.version == 0 || progress.configVersion >= m.config.version || history.state.GetAddr() == "" {
 		return false
 	}
-	return now >= p.retryConfigAt && (!p.configInFlight || p.configOverdue(h, now))
+	return now >= progress.retryConfigAt && (!progress.configInFlight || progress.configOverdue(history, now))
 }
 
 // awaitsReport tells that a node has not been heard under this epoch and may still
 // be soon: what it holds is guessed only after that.
-func (m *Master) awaitsReport(p *nodeProgress, now time.Duration) bool {
-	if p.incarnation != "" {
+func (m *Master) awaitsReport(progress *nodeProgress, now time.Duration) bool {
+	if progress.incarnation != "" {
 		return false
 	}
 	wait := m.options.PollGrace/2 + 3*m.relayedSendTime()
-	if len(m.config.patches) > 0 && !p.needsFullConfig {
+	if len(m.config.patches) > 0 && !progress.needsFullConfig {
 		wait = m.relayedSendTime()
 	}
 	return now-m.leadership.since < wait
@@ -115,61 +115,62 @@
 
 // configRequest holds the patches from what a node holds to the configuration in
 // force, or all of it where there are none.
-func (m *Master) configRequest(p *nodeProgress) *meshpb.DeliverConfigRequest {
-	q := &meshpb.DeliverConfigRequest{Epoch: m.leadership.epoch, Version: m.config.version}
+func (m *Master) configRequest(progress *nodeProgress) *meshpb.DeliverConfigRequest {
+	request := &meshpb.DeliverConfigRequest{Epoch: m.leadership.epoch, Version: m.config.version}
 	patches := m.config.patches
 	switch {
-	case p.needsFullConfig:
-	case p.configVersion > 0:
-		if q.Patches = m.config.patchesFrom(p.configVersion); q.Patches != nil {
-			q.BaseVersion = p.configVersion
+	case progress.needsFullConfig:
+	case progress.configVersion > 0:
+		if request.Patches = m.config.patchesFrom(progress.configVersion); request.Patches != nil {
+			request.BaseVersion = progress.configVersion
 		}
-	case p.incarnation == "" && len(patches) > 0:
+	case progress.incarnation == "" && len(patches) > 0:
 		// Most likely the node has the one before.
 		last := patches[len(patches)-1]
-		q.BaseVersion, q.Patches = last.BaseVersion, [][]byte{last.Patch}
+		request.BaseVersion, request.Patches = last.BaseVersion, [][]byte{last.Patch}
 	}
-	if q.BaseVersion == 0 {
-		q.Data = m.config.packed
+	if request.BaseVersion == 0 {
+		request.Data = m.config.packed
 	}
-	return q
+	return request
 }
 
-// recordConfigAck notes what came of a sending; r is nil if nothing was heard, and
+// recordConfigAck notes what came of a sending; response is nil if nothing was
+// heard, and
 // newest tells that no other was begun since.
-func (p *nodeProgress) recordConfigAck(q *meshpb.DeliverConfigRequest, r *meshpb.DeliverConfigResponse, newest bool, now time.Duration) {
-	if r != nil {
-		p.configVersion = max(p.configVersion, r.Version)
+func (p *nodeProgress) recordConfigAck(request *meshpb.DeliverConfigRequest, response *meshpb.DeliverConfigResponse, newest bool, now time.Duration) {
+	if response != nil {
+		p.configVersion = max(p.configVersion, response.Version)
 		p.configAckedAt = now
 	}
 	if !newest {
 		return
 	}
 	p.configInFlight = false
-	if r == nil {
+	if response == nil {
 		p.retryConfigAt = now + configFailureBackoff
 		return
 	}
 	p.unansweredAttempts = 0
-	p.needsFullConfig = !r.Ok && (r.Version == 0 || r.Version == q.BaseVersion || q.BaseVersion == 0)
-	if !r.Ok {
+	p.needsFullConfig = !response.Ok && (response.Version == 0 || response.Version == request.BaseVersion || request.BaseVersion == 0)
+	if !response.Ok {
 		p.retryConfigAt = now + configRefusalBackoff
 	}
 }
 
 // configOverdue tells that a node which answers polls has left the last sending
 // unanswered for so long that it is to be sent by another way.
-func (p *nodeProgress) configOverdue(h *nodeHistory, now time.Duration) bool {
+func (p *nodeProgress) configOverdue(history *nodeHistory, now time.Duration) bool {
 	wait := patchRetryAfter
 	if p.sentFullConfig {
 		wait = fullConfigRetryAfter
 	}
-	return h.reachable && now-p.configSentAt >= wait
+	return history.reachable && now-p.configSentAt >= wait
 }
 
 // hasConfig tells that a node has acknowledged this configuration, or a newer one,
 // by another way meanwhile.
-func (m *Master) hasConfig(name string, q *meshpb.DeliverConfigRequest) bool {
-	p := m.progress[name]
-	return q != nil && p != nil && p.configVersion >= q.Version
+func (m *Master) hasConfig(name string, request *meshpb.DeliverConfigRequest) bool {
+	progress := m.progress[name]
+	return request != nil && progress != nil && progress.configVersion >= request.Version
 }
--- a/internal/clustercontroller/history.go
+++ b/internal/clustercontroller/history.go
@@ -38,17 +38,18 @@
 	endpointID string
 	// warmingUp tells that the endpoint's last report was during its warm-up.
 	warmingUp bool
-	// awaitingWarmup: an endpoint crashed during its warm-up; the next is down until
-	// it is warm.
+	// awaitingWarmup tells that an endpoint crashed during its warm-up; the next is
+	// down until it is warm.
 	awaitingWarmup bool
 	crashes        []time.Duration
-	// crashLooping: it crashed too often; down until an operator sets it to up.
+	// crashLooping tells that it crashed too often; it is down until an operator sets
+	// it to up.
 	crashLooping bool
 
 	// lastEndpoint is the last endpoint that the node reported.
 	lastEndpoint *meshpb.Endpoint
-	// restoredFromView: the last view showed lastEndpoint, and the node, just started
-	// like all others, may not have found it again yet.
+	// restoredFromView tells that lastEndpoint comes from the last view, and the node,
+	// just started like all others, may not have found it again yet.
 	restoredFromView bool
 }
 
@@ -62,35 +63,35 @@
 }
 
 // recordReport merges a node's own state into its history.
-func (h *nodeHistory) recordReport(n *meshpb.NodeState, now time.Duration, rules historyRules) {
-	e := n.Endpoint
-	id := e.GetId()
+func (h *nodeHistory) recordReport(state *meshpb.NodeState, now time.Duration, rules historyRules) {
+	endpoint := state.Endpoint
+	id := endpoint.GetId()
 	if id != "" && h.endpointID != "" && id != h.endpointID {
 		h.recordCrash(now, rules)
 	}
 	if id != "" {
 		h.endpointID = id
-		h.warmingUp = e.WarmupMs > 0
-		if !h.warmingUp && e.Healthy {
+		h.warmingUp = endpoint.WarmupMs > 0
+		if !h.warmingUp && endpoint.Healthy {
 			h.awaitingWarmup = false
 		}
-		h.lastEndpoint = e
+		h.lastEndpoint = endpoint
 	}
-	if endsOrderly(e) {
+	if endsOrderly(endpoint) {
 		h.endpointID, h.warmingUp = "", false
 	}
-	h.state = n
+	h.state = state
 	h.lastContact, h.pollFailures, h.reachable = now, 0, true
 }
 
 // endsOrderly tells that an endpoint has announced its end, so that another one in
 // its place is no crash.
-func endsOrderly(e *meshpb.Endpoint) bool {
-	if e == nil {
+func endsOrderly(endpoint *meshpb.Endpoint) bool {
+	if endpoint == nil {
 		return false
 	}
-	s := lifecycle.State(e.State)
-	return s == lifecycle.Draining || s == lifecycle.Gone
+	state := lifecycle.State(endpoint.State)
+	return state == lifecycle.Draining || state == lifecycle.Gone
 }
 
 // recordCrash notes that an endpoint ended without deregistering.
@@ -127,17 +128,17 @@
 // reported, lowered by history, capped by the user state. It is Up, Draining or
 // Down.
 func (h *nodeHistory) officialState(user lifecycle.State) lifecycle.State {
-	e := h.knownEndpoint()
-	if e.GetId() == "" || !h.reachable || h.crashLooping || h.awaitingWarmup {
+	endpoint := h.knownEndpoint()
+	if endpoint.GetId() == "" || !h.reachable || h.crashLooping || h.awaitingWarmup {
 		return lifecycle.Down
 	}
 	state := lifecycle.Down
 	switch {
 	case lifecycle.State(h.state.State) == lifecycle.Stopping:
 		state = lifecycle.Draining
-	case lifecycle.State(e.State) == lifecycle.Draining:
+	case lifecycle.State(endpoint.State) == lifecycle.Draining:
 		state = lifecycle.Draining
-	case lifecycle.State(e.State) == lifecycle.Ready && e.Healthy:
+	case lifecycle.State(endpoint.State) == lifecycle.Ready && endpoint.Healthy:
 		state = lifecycle.Up
 	}
 	if rank, ok := stateRank[user]; ok && stateRank[state] > rank {
--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -56,13 +56,13 @@
 // have ended since this member led last, and polls to them would hold up those to
 // the others. A node that runs and was not in that view registers by itself, once
 // that master's poll ends.
-func (m *Master) forgetNodesWithout(v *meshpb.View) {
-	named := make(map[string]bool, len(v.NodeAddresses)+len(v.Endpoints))
-	for _, a := range v.NodeAddresses {
+func (m *Master) forgetNodesWithout(view *meshpb.View) {
+	named := make(map[string]bool, len(view.NodeAddresses)+len(view.Endpoints))
+	for _, a := range view.NodeAddresses {
 		name, _ := splitNodeAddress(a)
 		named[name] = true
 	}
-	for _, e := range v.Endpoints {
+	for _, e := range view.Endpoints {
 		named[e.Node] = true
 	}
 	for name := range m.histories {
@@ -74,47 +74,47 @@
 
 // restoreEndpoints takes the endpoints of the last view as the nodes' state until
 // these have answered a poll.
-func (m *Master) restoreEndpoints(v *meshpb.View, now time.Duration) {
+func (m *Master) restoreEndpoints(view *meshpb.View, now time.Duration) {
 	m.listedEndpoints = nil
-	for _, e := range v.Endpoints {
+	for _, e := range view.Endpoints {
 		if e.Node == "" {
 			m.listedEndpoints = append(m.listedEndpoints, e)
 			continue
 		}
-		h := m.histories[e.Node]
-		if h == nil {
-			h = restoredHistory(e)
-			m.histories[e.Node] = h
+		history := m.histories[e.Node]
+		if history == nil {
+			history = restoredHistory(e)
+			m.histories[e.Node] = history
 		}
-		h.lastContact, h.pollFailures, h.reachable, h.restoredFromView = now, 0, true, true
+		history.lastContact, history.pollFailures, history.reachable, history.restoredFromView = now, 0, true, true
 	}
 }
 
-func restoredHistory(e *meshpb.Endpoint) *nodeHistory {
-	state := e.State
+func restoredHistory(endpoint *meshpb.Endpoint) *nodeHistory {
+	state := endpoint.State
 	if lifecycle.State(state) == lifecycle.Up {
 		state = string(lifecycle.Ready)
 	}
-	reported := &meshpb.Endpoint{Id: e.Id, Service: e.Service, Addr: e.Addr, Zone: e.Zone, Slots: e.Slots,
-		State: state, Healthy: true, SoftwareVersion: e.SoftwareVersion}
+	reported := &meshpb.Endpoint{Id: endpoint.Id, Service: endpoint.Service, Addr: endpoint.Addr, Zone: endpoint.Zone, Slots: endpoint.Slots,
+		State: state, Healthy: true, SoftwareVersion: endpoint.SoftwareVersion}
 	return &nodeHistory{
-		state:        &meshpb.NodeState{Name: e.Node, Inbound: e.Inbound, Endpoint: reported},
-		endpointID:   e.Id,
+		state:        &meshpb.NodeState{Name: endpoint.Node, Inbound: endpoint.Inbound, Endpoint: reported},
+		endpointID:   endpoint.Id,
 		lastEndpoint: reported,
 	}
 }
 
 // restoreAddresses finds the nodes of the last view.
-func (m *Master) restoreAddresses(v *meshpb.View, now time.Duration) {
-	for _, a := range v.NodeAddresses {
+func (m *Master) restoreAddresses(view *meshpb.View, now time.Duration) {
+	for _, a := range view.NodeAddresses {
 		name, addr := splitNodeAddress(a)
-		h := m.histories[name]
-		if h == nil {
-			h = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
-			m.histories[name] = h
+		history := m.histories[name]
+		if history == nil {
+			history = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
+			m.histories[name] = history
 		}
-		if h.state.Addr == "" {
-			h.state.Addr = addr
+		if history.state.Addr == "" {
+			history.state.Addr = addr
 		}
 	}
 }
@@ -161,8 +161,8 @@
 
 func (m *Master) resume() {
 	m.leadership.suspended = false
-	for _, h := range m.histories {
-		h.lastContact = m.options.Now()
+	for _, history := range m.histories {
+		history.lastContact = m.options.Now()
 	}
 	m.pollAllOnce()
 }
@@ -174,8 +174,8 @@
 		return
 	}
 	m.leadership.rejoining = false
-	for _, h := range m.histories {
-		h.restoredFromView = false
+	for _, history := range m.histories {
+		history.restoredFromView = false
 	}
 	m.scheduleMerge()
 }
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -37,7 +37,7 @@
 	// storedVersions names what shard 0 kept when this member became the master.
 	storedVersions *meshpb.StoredVersions
 
-	merge   mergeState
+	merge   endpointMerge
 	hotKeys hotKeyState
 	views   viewState
 	config  configState
@@ -66,7 +66,7 @@
 		progress:     map[string]*nodeProgress{},
 		pollCancels:  map[string]context.CancelFunc{},
 		userStates:   map[string]string{},
-		merge:        mergeState{ejections: ejections{}},
+		merge:        endpointMerge{ejections: ejections{}},
 		hotKeys:      hotKeyState{tracker: hotkeys.NewTracker(o.HotKeys)},
 		views:        viewState{current: &meshpb.View{}},
 		relayRetryAt: map[string]time.Duration{},
@@ -82,14 +82,14 @@
 	}
 	if m.views.saving || now-m.leadership.since < m.takeoverTime() {
 		// Configurations do not wait for views.
-		for name, h := range m.histories {
-			m.sendConfig(name, h)
+		for name, history := range m.histories {
+			m.sendConfig(name, history)
 		}
 		return
 	}
 	m.endRejoining(now)
-	for name, h := range m.histories {
-		m.sendUpdates(name, h)
+	for name, history := range m.histories {
+		m.sendUpdates(name, history)
 	}
 	m.refreshEjections(now)
 	m.updateHotKeys(now)
@@ -104,8 +104,8 @@
 // SetUserStates takes all user states, by node; the node whose state was just taken
 // back starts with a clean history.
 func (m *Master) SetUserStates(states map[string]string, node string) {
-	if h := m.histories[node]; h != nil && states[node] == "" {
-		h.forgetCrashes()
+	if history := m.histories[node]; history != nil && states[node] == "" {
+		history.forgetCrashes()
 	}
 	m.options.Log.Info("set user state", "node", node, "state", states[node])
 	m.userStates = states
@@ -138,8 +138,8 @@
 	}
 	m.hotKeys.updatedAt = now
 	keys, changes := m.hotKeys.tracker.Update(m.keyRates, m.merge.endpoints, now, time.Now().UnixMicro())
-	for _, c := range changes {
-		m.options.Log.Info("hot key width changed", "key", logring.Hex(c.Key), "service", c.Service, "previousWidth", c.From, "width", c.To, "reason", c.Reason)
+	for _, change := range changes {
+		m.options.Log.Info("hot key width changed", "key", logring.Hex(change.Key), "service", change.Service, "previousWidth", change.From, "width", change.To, "reason", change.Reason)
 	}
 	if !hotkeys.SameWidths(keys, m.hotKeys.current) {
 		m.merge.changedAt = now
@@ -149,15 +149,15 @@
 
 // keyRates goes through what each reachable node reads; it is an iter.Seq.
 func (m *Master) keyRates(yield func([]*meshpb.KeyRate) bool) {
-	for _, h := range m.histories {
-		if rates := h.state.GetKeyRates(); h.reachable && len(rates) > 0 && !yield(rates) {
+	for _, history := range m.histories {
+		if rates := history.state.GetKeyRates(); history.reachable && len(rates) > 0 && !yield(rates) {
 			return
 		}
 	}
 }
 
-func (m *Master) officialState(name string, h *nodeHistory) lifecycle.State {
-	return h.officialState(lifecycle.State(m.userStates[name]))
+func (m *Master) officialState(name string, history *nodeHistory) lifecycle.State {
+	return history.officialState(lifecycle.State(m.userStates[name]))
 }
 
 func (m *Master) trace(what string, version uint64) {
--- a/internal/clustercontroller/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -8,8 +8,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// mergeState is what the nodes' states and the platform's list come to.
-type mergeState struct {
+// endpointMerge is the result of the last merge of the nodes' states and the
+// platform's list, and what the next one needs.
+type endpointMerge struct {
 	// pending tells that a merge is scheduled.
 	pending   bool
 	endpoints []*meshpb.Endpoint
@@ -70,25 +71,25 @@
 // that the platform lists, ordered by id. Those that are down are left out.
 func mergeEndpoints(histories map[string]*nodeHistory, userStates map[string]string, listed []*meshpb.Endpoint) []*meshpb.Endpoint {
 	merged := append([]*meshpb.Endpoint(nil), listed...)
-	for name, h := range histories {
-		state := h.officialState(lifecycle.State(userStates[name]))
+	for name, history := range histories {
+		state := history.officialState(lifecycle.State(userStates[name]))
 		if state == lifecycle.Down {
 			continue
 		}
-		e := h.knownEndpoint()
+		endpoint := history.knownEndpoint()
 		merged = append(merged, &meshpb.Endpoint{
-			Id:              e.Id,
-			Service:         e.Service,
-			Addr:            e.Addr,
-			Zone:            e.Zone,
-			Slots:           e.Slots,
+			Id:              endpoint.Id,
+			Service:         endpoint.Service,
+			Addr:            endpoint.Addr,
+			Zone:            endpoint.Zone,
+			Slots:           endpoint.Slots,
 			State:           string(state),
-			WarmupMs:        e.WarmupMs,
-			SoftwareVersion: e.SoftwareVersion,
+			WarmupMs:        endpoint.WarmupMs,
+			SoftwareVersion: endpoint.SoftwareVersion,
 			Node:            name,
-			Inbound:         h.state.Inbound,
-			Healthy:         e.Healthy,
-			FailurePercent:  e.FailurePercent,
+			Inbound:         history.state.Inbound,
+			Healthy:         endpoint.Healthy,
+			FailurePercent:  endpoint.FailurePercent,
 		})
 	}
 	sort.Slice(merged, func(i, j int) bool { return merged[i].Id < merged[j].Id })
--- a/internal/clustercontroller/outliers.go
+++ b/internal/clustercontroller/outliers.go
@@ -99,14 +99,14 @@
 
 // update returns the share of failures of each endpoint that is ejected now.
 func (e ejections) update(histories map[string]*nodeHistory, now time.Duration) map[string]uint32 {
-	for id, r := range sumFailureReports(histories) {
-		e.apply(id, r, now)
+	for id, report := range sumFailureReports(histories) {
+		e.apply(id, report, now)
 	}
 	failurePercents := map[string]uint32{}
-	for id, x := range e {
-		e.expire(id, x, now)
-		if x.failurePercent > 0 {
-			failurePercents[id] = x.failurePercent
+	for id, entry := range e {
+		e.expire(id, entry, now)
+		if entry.failurePercent > 0 {
+			failurePercents[id] = entry.failurePercent
 		}
 	}
 	return failurePercents
@@ -114,57 +114,57 @@
 
 func sumFailureReports(histories map[string]*nodeHistory) map[string]*meshpb.FailureReport {
 	sums := map[string]*meshpb.FailureReport{}
-	for _, h := range histories {
-		if !h.reachable {
+	for _, history := range histories {
+		if !history.reachable {
 			continue
 		}
-		for _, r := range h.state.GetFailureReports() {
-			sum := sums[r.Endpoint]
+		for _, report := range history.state.GetFailureReports() {
+			sum := sums[report.Endpoint]
 			if sum == nil {
 				sum = &meshpb.FailureReport{}
-				sums[r.Endpoint] = sum
+				sums[report.Endpoint] = sum
 			}
-			sum.Successes += r.Successes
-			sum.Failures += r.Failures
+			sum.Successes += report.Successes
+			sum.Failures += report.Failures
 		}
 	}
 	return sums
 }
 
-func (e ejections) apply(id string, r *meshpb.FailureReport, now time.Duration) {
-	x := e[id]
-	if failing(r) {
-		if x == nil {
-			x = &ejection{duration: baseEjectionTime}
-			e[id] = x
-		} else if x.failurePercent == 0 {
-			x.duration = min(2*x.duration, maxEjectionTime)
+func (e ejections) apply(id string, report *meshpb.FailureReport, now time.Duration) {
+	entry := e[id]
+	if failing(report) {
+		if entry == nil {
+			entry = &ejection{duration: baseEjectionTime}
+			e[id] = entry
+		} else if entry.failurePercent == 0 {
+			entry.duration = min(2*entry.duration, maxEjectionTime)
 		}
-		if x.failurePercent == 0 {
-			x.since = now
+		if entry.failurePercent == 0 {
+			entry.since = now
 		}
-		x.failurePercent = max(failurePercent(r), x.failurePercent)
+		entry.failurePercent = max(failurePercent(report), entry.failurePercent)
 		return
 	}
-	if x != nil && x.failurePercent > 0 && r.Failures == 0 && r.Successes >= minRecoverySuccesses {
-		x.end(now)
+	if entry != nil && entry.failurePercent > 0 && report.Failures == 0 && report.Successes >= minRecoverySuccesses {
+		entry.end(now)
 	}
 }
 
-func failing(r *meshpb.FailureReport) bool {
-	return r.Failures >= minReportedFailures && failurePercent(r) >= outlierFailurePercent
+func failing(report *meshpb.FailureReport) bool {
+	return report.Failures >= minReportedFailures && failurePercent(report) >= outlierFailurePercent
 }
 
-func failurePercent(r *meshpb.FailureReport) uint32 {
-	return 100 * r.Failures / (r.Successes + r.Failures)
+func failurePercent(report *meshpb.FailureReport) uint32 {
+	return 100 * report.Failures / (report.Successes + report.Failures)
 }
 
 // expire ends an ejection whose time is over, and forgets it a while after.
-func (e ejections) expire(id string, x *ejection, now time.Duration) {
+func (e ejections) expire(id string, entry *ejection, now time.Duration) {
 	switch {
-	case x.failurePercent > 0 && now-x.since > x.duration:
-		x.end(now)
-	case x.failurePercent == 0 && now-x.since > ejectionMemory:
+	case entry.failurePercent > 0 && now-entry.since > entry.duration:
+		entry.end(now)
+	case entry.failurePercent == 0 && now-entry.since > ejectionMemory:
 		delete(e, id)
 	}
 }
--- a/internal/clustercontroller/polling.go
+++ b/internal/clustercontroller/polling.go
@@ -14,24 +14,24 @@
 // RegisterNode makes a node known and begins to poll it. It returns the endpoint
 // that the node had last; false means that this member is not the master, or not
 // sure of it.
-func (m *Master) RegisterNode(n *meshpb.NodeState) (last *meshpb.Endpoint, registered bool) {
+func (m *Master) RegisterNode(state *meshpb.NodeState) (last *meshpb.Endpoint, registered bool) {
 	if !m.leadership.active || !m.checkLease() {
 		return nil, false
 	}
-	h := m.histories[n.Name]
-	if h == nil {
-		h = &nodeHistory{}
-		m.histories[n.Name] = h
+	history := m.histories[state.Name]
+	if history == nil {
+		history = &nodeHistory{}
+		m.histories[state.Name] = history
 	}
-	if h.state == nil || h.state.Incarnation != n.Incarnation || h.state.Addr != n.Addr {
-		h.recordReport(n, m.options.Now(), m.options.historyRules())
-		delete(m.progress, n.Name)
-		m.stopPolling(n.Name)
+	if history.state == nil || history.state.Incarnation != state.Incarnation || history.state.Addr != state.Addr {
+		history.recordReport(state, m.options.Now(), m.options.historyRules())
+		delete(m.progress, state.Name)
+		m.stopPolling(state.Name)
 		m.scheduleMerge()
 	}
-	m.startPolling(n.Name, n.Addr)
-	m.sendUpdates(n.Name, h)
-	return h.lastEndpoint, true
+	m.startPolling(state.Name, state.Addr)
+	m.sendUpdates(state.Name, history)
+	return history.lastEndpoint, true
 }
 
 // pollAllOnce polls all nodes without lingering; the pollers, which linger, start
@@ -40,8 +40,8 @@
 	epoch := m.leadership.epoch
 	nextPoll := min(m.directSendTime(), m.pollLinger())
 	i := 0
-	for name, h := range m.histories {
-		if h.state.GetAddr() == "" || m.pollCancels[name] != nil {
+	for name, history := range m.histories {
+		if history.state.GetAddr() == "" || m.pollCancels[name] != nil {
 			continue
 		}
 		i++
@@ -50,17 +50,17 @@
 			Poll:   &meshpb.PollRequest{Epoch: epoch, NextPollMs: milliseconds(nextPoll)},
 			Stored: m.storedVersions,
 		}
-		target := &meshpb.RelayTarget{Name: name, Addr: h.state.Addr, LastEndpoint: h.lastEndpoint}
-		m.enqueue(batchKey{kind: pollBatch}, request, target, func(a *meshpb.RelayAck) {
-			if !m.leadership.is(epoch) || m.histories[name] != h || m.pollCancels[name] != nil {
+		target := &meshpb.RelayTarget{Name: name, Addr: history.state.Addr, LastEndpoint: history.lastEndpoint}
+		m.enqueue(batchKey{kind: pollBatch}, request, target, func(ack *meshpb.RelayAck) {
+			if !m.leadership.is(epoch) || m.histories[name] != history || m.pollCancels[name] != nil {
 				return
 			}
-			if r := a.GetPoll(); r.GetNode() != nil && !r.Stale {
-				m.handlePollAnswer(name, h, r.Node)
-				m.startPollingAfter(name, h.state.GetAddr(), delay, r.Node)
+			if response := ack.GetPoll(); response.GetNode() != nil && !response.Stale {
+				m.handlePollAnswer(name, history, response.Node)
+				m.startPollingAfter(name, history.state.GetAddr(), delay, response.Node)
 				return
 			}
-			m.startPolling(name, h.state.GetAddr())
+			m.startPolling(name, history.state.GetAddr())
 		})
 	}
 }
@@ -76,25 +76,25 @@
 
 func (m *Master) startPolling(name, addr string) { m.startPollingAfter(name, addr, 0, nil) }
 
-// startPollingAfter starts a node's poller unless it has one; n is what the node
-// said just now, or nil.
-func (m *Master) startPollingAfter(name, addr string, delay time.Duration, n *meshpb.NodeState) {
+// startPollingAfter starts a node's poller unless it has one; state is what the
+// node said just now, or nil.
+func (m *Master) startPollingAfter(name, addr string, delay time.Duration, state *meshpb.NodeState) {
 	if m.pollCancels[name] != nil || addr == "" || m.leadership.suspended {
 		return
 	}
-	h := m.histories[name]
+	history := m.histories[name]
 	p := &poller{
 		master:       m,
 		name:         name,
 		epoch:        m.leadership.epoch,
 		node:         m.clients.Node(addr),
 		grace:        m.options.PollGrace + 2*m.directSendTime(),
-		incarnation:  h.state.GetIncarnation(),
-		lastEndpoint: h.lastEndpoint,
+		incarnation:  history.state.GetIncarnation(),
+		lastEndpoint: history.lastEndpoint,
 		linger:       m.pollLinger(),
 	}
-	if n != nil {
-		p.incarnation, p.seq = n.Incarnation, n.Seq
+	if state != nil {
+		p.incarnation, p.seq = state.Incarnation, state.Seq
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.pollCancels[name] = cancel
@@ -139,16 +139,16 @@
 		return
 	}
 	for ctx.Err() == nil {
-		r, err := p.poll(ctx)
+		response, err := p.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		failed := err != nil || r.GetNode() == nil || r.Stale
+		failed := err != nil || response.GetNode() == nil || response.Stale
 		handled := make(chan struct{})
 		p.master.Mailbox.Post(func() {
 			defer close(handled)
 			if ctx.Err() == nil && p.master.leadership.is(p.epoch) {
-				p.handle(r, err, failed)
+				p.handle(response, err, failed)
 			}
 		})
 		select {
@@ -193,52 +193,52 @@
 }
 
 // handle takes an answer on the master's goroutine.
-func (p *poller) handle(r *meshpb.PollResponse, err error, failed bool) {
+func (p *poller) handle(response *meshpb.PollResponse, err error, failed bool) {
 	m := p.master
-	h := m.histories[p.name]
-	if err == nil && r.Stale {
-		if r.Epoch > p.epoch {
-			m.options.Log.Warn("node follows a higher epoch", "node", p.name, "epoch", r.Epoch)
+	history := m.histories[p.name]
+	if err == nil && response.Stale {
+		if response.Epoch > p.epoch {
+			m.options.Log.Warn("node follows a higher epoch", "node", p.name, "epoch", response.Epoch)
 			return
 		}
 		// Another node answers at that address.
-		h.state.Addr = ""
+		history.state.Addr = ""
 	}
 	if failed {
-		m.handlePollFailure(p.name, h)
+		m.handlePollFailure(p.name, history)
 		return
 	}
-	m.handlePollAnswer(p.name, h, r.Node)
-	p.incarnation, p.seq, p.lastEndpoint = r.Node.Incarnation, r.Node.Seq, nil
+	m.handlePollAnswer(p.name, history, response.Node)
+	p.incarnation, p.seq, p.lastEndpoint = response.Node.Incarnation, response.Node.Seq, nil
 	p.linger = m.pollLinger()
-	if r.Node.Endpoint == nil {
-		p.lastEndpoint = h.lastEndpoint
+	if response.Node.Endpoint == nil {
+		p.lastEndpoint = history.lastEndpoint
 	}
 }
 
-func (m *Master) handlePollAnswer(name string, h *nodeHistory, n *meshpb.NodeState) {
-	before := m.officialState(name, h)
-	unchanged := h.reachable && h.state.GetIncarnation() == n.Incarnation && h.state.GetSeq() == n.Seq && h.state.GetAddr() == n.Addr
-	h.recordReport(n, m.options.Now(), m.options.historyRules())
-	m.updateProgress(name, n)
-	if after := m.officialState(name, h); after != before {
-		m.options.Log.Info("endpoint state changed", "node", name, "endpoint", n.Endpoint.GetId(),
-			"previousState", before, "state", after, "reportedState", n.Endpoint.GetState())
+func (m *Master) handlePollAnswer(name string, history *nodeHistory, state *meshpb.NodeState) {
+	before := m.officialState(name, history)
+	unchanged := history.reachable && history.state.GetIncarnation() == state.Incarnation && history.state.GetSeq() == state.Seq && history.state.GetAddr() == state.Addr
+	history.recordReport(state, m.options.Now(), m.options.historyRules())
+	m.updateProgress(name, state)
+	if after := m.officialState(name, history); after != before {
+		m.options.Log.Info("endpoint state changed", "node", name, "endpoint", state.Endpoint.GetId(),
+			"previousState", before, "state", after, "reportedState", state.Endpoint.GetState())
 	}
 	if !unchanged {
 		m.scheduleMerge()
 	}
-	m.sendUpdates(name, h)
+	m.sendUpdates(name, history)
 }
 
-func (m *Master) handlePollFailure(name string, h *nodeHistory) {
-	wasReachable := h.reachable
-	h.recordPollFailure(m.options.Now(), m.options.historyRules())
-	if wasReachable && !h.reachable {
-		m.options.Log.Warn("node unreachable", "node", name, "failedPolls", h.pollFailures)
+func (m *Master) handlePollFailure(name string, history *nodeHistory) {
+	wasReachable := history.reachable
+	history.recordPollFailure(m.options.Now(), m.options.historyRules())
+	if wasReachable && !history.reachable {
+		m.options.Log.Warn("node unreachable", "node", name, "failedPolls", history.pollFailures)
 		delete(m.progress, name)
 	}
-	if !h.reachable && m.options.Now()-h.lastContact > forgetAfterLingers*m.options.PollLinger {
+	if !history.reachable && m.options.Now()-history.lastContact > forgetAfterLingers*m.options.PollLinger {
 		m.stopPolling(name)
 		delete(m.histories, name)
 	}
--- a/internal/clustercontroller/progress.go
+++ b/internal/clustercontroller/progress.go
@@ -12,15 +12,15 @@
 	// incarnation is "" until the node has answered a poll of this master.
 	incarnation string
 	viewVersion uint64
-	// withoutView: the node has no view at all.
+	// withoutView tells that the node has no view at all.
 	withoutView  bool
 	viewInFlight bool
 
 	configVersion  uint64
 	configInFlight bool
-	// needsFullConfig: patches can't be applied there.
+	// needsFullConfig tells that patches can't be applied there.
 	needsFullConfig bool
-	// sentFullConfig: the last sending was a complete configuration.
+	// sentFullConfig tells that the last sending was a complete configuration.
 	sentFullConfig bool
 	// retryConfigAt is when a configuration may be sent again after a failure.
 	retryConfigAt time.Duration
@@ -34,40 +34,40 @@
 }
 
 func (m *Master) progressOf(name string) *nodeProgress {
-	p := m.progress[name]
-	if p == nil {
-		p = &nodeProgress{}
-		m.progress[name] = p
+	progress := m.progress[name]
+	if progress == nil {
+		progress = &nodeProgress{}
+		m.progress[name] = progress
 	}
-	return p
+	return progress
 }
 
 // updateProgress notes what a node says that it holds.
-func (m *Master) updateProgress(name string, n *meshpb.NodeState) {
-	p := m.progress[name]
-	if p != nil && p.incarnation == "" {
+func (m *Master) updateProgress(name string, state *meshpb.NodeState) {
+	progress := m.progress[name]
+	if progress != nil && progress.incarnation == "" {
 		// An earlier incarnation may have acknowledged before.
-		p.incarnation, p.viewVersion, p.configVersion = n.Incarnation, 0, 0
+		progress.incarnation, progress.viewVersion, progress.configVersion = state.Incarnation, 0, 0
 	}
-	if p == nil || p.incarnation != n.Incarnation {
-		p = &nodeProgress{incarnation: n.Incarnation}
-		m.progress[name] = p
+	if progress == nil || progress.incarnation != state.Incarnation {
+		progress = &nodeProgress{incarnation: state.Incarnation}
+		m.progress[name] = progress
 	}
-	if m.options.Now()-p.configAckedAt > relayCallTimeout {
+	if m.options.Now()-progress.configAckedAt > relayCallTimeout {
 		// No acknowledgement is newer than this report.
-		p.configVersion = 0
+		progress.configVersion = 0
 	}
-	p.configVersion = max(p.configVersion, n.ConfigVersion)
-	p.withoutView = n.ViewVersion == 0
-	if n.ViewEpoch == m.leadership.epoch {
-		p.viewVersion = max(p.viewVersion, n.ViewVersion)
+	progress.configVersion = max(progress.configVersion, state.ConfigVersion)
+	progress.withoutView = state.ViewVersion == 0
+	if state.ViewEpoch == m.leadership.epoch {
+		progress.viewVersion = max(progress.viewVersion, state.ViewVersion)
 	}
 }
 
 // sendUpdates sends a node what it has not yet acknowledged.
-func (m *Master) sendUpdates(name string, h *nodeHistory) {
-	m.sendConfig(name, h)
-	m.sendView(name, h)
+func (m *Master) sendUpdates(name string, history *nodeHistory) {
+	m.sendConfig(name, history)
+	m.sendView(name, history)
 }
 
 // directSendTime is how long a small core machine takes to call all nodes once.
--- a/internal/clustercontroller/relay.go
+++ b/internal/clustercontroller/relay.go
@@ -28,45 +28,45 @@
 // Relay sends a request of the master's to several nodes and gathers what they
 // answer; a node without an answer is left out. It keeps nothing: order and epochs
 // are for the nodes to check. readStored may be called on several goroutines.
-func Relay(ctx context.Context, clients *rpc.Clients, q *meshpb.RelayRequest, readStored func() StoredPayloads) *meshpb.RelayResponse {
-	acks := make(chan *meshpb.RelayAck, len(q.Targets))
-	go callTargets(clients, q, readStored, acks)
-	r := &meshpb.RelayResponse{}
+func Relay(ctx context.Context, clients *rpc.Clients, request *meshpb.RelayRequest, readStored func() StoredPayloads) *meshpb.RelayResponse {
+	acks := make(chan *meshpb.RelayAck, len(request.Targets))
+	go callTargets(clients, request, readStored, acks)
+	response := &meshpb.RelayResponse{}
 	timeout := time.After(relayTimeout)
 	idle := time.NewTimer(relayIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case a, ok := <-acks:
+		case ack, ok := <-acks:
 			if !ok {
-				return r
+				return response
 			}
-			r.Acks = append(r.Acks, a)
+			response.Acks = append(response.Acks, ack)
 			idle.Reset(relayIdleTimeout)
 		case <-idle.C:
-			return r
+			return response
 		case <-timeout:
-			return r
+			return response
 		case <-ctx.Done():
-			return r
+			return response
 		}
 	}
 }
 
 // callTargets calls all nodes, a few at once, and closes acks, which has room for
 // all, at the end.
-func callTargets(clients *rpc.Clients, q *meshpb.RelayRequest, readStored func() StoredPayloads, acks chan<- *meshpb.RelayAck) {
+func callTargets(clients *rpc.Clients, request *meshpb.RelayRequest, readStored func() StoredPayloads, acks chan<- *meshpb.RelayAck) {
 	defer close(acks)
 	slots := make(chan struct{}, relayConcurrency)
 	var calls sync.WaitGroup
-	for _, to := range q.Targets {
+	for _, to := range request.Targets {
 		slots <- struct{}{}
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
 			defer func() { <-slots }()
-			if a := callTarget(clients.Node(to.Addr), to, q, readStored); a != nil {
-				acks <- a
+			if ack := callTarget(clients.Node(to.Addr), to, request, readStored); ack != nil {
+				acks <- ack
 			}
 		}()
 	}
@@ -74,57 +74,57 @@
 }
 
 // callTarget makes one node's call of a request; nil means that nothing was heard.
-func callTarget(node meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, readStored func() StoredPayloads) *meshpb.RelayAck {
-	a := &meshpb.RelayAck{Name: to.Name}
+func callTarget(node meshpb.Node, to *meshpb.RelayTarget, request *meshpb.RelayRequest, readStored func() StoredPayloads) *meshpb.RelayAck {
+	ack := &meshpb.RelayAck{Name: to.Name}
 	var err error
 	switch {
-	case q.Poll != nil:
-		a.Poll, err = pollTarget(node, to, q, readStored)
-	case q.View != nil:
-		a.View, err = rpc.Call(relayTimeout, node.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: q.View.Packed, Epoch: q.View.Epoch})
-	case q.Config != nil:
-		a.Config, err = deliverTo(node, to, q.Config)
+	case request.Poll != nil:
+		ack.Poll, err = pollTarget(node, to, request, readStored)
+	case request.View != nil:
+		ack.View, err = rpc.Call(relayTimeout, node.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: request.View.Packed, Epoch: request.View.Epoch})
+	case request.Config != nil:
+		ack.Config, err = deliverTo(node, to, request.Config)
 	}
 	if err != nil {
 		return nil
 	}
-	return a
+	return ack
 }
 
-func pollTarget(node meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, readStored func() StoredPayloads) (*meshpb.PollResponse, error) {
-	r, err := rpc.Call(relayTimeout, node.Poll, &meshpb.PollRequest{Epoch: q.Poll.Epoch, NextPollMs: q.Poll.NextPollMs, Name: to.Name, LastEndpoint: to.LastEndpoint})
-	if err == nil && !r.GetStale() {
-		restoreNode(node, to, q, r.GetNode(), readStored)
+func pollTarget(node meshpb.Node, to *meshpb.RelayTarget, request *meshpb.RelayRequest, readStored func() StoredPayloads) (*meshpb.PollResponse, error) {
+	response, err := rpc.Call(relayTimeout, node.Poll, &meshpb.PollRequest{Epoch: request.Poll.Epoch, NextPollMs: request.Poll.NextPollMs, Name: to.Name, LastEndpoint: to.LastEndpoint})
+	if err == nil && !response.GetStale() {
+		restoreNode(node, to, request, response.GetNode(), readStored)
 	}
-	return r, err
+	return response, err
 }
 
-func deliverTo(node meshpb.Node, to *meshpb.RelayTarget, c *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func deliverTo(node meshpb.Node, to *meshpb.RelayTarget, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	timeout := relayTimeout
-	if c.BaseVersion == 0 {
+	if request.BaseVersion == 0 {
 		timeout = fullConfigCallTimeout
 	}
-	return rpc.Call(timeout, node.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: c.Epoch, Version: c.Version, Data: c.Data,
-		To: to.Name, BaseVersion: c.BaseVersion, Patches: c.Patches})
+	return rpc.Call(timeout, node.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: request.Epoch, Version: request.Version, Data: request.Data,
+		To: to.Name, BaseVersion: request.BaseVersion, Patches: request.Patches})
 }
 
 // restoreNode sends a node that has just started the stored configuration and view,
 // if it lacks them, and notes in its state that it has them now.
-func restoreNode(node meshpb.Node, to *meshpb.RelayTarget, q *meshpb.RelayRequest, state *meshpb.NodeState, readStored func() StoredPayloads) {
-	if state == nil || q.Stored == nil || state.ConfigVersion > 0 && state.ViewVersion > 0 {
+func restoreNode(node meshpb.Node, to *meshpb.RelayTarget, request *meshpb.RelayRequest, state *meshpb.NodeState, readStored func() StoredPayloads) {
+	if state == nil || request.Stored == nil || state.ConfigVersion > 0 && state.ViewVersion > 0 {
 		return
 	}
 	payloads := readStored()
 	if state.ConfigVersion == 0 && payloads.Config != nil {
-		r, err := rpc.Call(fullConfigCallTimeout, node.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: q.Poll.Epoch, Version: q.Stored.ConfigVersion, Data: payloads.Config, To: to.Name})
-		if err == nil && r.Ok {
-			state.ConfigVersion = r.Version
+		response, err := rpc.Call(fullConfigCallTimeout, node.DeliverConfig, &meshpb.DeliverConfigRequest{Epoch: request.Poll.Epoch, Version: request.Stored.ConfigVersion, Data: payloads.Config, To: to.Name})
+		if err == nil && response.Ok {
+			state.ConfigVersion = response.Version
 		}
 	}
 	if state.ViewVersion == 0 && payloads.View != nil {
-		r, err := rpc.Call(relayTimeout, node.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: payloads.View, Epoch: q.Poll.Epoch})
-		if err == nil && r.Ok {
-			state.ViewEpoch, state.ViewVersion = r.Epoch, r.Version
+		response, err := rpc.Call(relayTimeout, node.PublishView, &meshpb.PublishViewRequest{To: to.Name, Packed: payloads.View, Epoch: request.Poll.Epoch})
+		if err == nil && response.Ok {
+			state.ViewEpoch, state.ViewVersion = response.Epoch, response.Version
 		}
 	}
 }
--- a/internal/clustercontroller/views.go
+++ b/internal/clustercontroller/views.go
@@ -44,16 +44,16 @@
 
 // viewOutdated tells whether the nodes would act on a new view.
 func (m *Master) viewOutdated() bool {
-	v := m.views.current
-	return v.Epoch != m.leadership.epoch ||
-		endpointsDiffer(m.merge.endpoints, v.Endpoints) ||
-		!hotkeys.SameWidths(m.hotKeys.current, v.HotKeys) ||
-		v.Membership.GetVersion() != m.membership.GetVersion() ||
-		len(v.NodeAddresses) != len(m.histories)
+	view := m.views.current
+	return view.Epoch != m.leadership.epoch ||
+		endpointsDiffer(m.merge.endpoints, view.Endpoints) ||
+		!hotkeys.SameWidths(m.hotKeys.current, view.HotKeys) ||
+		view.Membership.GetVersion() != m.membership.GetVersion() ||
+		len(view.NodeAddresses) != len(m.histories)
 }
 
 func (m *Master) nextView() *meshpb.View {
-	v := &meshpb.View{
+	view := &meshpb.View{
 		Epoch:         m.leadership.epoch,
 		Version:       m.views.current.Version + 1,
 		Endpoints:     m.merge.endpoints,
@@ -63,10 +63,10 @@
 		HotKeys:       m.hotKeys.current,
 		Nodes:         uint32(len(m.histories)),
 	}
-	for name, h := range m.histories {
-		v.NodeAddresses = append(v.NodeAddresses, formatNodeAddress(name, h.state.GetAddr()))
+	for name, history := range m.histories {
+		view.NodeAddresses = append(view.NodeAddresses, formatNodeAddress(name, history.state.GetAddr()))
 	}
-	return v
+	return view
 }
 
 func formatNodeAddress(name, addr string) string { return name + " " + addr }
@@ -77,13 +77,13 @@
 }
 
 // saveView saves a view in shard 0 and then publishes it.
-func (m *Master) saveView(v *meshpb.View) {
+func (m *Master) saveView(view *meshpb.View) {
 	m.views.saving = true
 	epoch := m.leadership.epoch
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), saveViewTimeout)
 		defer stop()
-		err := m.store.SaveView(ctx, v)
+		err := m.store.SaveView(ctx, view)
 		m.Mailbox.Post(func() {
 			if !m.leadership.is(epoch) {
 				return
@@ -93,69 +93,69 @@
 				m.views.lastAt = m.options.Now()
 				return
 			}
-			m.publishView(v)
+			m.publishView(view)
 		})
 	}()
 }
 
-func (m *Master) publishView(v *meshpb.View) {
-	m.views.current, m.views.lastAt = v, m.options.Now()
-	m.trace("published", v.Version)
-	m.views.recent = append(m.views.recent, v)
+func (m *Master) publishView(view *meshpb.View) {
+	m.views.current, m.views.lastAt = view, m.options.Now()
+	m.trace("published", view.Version)
+	m.views.recent = append(m.views.recent, view)
 	if len(m.views.recent) > maxRecentViews {
 		m.views.recent = append([]*meshpb.View(nil), m.views.recent[1:]...)
 	}
-	for name, h := range m.histories {
-		m.sendUpdates(name, h)
+	for name, history := range m.histories {
+		m.sendUpdates(name, history)
 	}
 }
 
 // sendView sends a node the view in force, unless it holds it or it is under way.
-func (m *Master) sendView(name string, h *nodeHistory) {
+func (m *Master) sendView(name string, history *nodeHistory) {
 	if !m.checkLease() {
 		return
 	}
-	p := m.progressOf(name)
-	if !m.needsView(p) || h.state.GetAddr() == "" {
+	progress := m.progressOf(name)
+	if !m.needsView(progress) || history.state.GetAddr() == "" {
 		return
 	}
-	p.viewInFlight = true
-	version, epoch, base := m.views.current.Version, m.leadership.epoch, p.viewVersion
+	progress.viewInFlight = true
+	version, epoch, base := m.views.current.Version, m.leadership.epoch, progress.viewVersion
 	key := batchKey{kind: viewBatch, baseVersion: base, epoch: m.views.current.Epoch, version: version}
 	request := &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: epoch, Packed: m.packedViewSince(base)}}
-	m.enqueue(key, request, &meshpb.RelayTarget{Name: name, Addr: h.state.Addr}, func(a *meshpb.RelayAck) {
-		p.viewInFlight = false
-		r := a.GetView()
-		if r == nil || m.leadership.epoch != epoch {
+	m.enqueue(key, request, &meshpb.RelayTarget{Name: name, Addr: history.state.Addr}, func(ack *meshpb.RelayAck) {
+		progress.viewInFlight = false
+		response := ack.GetView()
+		if response == nil || m.leadership.epoch != epoch {
 			return
 		}
-		if !r.Ok {
-			p.viewRefused(r, epoch)
+		if !response.Ok {
+			progress.viewRefused(response, epoch)
 			return
 		}
-		p.viewVersion, p.withoutView = max(p.viewVersion, version), false
+		progress.viewVersion, progress.withoutView = max(progress.viewVersion, version), false
 		if m.leadership.active {
-			m.sendUpdates(name, h)
+			m.sendUpdates(name, history)
 		}
 	})
 }
 
-func (m *Master) needsView(p *nodeProgress) bool {
-	v := m.views.current
-	if v.Version == 0 || p.viewInFlight || p.viewVersion >= v.Version {
+func (m *Master) needsView(progress *nodeProgress) bool {
+	view := m.views.current
+	if view.Version == 0 || progress.viewInFlight || progress.viewVersion >= view.Version {
 		return false
 	}
 	// Until this master has made a view, nodes keep the last one; one that has none,
 	// since it has just started, is given that.
-	return v.Epoch == m.leadership.epoch || p.withoutView
+	return view.Epoch == m.leadership.epoch || progress.withoutView
 }
 
 // viewRefused notes what a node holds instead: a newer view than the one that was
 // sent, or one that this does not stand on.
-func (p *nodeProgress) viewRefused(r *meshpb.PublishViewResponse, epoch uint64) {
+func (p *nodeProgress) viewRefused(response *meshpb.PublishViewResponse, epoch uint64) {
 	p.viewVersion = 0
-	if r.Epoch == epoch {
-		p.viewVersion = r.Version
+	if response.Epoch == epoch {
+		p.viewVersion = response.Version
 	}
 }
 
@@ -169,9 +169,9 @@
 // packedViewSince marshals the view in force as the difference to an earlier one of
 // this epoch, or in full where that is not kept.
 func (m *Master) packedViewSince(base uint64) []byte {
-	v := m.views.current
-	if p := m.views.packed; p.byBase == nil || p.epoch != v.Epoch || p.version != v.Version {
-		m.views.packed = packedViews{epoch: v.Epoch, version: v.Version, byBase: map[uint64][]byte{}}
+	view := m.views.current
+	if p := m.views.packed; p.byBase == nil || p.epoch != view.Epoch || p.version != view.Version {
+		m.views.packed = packedViews{epoch: view.Epoch, version: view.Version, byBase: map[uint64][]byte{}}
 	}
 	before := m.recentView(base)
 	if before == nil {
@@ -186,22 +186,22 @@
 }
 
 func (m *Master) recentView(version uint64) *meshpb.View {
-	for _, v := range m.views.recent {
-		if v.Version == version && v.Epoch == m.leadership.epoch {
-			return v
+	for _, view := range m.views.recent {
+		if view.Version == version && view.Epoch == m.leadership.epoch {
+			return view
 		}
 	}
 	return nil
 }
 
 func (m *Master) marshalView(before *meshpb.View) []byte {
-	var v *meshpb.View
+	var view *meshpb.View
 	if before != nil {
-		v = m.views.current.Since(before)
+		view = m.views.current.Since(before)
 	} else {
-		v = m.views.current.Lean()
+		view = m.views.current.ForNodes()
 	}
-	packed, err := proto.Marshal(v)
+	packed, err := proto.Marshal(view)
 	if err != nil {
 		m.options.Log.Warn("failed to marshal view", "version", m.views.current.Version, "error", err)
 	}
--- a/internal/controlapi/cells.go
+++ b/internal/controlapi/cells.go
@@ -22,12 +22,12 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (s *CoreServer) putCell(r request, q putRequest) (putResponse, error) {
-	if q.Payload == nil {
+func (s *CoreServer) putCell(r request, body putRequest) (putResponse, error) {
+	if body.Payload == nil {
 		return putResponse{}, errMalformed("payload is wanted")
 	}
 	cell, err := callOwner(s, r, s.cellShard(r.name), func(ctx context.Context) (coordination.Cell, error) {
-		return s.Coordination.Put(ctx, r.name, *q.Payload, q.ExpectedRevision)
+		return s.Coordination.Put(ctx, r.name, *body.Payload, body.ExpectedRevision)
 	})
 	return putResponse{cell.Revision}, err
 }
--- a/internal/controlapi/config_change.go
+++ b/internal/controlapi/config_change.go
@@ -138,8 +138,8 @@
 }
 
 // changeConfig carries out a PUT or PATCH of the configuration. It reads the
-// body only if there is room, parses it only if the change is neither known nor
-// late, and large ones one by one.
+// body only if there is room, parses it only if the change is neither accepted
+// already nor made for an outdated version, and large ones one by one.
 func (s *CoreServer) changeConfig(w http.ResponseWriter, r request, parse changeParser) {
 	releaseBody, ok := s.bodies.reserve(r.ContentLength)
 	if !ok {
@@ -157,8 +157,8 @@
 		errorResponse(err).write(w)
 		return
 	}
-	late := found.current.GetVersion() != change.base
-	if found.accepted || late && found.floor == 0 {
+	outdated := found.current.GetVersion() != change.base
+	if found.accepted || outdated && found.floor == 0 {
 		found.response().write(w)
 		return
 	}
--- a/internal/controlapi/endpoints.go
+++ b/internal/controlapi/endpoints.go
@@ -35,16 +35,16 @@
 	return s
 }
 
-func (s *EndpointServer) recordHeartbeat(r request, q heartbeatRequest) (empty, error) {
-	if q.State != lifecycle.Ready && q.State != lifecycle.Draining {
+func (s *EndpointServer) recordHeartbeat(r request, body heartbeatRequest) (empty, error) {
+	if body.State != lifecycle.Ready && body.State != lifecycle.Draining {
 		return empty{}, errMalformed("state is neither ready nor draining")
 	}
-	if q.SlotCount < 1 {
+	if body.SlotCount < 1 {
 		return empty{}, errMalformed("slotCount must be 1 at least")
 	}
 	s.agent.RecordHeartbeat(endpointagent.Heartbeat{
-		ID: r.name, Service: q.ServiceName, Addr: q.Address, Zone: q.ZoneName, SoftwareVersion: q.SoftwareVersion,
-		Slots: q.SlotCount, State: q.State, Warmup: seconds(q.WarmupSeconds), Seq: q.Sequence,
+		ID: r.name, Service: body.ServiceName, Addr: body.Address, Zone: body.ZoneName, SoftwareVersion: body.SoftwareVersion,
+		Slots: body.SlotCount, State: body.State, Warmup: seconds(body.WarmupSeconds), Seq: body.Sequence,
 	})
 	return empty{}, nil
 }
--- a/internal/controlapi/locks.go
+++ b/internal/controlapi/locks.go
@@ -30,31 +30,31 @@
 	return time.Duration(math.Ceil(*s*1000)) * time.Millisecond, true
 }
 
-func (s *CoreServer) acquireLock(r request, q lockRequest) (lockResponse, error) {
-	ttl, ok := q.ttl()
+func (s *CoreServer) acquireLock(r request, body lockRequest) (lockResponse, error) {
+	ttl, ok := body.ttl()
 	if !ok {
 		return lockResponse{}, errMalformed("holderId and a holdS above 0 are wanted")
 	}
 	grant, err := callOwner(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.LockGrant, error) {
-		return s.Coordination.AcquireLock(ctx, r.name, q.Owner, ttl)
+		return s.Coordination.AcquireLock(ctx, r.name, body.Owner, ttl)
 	})
 	return lockResponse{grant.FencingToken}, err
 }
 
-func (s *CoreServer) renewLock(r request, q lockRequest) (lockResponse, error) {
-	ttl, ok := q.ttl()
+func (s *CoreServer) renewLock(r request, body lockRequest) (lockResponse, error) {
+	ttl, ok := body.ttl()
 	if !ok {
 		return lockResponse{}, errMalformed("holderId, fenceNo and a holdS above 0 are wanted")
 	}
 	grant, err := callOwner(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.LockGrant, error) {
-		return s.Coordination.RenewLock(ctx, r.name, q.Owner, q.FencingToken, ttl)
+		return s.Coordination.RenewLock(ctx, r.name, body.Owner, body.FencingToken, ttl)
 	})
 	return lockResponse{grant.FencingToken}, err
 }
 
-func (s *CoreServer) releaseLock(r request, q lockRequest) (empty, error) {
+func (s *CoreServer) releaseLock(r request, body lockRequest) (empty, error) {
 	_, err := callOwner(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.LockGrant, error) {
-		return s.Coordination.ReleaseLock(ctx, r.name, q.Owner, q.FencingToken)
+		return s.Coordination.ReleaseLock(ctx, r.name, body.Owner, body.FencingToken)
 	})
 	return empty{}, err
 }
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -126,8 +126,8 @@
 }
 
 // PinSession is Table.PinSession in the session's shard.
-func (s *Service) PinSession(ctx context.Context, q *meshpb.PinRequest) (PinResult, error) {
-	return Transact(ctx, s, s.SessionShard(q.Key), func(t *Table, now time.Duration) Decision[PinResult] {
-		return t.PinSession(q, now)
+func (s *Service) PinSession(ctx context.Context, request *meshpb.PinRequest) (PinResult, error) {
+	return Transact(ctx, s, s.SessionShard(request.Key), func(t *Table, now time.Duration) Decision[PinResult] {
+		return t.PinSession(request, now)
 	})
 }
--- a/internal/coordination/sessions.go
+++ b/internal/coordination/sessions.go
@@ -70,34 +70,34 @@
 // PinSession gives a session's endpoint: the one that it has in one of the
 // allowed services, or the one that the node wants for it if it has none or is
 // to leave the one named by From.
-func (t *Table) PinSession(q *meshpb.PinRequest, now time.Duration) Decision[PinResult] {
+func (t *Table) PinSession(request *meshpb.PinRequest, now time.Duration) Decision[PinResult] {
 	k := &t.sessions
-	key, current, found := k.lastUsed(q, now)
-	if found && (q.From == "" || current.endpoint != q.From) {
+	key, current, found := k.lastUsed(request, now)
+	if found && (request.From == "" || current.endpoint != request.From) {
 		return k.keep(key, current, now)
 	}
-	if q.Want == "" {
+	if request.Want == "" {
 		return Decision[PinResult]{}
 	}
 	if !found && !k.makeRoom(now) {
 		return Decision[PinResult]{Result: PinResult{Full: true}}
 	}
-	wanted := &meshpb.Pin{Key: q.Key, Service: q.Service, Endpoint: q.Want, Why: q.Reason, Config: q.Config}
+	wanted := &meshpb.Pin{Key: request.Key, Service: request.Service, Endpoint: request.Want, Why: request.Reason, Config: request.Config}
 	if found {
 		wanted.From, wanted.Moves = current.endpoint, current.moves+1
 	}
 	return Decision[PinResult]{
 		Change: &meshpb.Change{Pin: wanted},
-		Result: PinResult{Service: q.Service, Endpoint: q.Want, Reason: q.Reason, Moved: found},
+		Result: PinResult{Service: request.Service, Endpoint: request.Want, Reason: request.Reason, Moved: found},
 	}
 }
 
 // lastUsed finds the session's pin, in the allowed service where it was used
 // last.
-func (k *sessionTable) lastUsed(q *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
+func (k *sessionTable) lastUsed(request *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
 	latest := beforeAnyUse
-	for _, service := range q.Allowed {
-		candidate := pinKey{q.Key, service}
+	for _, service := range request.Allowed {
+		candidate := pinKey{request.Key, service}
 		p, ok := k.pins[candidate]
 		if ok && !k.ended(p, now) && p.lastUsed > latest {
 			key, current, found = candidate, p, true
--- a/internal/hotkeys/tracker_test.go
+++ b/internal/hotkeys/tracker_test.go
@@ -78,7 +78,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	delta := &meshpb.View{}
 	qt.Assert(t, proto.Unmarshal(b, delta), qt.IsNil)
-	restored := delta.Onto(&meshpb.View{Epoch: 1, Version: 2, HotKeys: hotKeyOfWidth(1)})
+	restored := delta.ApplyTo(&meshpb.View{Epoch: 1, Version: 2, HotKeys: hotKeyOfWidth(1)})
 	successor := NewTracker(testOptions)
 	successor.Restore(restored.HotKeys, 10*time.Second)
 	// No node has reported anything yet.
@@ -88,7 +88,7 @@
 	out, changes = successor.Update(slices.Values(reports(100, 7, 4)), endpoints, 13*time.Second, 0)
 	qt.Assert(t, changes, qt.HasLen, 0)
 	qt.Assert(t, SameWidths(out, was), qt.IsTrue)
-	qt.Assert(t, view.Lean().HotKeys, qt.HasLen, 1)
+	qt.Assert(t, view.ForNodes().HotKeys, qt.HasLen, 1)
 }
 
 func hotKeyOfWidth(w uint32) []*meshpb.HotKey {
--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -68,10 +68,10 @@
 
 // Start sets the first state that the node reports. It is called once, before
 // everything else.
-func (a *Agent) Start(n *meshpb.NodeState) {
+func (a *Agent) Start(state *meshpb.NodeState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.state = n
+	a.state = state
 	a.state.Seq = 1
 	a.stateChanged = make(chan struct{})
 	a.polledUntil = neverPolled
@@ -81,13 +81,13 @@
 func (a *Agent) UpdateState(change func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.state).(*meshpb.NodeState)
-	change(n)
-	if proto.Equal(n, a.state) {
+	state := proto.Clone(a.state).(*meshpb.NodeState)
+	change(state)
+	if proto.Equal(state, a.state) {
 		return
 	}
-	n.Seq++
-	a.state = n
+	state.Seq++
+	a.state = state
 	close(a.stateChanged)
 	a.stateChanged = make(chan struct{})
 }
@@ -97,9 +97,9 @@
 func (a *Agent) UpdateStateWithoutWake(change func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := proto.Clone(a.state).(*meshpb.NodeState)
-	change(n)
-	a.state = n
+	state := proto.Clone(a.state).(*meshpb.NodeState)
+	change(state)
+	a.state = state
 }
 
 // State returns the state that the node reports; it must not be changed.
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -11,38 +11,38 @@
 // DeliverConfig applies a configuration from the master: a complete one, or
 // patches to the one in force. The answer always names the version in force after
 // it; Ok tells whether that is at least the one that was sent.
-func (a *Agent) DeliverConfig(_ context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
-	if q.To != "" && q.To != a.Name {
+func (a *Agent) DeliverConfig(_ context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+	if request.To != "" && request.To != a.Name {
 		return &meshpb.DeliverConfigResponse{}, nil
 	}
-	ok := a.applyConfig(q)
+	ok := a.applyConfig(request)
 	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.ConfigVersion()}, nil
 }
 
-func (a *Agent) applyConfig(q *meshpb.DeliverConfigRequest) bool {
+func (a *Agent) applyConfig(request *meshpb.DeliverConfigRequest) bool {
 	a.configMu.Lock()
 	defer a.configMu.Unlock()
 	current := a.ConfigVersion()
-	if q.Version <= current {
+	if request.Version <= current {
 		return true
 	}
-	if q.BaseVersion > 0 && q.BaseVersion != current {
+	if request.BaseVersion > 0 && request.BaseVersion != current {
 		return false
 	}
 	var err error
-	if q.BaseVersion > 0 {
-		err = a.applyPatches(q.Version, q.Patches)
+	if request.BaseVersion > 0 {
+		err = a.applyPatches(request.Version, request.Patches)
 	} else {
-		err = a.applyFullConfig(q.Version, q.Data)
+		err = a.applyFullConfig(request.Version, request.Data)
 	}
 	if err != nil {
-		a.Log.Warn("failed to apply configuration", "version", q.Version, "epoch", q.Epoch, "error", err)
+		a.Log.Warn("failed to apply configuration", "version", request.Version, "epoch", request.Epoch, "error", err)
 		return false
 	}
 	a.mu.Lock()
-	a.configVersion = q.Version
+	a.configVersion = request.Version
 	a.mu.Unlock()
-	a.trace(changetrace.KindConfig, q.Epoch, q.Version)
+	a.trace(changetrace.KindConfig, request.Epoch, request.Version)
 	return true
 }
 
--- a/internal/nodeagent/poll.go
+++ b/internal/nodeagent/poll.go
@@ -23,43 +23,43 @@
 // answer comes when it changes, another poll comes, or the poll's linger time is
 // over. Stale in the answer says that the poll was meant for another node or comes
 // from a master that has been replaced.
-func (a *Agent) Poll(ctx context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
-	poll, masterEpoch := a.beginPoll(q)
+func (a *Agent) Poll(ctx context.Context, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
+	poll, masterEpoch := a.beginPoll(request)
 	if poll == nil {
 		return &meshpb.PollResponse{Stale: true, Epoch: masterEpoch}, nil
 	}
 	if poll.lingers {
-		poll.wait(ctx, milliseconds(q.LingerMs))
+		poll.wait(ctx, milliseconds(request.LingerMs))
 	}
-	return a.finishPoll(ctx, poll, q)
+	return a.finishPoll(ctx, poll, request)
 }
 
 func milliseconds(n uint64) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // beginPoll makes a poll the newest one, or returns nil for a stale one, with the
 // highest epoch seen.
-func (a *Agent) beginPoll(q *meshpb.PollRequest) (*pendingPoll, uint64) {
+func (a *Agent) beginPoll(request *meshpb.PollRequest) (*pendingPoll, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if q.Name != a.Name || !a.acceptEpoch(q.Epoch) {
+	if request.Name != a.Name || !a.acceptEpoch(request.Epoch) {
 		return nil, a.masterEpoch
 	}
 	poll := &pendingPoll{
 		stateChanged: a.stateChanged,
 		superseded:   make(chan struct{}),
-		lingers:      q.Incarnation == a.state.Incarnation && q.Seq == a.state.Seq,
+		lingers:      request.Incarnation == a.state.Incarnation && request.Seq == a.state.Seq,
 	}
 	// While a poll lingers, or another is promised, the node does not register.
-	a.polledUntil = a.Now() + milliseconds(q.NextPollMs)
+	a.polledUntil = a.Now() + milliseconds(request.NextPollMs)
 	if poll.lingers {
-		a.polledUntil += milliseconds(q.LingerMs)
+		a.polledUntil += milliseconds(request.LingerMs)
 	}
 	if a.newestPoll != nil {
 		close(a.newestPoll.superseded)
 	}
 	a.newestPoll = poll
 	if a.lastEndpoint == nil {
-		a.lastEndpoint = q.LastEndpoint
+		a.lastEndpoint = request.LastEndpoint
 	}
 	return poll, a.masterEpoch
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-func (a *Agent) finishPoll(ctx context.Context, poll *pendingPoll, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
+func (a *Agent) finishPoll(ctx context.Context, poll *pendingPoll, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	newerUntil := time.Duration(0)
@@ -89,10 +89,10 @@
 	} else if a.newestPoll != nil {
 		newerUntil = a.polledUntil
 	}
-	a.polledUntil = max(a.Now()+milliseconds(q.NextPollMs), newerUntil)
-	n := proto.Clone(a.state).(*meshpb.NodeState)
-	n.ViewEpoch, n.ViewVersion, n.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.configVersion
-	return &meshpb.PollResponse{Node: n, Epoch: a.masterEpoch}, nil
+	a.polledUntil = max(a.Now()+milliseconds(request.NextPollMs), newerUntil)
+	state := proto.Clone(a.state).(*meshpb.NodeState)
+	state.ViewEpoch, state.ViewVersion, state.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.configVersion
+	return &meshpb.PollResponse{Node: state, Epoch: a.masterEpoch}, nil
 }
 
 // PollOverdue tells that no master polls this node.
--- a/internal/nodeagent/register.go
+++ b/internal/nodeagent/register.go
@@ -14,15 +14,15 @@
 	maxRegisterCalls = 4
 	// registerTimeout bounds one such call.
 	registerTimeout = 500 * time.Millisecond
-	// registeredWaitShare is the part of Agent.RegisterAfter, one in so many, after
-	// which a node that has registered looks whether it is polled.
-	registeredWaitShare = 3
+	// After Agent.RegisterAfter divided by registeredWaitDivisor, a node that has
+	// registered looks whether it is polled.
+	registeredWaitDivisor = 3
 	// maxRetryIntervals bounds the wait after failed registrations, in intervals; it
 	// grows by a quarter with each.
 	maxRetryIntervals = 5
-	// jitterShare is the part of each wait, one in so many, that is added at random,
-	// so that nodes that start together do not stay together.
-	jitterShare = 4
+	// Up to each wait divided by jitterDivisor is added to it at random, so that nodes
+	// that start together do not register together.
+	jitterDivisor = 4
 )
 
 // SetSeeds changes the addresses of core members from the settings.
@@ -65,11 +65,11 @@
 		case !a.PollOverdue():
 			wait = interval
 		case a.register(ctx):
-			wait = max(a.RegisterAfter/registeredWaitShare, interval)
+			wait = max(a.RegisterAfter/registeredWaitDivisor, interval)
 		default:
 			wait = min(wait*5/4, maxRetryIntervals*interval)
 		}
-		timer := time.NewTimer(wait + rand.N(wait/jitterShare+1))
+		timer := time.NewTimer(wait + rand.N(wait/jitterDivisor+1))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -93,19 +93,19 @@
 			continue
 		}
 		asked[addr] = true
-		r, err := rpc.Call(registerTimeout, a.Clients.Control(addr).RegisterNode, &meshpb.RegisterNodeRequest{Node: state})
+		response, err := rpc.Call(registerTimeout, a.Clients.Control(addr).RegisterNode, &meshpb.RegisterNodeRequest{Node: state})
 		if err != nil {
 			continue
 		}
-		if r.Master {
-			a.keepLastEndpoint(r.LastEndpoint)
+		if response.Master {
+			a.keepLastEndpoint(response.LastEndpoint)
 			return true
 		}
-		for _, m := range r.Membership.GetMembers() {
+		for _, m := range response.Membership.GetMembers() {
 			candidates = append(candidates, m.Addr)
 		}
-		if r.MasterAddr != "" {
-			candidates = append([]string{r.MasterAddr}, candidates...)
+		if response.MasterAddr != "" {
+			candidates = append([]string{response.MasterAddr}, candidates...)
 		}
 	}
 	return false
@@ -122,10 +122,10 @@
 	return addrs
 }
 
-func (a *Agent) keepLastEndpoint(e *meshpb.Endpoint) {
+func (a *Agent) keepLastEndpoint(endpoint *meshpb.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.lastEndpoint == nil {
-		a.lastEndpoint = e
+		a.lastEndpoint = endpoint
 	}
 }
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -251,7 +251,7 @@
 func (s *simulation) applyView(n *simulatedNode, view *meshpb.View) {
 	n.view = view
 	if s.hotKeys.tracker != nil {
-		view = view.Lean()
+		view = view.ForNodes()
 		view.HotKeys = s.hotKeys.current
 	}
 	n.balancer.ApplyView(view)
--- a/internal/requestlog/report.go
+++ b/internal/requestlog/report.go
@@ -95,7 +95,7 @@
 	r.mu.Unlock()
 	for _, wanted := range request.Views {
 		if view := findView(views, wanted); view != nil {
-			response.Views = append(response.Views, view.Lean())
+			response.Views = append(response.Views, view.ForNodes())
 		}
 	}
 	for _, version := range request.Configs {
--- a/internal/rpc/meshpb/view.go
+++ b/internal/rpc/meshpb/view.go
@@ -39,9 +39,9 @@
 	return difference
 }
 
-// Onto returns the complete view that x, a difference, makes of old, the view
+// ApplyTo returns the complete view that x, a difference, makes of old, the view
 // of its base version.
-func (x *View) Onto(old *View) *View {
+func (x *View) ApplyTo(old *View) *View {
 	complete := x.withoutEndpoints()
 	if complete.Membership == nil {
 		complete.Membership = old.Membership
@@ -62,8 +62,9 @@
 	return complete
 }
 
-// Lean returns the view without what only a next master needs.
-func (x *View) Lean() *View {
+// ForNodes returns the view as nodes get it: without what only the next master
+// needs.
+func (x *View) ForNodes() *View {
 	lean := x.withoutEndpoints()
 	lean.Endpoints = x.Endpoints
 	return lean
--- a/internal/rpc/meshpb/view_test.go
+++ b/internal/rpc/meshpb/view_test.go
@@ -15,7 +15,7 @@
 	qt.Assert(t, len(d.Endpoints), qt.Equals, 2)
 	qt.Assert(t, d.Removed, qt.DeepEquals, []string{"c"})
 	qt.Assert(t, d.Membership, qt.IsNil)
-	x := d.Onto(a)
+	x := d.ApplyTo(a)
 	var got []string
 	for _, y := range x.Endpoints {
 		got = append(got, y.Id+y.State)
@@ -23,5 +23,5 @@
 	sort.Strings(got)
 	qt.Assert(t, got, qt.DeepEquals, []string{"aup", "bdraining", "dup"})
 	qt.Assert(t, x.Version == 6 && x.Nodes == 4 && x.Membership.Version == 1 && x.BaseVersion == 0, qt.IsTrue)
-	qt.Assert(t, a.Lean().NodeAddresses, qt.IsNil)
+	qt.Assert(t, a.ForNodes().NodeAddresses, qt.IsNil)
 }
