--- a/cmd/controlload/doc.go
+++ b/cmd/controlload/doc.go
@@ -1,6 +1,6 @@
 // Command controlload measures the control plane at sizes that one machine can't
 // hold whole. It starts real core processes on loopback addresses and, in its
-// own process, many simulated ("hollow") nodes: each has the real node agent
+// own process, many simulated nodes: each has the real node agent
 // and a listener of its own, but an endpoint that exists only in what the node
 // reports, and no traffic. It plays one scenario for each size, prints one JSON
 // object for it, and ends by itself with all that it started.
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -58,8 +58,9 @@
 	// maxLeaveTime bounds how long a core node that ends waits until its shards
 	// have other owners, beside three quarters of its grace time.
 	maxLeaveTime = 6 * time.Second
-	// lastWordsTime is how long it goes on answering after that.
-	lastWordsTime = 6 * tickInterval
+	// leaveLinger is how long it goes on answering after that, so that calls under
+	// way get their answers.
+	leaveLinger = 6 * tickInterval
 )
 
 func registerCore(c *commandLine) {
@@ -197,7 +198,7 @@
 	api.OnConfigAccepted = func(version uint64) {
 		c.trace(changetrace.KindConfig, "acknowledged", c.replica.MasterEpoch(), version)
 	}
-	serve(&http.Server{Handler: api, IdleTimeout: toolIdleTimeout, ReadHeaderTimeout: apiHeaderTimeout}, listener)
+	serve(&http.Server{Handler: api, IdleTimeout: externalIdleTimeout, ReadHeaderTimeout: apiHeaderTimeout}, listener)
 	return api
 }
 
@@ -231,5 +232,5 @@
 		}
 		time.Sleep(tickInterval)
 	}
-	time.Sleep(lastWordsTime)
+	time.Sleep(leaveLinger)
 }
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -59,8 +59,8 @@
 	return proxy.NewOutbound(options)
 }
 
-// reportFailures tells the master which endpoints fail, as no node stands beside
-// them that would. It doesn't return.
+// reportFailures tells the master which endpoints fail, since they have no
+// sidecars that would. It doesn't return.
 func reportFailures(node *trafficNode) {
 	for range time.Tick(failureReportInterval) {
 		reports := node.balancer.FailureReports()
--- a/cmd/corkcove/process.go
+++ b/cmd/corkcove/process.go
@@ -25,7 +25,8 @@
 )
 
 const (
-	// logEntries is how many log entries are kept for the case of trouble.
+	// logEntries is how many log entries are kept until something goes wrong and
+	// they are written out.
 	logEntries = 256
 	// logFlushInterval is the least time between two writings of them.
 	logFlushInterval = 5 * time.Second
@@ -50,7 +51,7 @@
 
 // runRole loads the settings of a role and runs it until it ends.
 func runRole(role string, global *globalOptions, run func(*process) error) error {
-	// A process has one processor's worth of the machine, whatever it has.
+	// The machine runs other processes too: one processor is all that this may take.
 	runtime.GOMAXPROCS(1)
 	p, err := newProcess(role, global)
 	if err != nil {
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -73,7 +73,7 @@
 	s.serveInternal(listeners.internal, s.outbound.Flows, 0)
 	serve(&http.Server{Handler: s.inbound, IdleTimeout: inboundIdleTimeout}, listeners.inbound)
 	s.serveReadiness(listeners.ready)
-	serve(&http.Server{Handler: controlapi.NewEndpointServer(s.endpoint), IdleTimeout: toolIdleTimeout}, listeners.control)
+	serve(&http.Server{Handler: controlapi.NewEndpointServer(s.endpoint), IdleTimeout: externalIdleTimeout}, listeners.control)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.runAgent(ctx)
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -47,8 +47,9 @@
 	// internalIdleTimeout ends idle connections from other processes of the mesh:
 	// longer than these keep them, so that they close them first.
 	internalIdleTimeout = 3 * time.Minute
-	// toolIdleTimeout ends idle connections of the platform and of endpoints.
-	toolIdleTimeout = time.Minute
+	// externalIdleTimeout ends idle connections of callers outside the mesh: the
+	// platform, endpoints, operators.
+	externalIdleTimeout = time.Minute
 
 	readinessPath = "/-/readiness"
 )
@@ -126,7 +127,7 @@
 // serveReadiness tells the platform whether the node takes requests.
 func (n *trafficNode) serveReadiness(listener net.Listener) {
 	handler := readinessHandler(func() bool { return !n.stopping.Load() && n.agent.Ready() })
-	serve(&http.Server{Handler: handler, IdleTimeout: toolIdleTimeout}, listener)
+	serve(&http.Server{Handler: handler, IdleTimeout: externalIdleTimeout}, listener)
 }
 
 func readinessHandler(ready func() bool) http.Handler {
--- a/cmd/fakeendpoint/endpoint.go
+++ b/cmd/fakeendpoint/endpoint.go
@@ -41,7 +41,7 @@
 // endpointOptions are the flags of the endpoint.
 type endpointOptions struct {
 	address string
-	// controlAddress is empty if no sidecar stands beside the endpoint.
+	// controlAddress is empty if the endpoint has no sidecar.
 	controlAddress    string
 	service           string
 	zone              string
--- a/internal/affinity/sessions.go
+++ b/internal/affinity/sessions.go
@@ -127,9 +127,8 @@
 	s.pins[id] = pin
 }
 
-// evictedFraction is the part of the cache, one in so many, that goes when it is
-// full of sessions in use.
-const evictedFraction = 10
+// A cache that is full of sessions in use drops one in evictionDivisor of them.
+const evictionDivisor = 10
 
 // evict forgets idle sessions, and if there are none the tenth used longest ago:
 // they stay pinned in the control state.
@@ -147,7 +146,7 @@
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b sessionID) int { return s.pins[a].used.Compare(s.pins[b].used) })
-	for _, id := range ids[:max(len(ids)/evictedFraction, 1)] {
+	for _, id := range ids[:max(len(ids)/evictionDivisor, 1)] {
 		delete(s.pins, id)
 		s.dropped++
 	}
--- a/internal/endpointagent/admission.go
+++ b/internal/endpointagent/admission.go
@@ -9,9 +9,8 @@
 )
 
 const (
-	// reservedSlotShare is the share of the slots, one in so many, that reads of
-	// hot keys leave to other requests.
-	reservedSlotShare = 4
+	// Reads of hot keys leave one slot in reservedSlotDivisor to other requests.
+	reservedSlotDivisor = 4
 	// reservationPeriod is how long after the last other request slots are kept
 	// free of reads of hot keys.
 	reservationPeriod = time.Second
@@ -179,7 +178,7 @@
 	if now.Sub(a.slots.lastOther) > reservationPeriod || n == 1 {
 		return n
 	}
-	return n - max(n/reservedSlotShare, 1)
+	return n - max(n/reservedSlotDivisor, 1)
 }
 
 func (a *Agent) estimatedWait(p Priority) time.Duration {
--- a/internal/endpointagent/agent.go
+++ b/internal/endpointagent/agent.go
@@ -68,7 +68,7 @@
 	previous := a.status
 	change()
 	current := a.status
-	changed := current.announces(previous)
+	changed := current.differsFrom(previous)
 	if changed {
 		a.options.Log.Info("endpoint status changed", "endpoint", current.ID, "state", current.State, "healthy", current.Healthy, "slots", current.Slots,
 			"warmup", current.Warmup, "previousEndpoint", previous.ID, "previousState", previous.State, "previousHealthy", previous.Healthy)
@@ -170,7 +170,7 @@
 	a.rejectQueued(RejectedStopping)
 }
 
-// Tick marks an endpoint whose heartbeats stay out, and lets its warm-up and old
+// Tick marks an endpoint whose heartbeats are missing, and lets its warm-up and old
 // failures end. It is called a few times in each heartbeat interval.
 func (a *Agent) Tick() {
 	a.update(func() {
--- a/internal/endpointagent/reject.go
+++ b/internal/endpointagent/reject.go
@@ -15,7 +15,7 @@
 	RejectedOtherIncarnation RejectReason = "other-life"
 	// RejectedDraining means that the endpoint takes nothing new.
 	RejectedDraining RejectReason = "draining"
-	// RejectedUnhealthy means that heartbeats stay out or connections are refused.
+	// RejectedUnhealthy means that heartbeats are missing or connections are refused.
 	RejectedUnhealthy RejectReason = "unsound"
 	// RejectedQueueFull means that the wait for a slot would be too long.
 	RejectedQueueFull RejectReason = "full"
--- a/internal/endpointagent/status.go
+++ b/internal/endpointagent/status.go
@@ -28,7 +28,7 @@
 // Status is what other nodes are told about the endpoint.
 type Status struct {
 	Heartbeat
-	// Healthy is false while heartbeats stay out or connections are refused.
+	// Healthy is false while heartbeats are missing or connections are refused.
 	Healthy bool
 	// Known tells that there is an endpoint at all.
 	Known bool
@@ -37,9 +37,9 @@
 	FailurePercent int
 }
 
-// announces tells whether other nodes would act on the difference between the
+// differsFrom tells whether other nodes would act on the difference between the
 // two.
-func (s Status) announces(previous Status) bool {
+func (s Status) differsFrom(previous Status) bool {
 	return s.ID != previous.ID || s.State != previous.State || s.Slots != previous.Slots ||
 		s.Healthy != previous.Healthy || s.Known != previous.Known || s.FailurePercent != previous.FailurePercent ||
 		(s.Warmup > 0) != (previous.Warmup > 0)
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -38,8 +38,8 @@
 	Flows         []FlowComparison `json:"flows"`
 	SharesChecked int              `json:"sharesChecked"`
 	Deviations    []Deviation      `json:"outside"`
-	// MissingFlows were forecast and have no request, NewFlows the other way about,
-	// SparseFlows have too few requests to tell.
+	// MissingFlows were forecast and have no request, NewFlows have requests and
+	// were not forecast, SparseFlows have too few requests to tell.
 	MissingFlows []Flow `json:"notSeen"`
 	NewFlows     []Flow `json:"notForetold"`
 	SparseFlows  []Flow `json:"tooFew"`
@@ -47,9 +47,9 @@
 	// configuration or within the warm-up.
 	Requests      int `json:"requests"`
 	OtherRequests int `json:"underOtherConfigurations"`
-	// Z is how many standard errors a share may be off.
-	Z        float64 `json:"z"`
-	Coverage float64 `json:"coverage"`
+	// MaxStandardErrors is how many standard errors a share may be off.
+	MaxStandardErrors float64 `json:"z"`
+	Coverage          float64 `json:"coverage"`
 }
 
 // FlowComparison is one flow's forecast beside its actual shares.
@@ -116,7 +116,7 @@
 		return nil, Error.New("the record has no request that was carried under %s", routeconfig.FormatVersion(version))
 	}
 	c.matchFlows(f.Flows, actual, options.MinRequests)
-	c.Z = zScore(options.FalseAlarmRate, c.SharesChecked)
+	c.MaxStandardErrors = zScore(options.FalseAlarmRate, c.SharesChecked)
 	for i := range c.Flows {
 		c.checkShares(&c.Flows[i], options.Tolerance)
 	}
@@ -217,7 +217,7 @@
 	for _, d := range dimensions {
 		expected, got := d.counts(forecast), d.counts(actual)
 		for _, value := range unionOfKeys(expected, got) {
-			low, high := shareInterval(expected[value], forecast, actual, c.Z, tolerance)
+			low, high := shareInterval(expected[value], forecast, actual, c.MaxStandardErrors, tolerance)
 			share := float64(got[value]) / float64(actual.Requests)
 			if share >= low && share <= high {
 				continue
--- a/internal/replay/compare_text.go
+++ b/internal/replay/compare_text.go
@@ -9,7 +9,7 @@
 func (c *Comparison) Text(limit int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d requests under the change, %d under others or too early; coverage %.1f%%\n", c.Requests, c.OtherRequests, 100*c.Coverage)
-	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.SharesChecked, c.Z)
+	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.SharesChecked, c.MaxStandardErrors)
 	c.writeFlows(&b, limit)
 	c.writeDeviations(&b, limit)
 	writeFlowList(&b, "not seen since", c.MissingFlows, limit)
--- a/internal/replay/flows.go
+++ b/internal/replay/flows.go
@@ -19,6 +19,7 @@
 	Origin string `json:"origin"`
 }
 
+// String returns the flow as reports name it.
 func (f Flow) String() string { return f.Route + " " + f.Kind + " from " + f.Origin }
 
 func (f Flow) compare(other Flow) int {
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -58,6 +58,7 @@
 	answered bool
 }
 
+// String returns the result as reports show it.
 func (r Result) String() string {
 	if len(r.Attempts) == 0 {
 		return fmt.Sprintf("%d in %d ms (nowhere)", r.Code, r.TookMs)
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -137,7 +137,7 @@
 // advance notes that the owner has committed all up to version. What it had
 // committed a heartbeat ago has had time to come: if that is synced here, the
 // replica is caught up.
-func (c *catchUpTime) advance(version, synced uint64, now time.Duration) {
+func (c *catchUpState) advance(version, synced uint64, now time.Duration) {
 	if synced >= min(c.watermark, version) {
 		c.at = now
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -88,7 +88,7 @@
 	}
 	r.membershipChange.replicatedUnder = make([]uint64, options.Shards)
 	for id := range options.Shards {
-		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpTime{at: never}})
+		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpState{at: never}})
 	}
 	now := options.Now()
 	for _, data := range records {
--- a/internal/replication/shard.go
+++ b/internal/replication/shard.go
@@ -10,13 +10,13 @@
 type role int
 
 const (
-	// A follower keeps a replica and grants leases and votes.
+	// follower keeps a replica and grants leases and votes.
 	follower role = iota
-	// A candidate asks for the votes of a majority.
+	// candidate asks for the votes of a majority.
 	candidate
-	// An owner decides the order of changes, and serves while it has a lease.
+	// owner decides the order of changes, and serves while it has a lease.
 	owner
-	// An owner is transferring while it takes no calls and its successor catches up.
+	// transferring is an owner that takes no calls while its successor catches up.
 	transferring
 )
 
@@ -44,7 +44,7 @@
 	lease     lease
 	election  election
 	ownership ownership
-	catchUp   catchUpTime
+	catchUp   catchUpState
 }
 
 // vote is the last vote of this member, for itself too. It is durable.
@@ -113,8 +113,8 @@
 	successor string
 }
 
-// catchUp tells how far a follower is behind its owner.
-type catchUpTime struct {
+// catchUpState tells how far a follower is behind its owner.
+type catchUpState struct {
 	// watermark is the version that the owner last said to be committed.
 	watermark uint64
 	// at is when the watermark before the last was found to be on disk here.
--- a/internal/routeconfig/route.go
+++ b/internal/routeconfig/route.go
@@ -37,6 +37,7 @@
 // Idempotent tells that a request may be sent again whatever became of it.
 func (k RouteKind) Idempotent() bool { return k == KindPure || k == KindDownload }
 
+// String returns the kind as the configuration names it.
 func (k RouteKind) String() string {
 	if k < 0 || int(k) >= len(kindNames) {
 		return "unknown"
--- a/internal/routeconfig/session_key.go
+++ b/internal/routeconfig/session_key.go
@@ -21,6 +21,7 @@
 	Name string
 }
 
+// String returns the source as ParseSessionKeySource reads it.
 func (k SessionKeySource) String() string {
 	switch {
 	case k.Name == "":
