--- a/cmd/controlload/simulatednode.go
+++ b/cmd/controlload/simulatednode.go
@@ -30,7 +30,7 @@
 	nodeSlots = 8
 )
 
-// simulatedNode is a node agent without traffic: a hollow node.
+// simulatedNode is a node agent without traffic.
 type simulatedNode struct {
 	agent   *nodeagent.Agent
 	address string
@@ -101,18 +101,9 @@
 }
 
 func (n *simulatedNode) applyPatches(version uint64, patches [][]byte) error {
-	config := n.config
-	for _, data := range patches {
-		patch, err := routeconfig.ParsePatch(data)
-		if err != nil {
-			return err
-		}
-		if config, err = config.Apply(patch); err != nil {
-			return err
-		}
-	}
-	if config.Version != version {
-		return fmt.Errorf("the patches lead to %d, not %d", config.Version, version)
+	config, err := n.config.ApplyPatches(version, patches)
+	if err != nil {
+		return err
 	}
 	n.putConfig(config)
 	return nil
--- a/cmd/corkcove/configapply.go
+++ b/cmd/corkcove/configapply.go
@@ -28,21 +28,11 @@
 	return nil
 }
 
-// applyPatches puts in force what the patches make of the current configuration,
-// if that is the version that it should be.
+// applyPatches puts in force what the patches make of the current configuration.
 func (a *configApplier) applyPatches(version uint64, patches [][]byte) error {
-	config := a.current
-	for _, data := range patches {
-		patch, err := routeconfig.ParsePatch(data)
-		if err != nil {
-			return err
-		}
-		if config, err = config.Apply(patch); err != nil {
-			return err
-		}
-	}
-	if config.Version != version {
-		return routeconfig.Error.New("the patches lead to %s, not %s", routeconfig.FormatVersion(config.Version), routeconfig.FormatVersion(version))
+	config, err := a.current.ApplyPatches(version, patches)
+	if err != nil {
+		return err
 	}
 	a.put(config)
 	return nil
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -49,6 +49,24 @@
 	return next, next.Validate()
 }
 
+// ApplyPatches returns the configuration that the patches, applied in their order,
+// make of c. It is an error if that does not have the version.
+func (c Config) ApplyPatches(version uint64, patches [][]byte) (Config, error) {
+	for _, data := range patches {
+		patch, err := ParsePatch(data)
+		if err != nil {
+			return Config{}, err
+		}
+		if c, err = c.Apply(patch); err != nil {
+			return Config{}, err
+		}
+	}
+	if c.Version != version {
+		return Config{}, Error.New("the patches lead to %s, not %s", FormatVersion(c.Version), FormatVersion(version))
+	}
+	return c, nil
+}
+
 // PatchFrom writes the patch that leads from an older configuration to this
 // one, as ParsePatch reads it.
 func (c Config) PatchFrom(old Config) []byte {
--- a/internal/routeconfig/patch_test.go
+++ b/internal/routeconfig/patch_test.go
@@ -60,3 +60,25 @@
 	_, err = config.Apply(Patch{Version: 9, Removals: map[string][]string{"serviceList": {"s1"}}})
 	qt.Check(t, err, qt.ErrorMatches, ".*unknown.*")
 }
+
+func TestPatchesInARowLeadToTheAnnouncedVersionOrToNone(t *testing.T) {
+	config, err := Parse([]byte(validConfig))
+	qt.Assert(t, err, qt.IsNil)
+	before := string(config.Marshal())
+	first := []byte(`{"stamp":"r9","upserts":{"resourceList":[]},"removals":{"bindingList":["b1"]}}`)
+	second := []byte(`{"stamp":"r10","upserts":{"resourceList":[]},"removals":{"bindingList":["b2"]}}`)
+	next, err := config.ApplyPatches(10, [][]byte{first, second})
+	qt.Assert(t, err, qt.IsNil)
+	qt.Check(t, next.Version, qt.Equals, uint64(10))
+	qt.Check(t, len(next.Resources), qt.Equals, len(config.Resources)-2)
+	for name, patches := range map[string][][]byte{
+		"another version": {first},
+		"unreadable":      {first, []byte("{")},
+		"invalid result":  {first, []byte(`{"stamp":"r10","upserts":{"resourceList":[]},"removals":{"serviceList":["s1"]}}`)},
+	} {
+		next, err := config.ApplyPatches(10, patches)
+		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%s", name))
+		qt.Check(t, next.Version, qt.Equals, uint64(0), qt.Commentf("%s", name))
+	}
+	qt.Check(t, string(config.Marshal()), qt.Equals, before)
+}
