--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// StatusError is an answer other than 200: the platform is busy or in trouble,
+// StatusError is an answer other than 200: the platform is busy or fails,
 // and is to be asked later.
 type StatusError struct{ Code int }
 
--- a/internal/hotkeys/tracker.go
+++ b/internal/hotkeys/tracker.go
@@ -13,7 +13,7 @@
 )
 
 // narrowThreshold is the part of what the next smaller width can serve below
-// which a width falls, so that it does not flutter.
+// which a width falls, so that it does not oscillate.
 const narrowThreshold = 0.7
 
 // Options bound the keys whose reads are spread over several endpoints.
--- a/internal/jsontest/jsontest.go
+++ b/internal/jsontest/jsontest.go
@@ -1,4 +1,5 @@
-// Package jsontest checks in tests that a stored JSON form stays as it is.
+// Package jsontest checks in tests that a stored JSON form stays as it is. It has
+// no state, runs on the test's goroutine and only reads the stored file.
 package jsontest
 
 import (
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,7 @@
 // Package memnet is a network in memory, for tests: addresses lead to listeners
 // over pipes. It has no buffers: a write blocks until it is read, and so does a
-// dial until it is accepted.
+// dial until it is accepted. A Network owns its listeners and connections, guards
+// them with one mutex for calls from any goroutine, and starts no goroutine.
 package memnet
 
 import (
--- a/internal/prototest/prototest.go
+++ b/internal/prototest/prototest.go
@@ -1,6 +1,7 @@
 // Package prototest helps tests that compare stored or sent messages across
 // releases. It identifies fields by number and never by name, so that such
-// tests hold when messages and fields are renamed.
+// tests hold when messages and fields are renamed. It has no state and runs on the
+// test's goroutine.
 package prototest
 
 import (
--- a/internal/proxy/localreply/localreply.go
+++ b/internal/proxy/localreply/localreply.go
@@ -4,6 +4,9 @@
 // A status code is a promise. 503, 429, 408 and 421 say that the request has not
 // run and never will, so that a client may send it again; 502 and 504 say that
 // it may have run.
+//
+// The package is a fixed table: it has no state and writes nothing to a client,
+// which is for package proxy to do.
 package localreply
 
 import (
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -66,7 +66,7 @@
 
 // Checkpoint begins a new generation, in which snapshot stands for all records so
 // far, and calls done on the log's goroutine once that is synced or has failed.
-// After an error the generation before stays. A success also mends a log whose
+// After an error the generation before stays. A success also repairs a log whose
 // disk had failed.
 func (l *Log) Checkpoint(snapshot [][]byte, done func(error)) {
 	if snapshot == nil {
