--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -11,38 +11,38 @@
 // DeliverConfig applies a configuration from the master: a complete one, or
 // patches to the one in force. The answer always names the version in force after
 // it; Ok tells whether that is at least the one that was sent.
-func (a *Agent) DeliverConfig(_ context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
-	if q.To != "" && q.To != a.Name {
+func (a *Agent) DeliverConfig(_ context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+	if request.To != "" && request.To != a.Name {
 		return &meshpb.DeliverConfigResponse{}, nil
 	}
-	ok := a.applyConfig(q)
+	ok := a.applyConfig(request)
 	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.ConfigVersion()}, nil
 }
 
-func (a *Agent) applyConfig(q *meshpb.DeliverConfigRequest) bool {
+func (a *Agent) applyConfig(request *meshpb.DeliverConfigRequest) bool {
 	a.configMu.Lock()
 	defer a.configMu.Unlock()
-	if q.Version <= a.ConfigVersion() {
+	if request.Version <= a.ConfigVersion() {
 		return true
 	}
 	var err error
-	if q.BaseVersion > 0 {
-		patches, continues := a.patches.missing(q.BaseVersion, q.Patches)
+	if request.BaseVersion > 0 {
+		patches, continues := a.patches.missing(request.BaseVersion, request.Patches)
 		if !continues {
 			return false
 		}
-		err = a.applyPatches(q.Version, patches)
+		err = a.applyPatches(request.Version, patches)
 	} else {
-		err = a.applyFullConfig(q.Version, q.Data)
+		err = a.applyFullConfig(request.Version, request.Data)
 	}
 	if err != nil {
-		a.Log.Warn("failed to apply configuration", "version", q.Version, "epoch", q.Epoch, "error", err)
+		a.Log.Warn("failed to apply configuration", "version", request.Version, "epoch", request.Epoch, "error", err)
 		return false
 	}
 	a.mu.Lock()
-	a.configVersion = q.Version
+	a.configVersion = request.Version
 	a.mu.Unlock()
-	a.trace(changetrace.KindConfig, q.Epoch, q.Version)
+	a.trace(changetrace.KindConfig, request.Epoch, request.Version)
 	return true
 }
 
