--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -27,6 +27,19 @@
 
 func (singleUseBody) Close() error { return nil }
 
+// readToLength returns a reader of a server's request body of that length
+// (negative if it is not known) that leaves the body alone after its last byte.
+// A transport reads once more behind such a body. By then the response may have
+// begun, with which the server closes the body; the failed read would end the
+// endpoint's connection amid its response. A body of unknown length has ended
+// before the endpoint has all of the request.
+func readToLength(body io.Reader, length int64) io.Reader {
+	if length < 0 {
+		return body
+	}
+	return io.LimitReader(body, length)
+}
+
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
 
 func copyBody(w io.Writer, r io.Reader) error {
--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -127,3 +128,61 @@
 		}
 	}
 }
+
+// lateEndBody is a request's body whose reader comes late to the read that
+// follows the last bytes.
+type lateEndBody struct {
+	io.ReadCloser
+	delay time.Duration
+	atEnd bool
+}
+
+func (b *lateEndBody) Read(p []byte) (int, error) {
+	if b.atEnd {
+		time.Sleep(b.delay)
+	}
+	n, err := b.ReadCloser.Read(p)
+	b.atEnd = b.atEnd || errors.Is(err, io.EOF)
+	return n, err
+}
+
+// withLateEnd serves requests whose bodies' ends are read late.
+func withLateEnd(h http.Handler, delay time.Duration) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		late := r.WithContext(r.Context())
+		late.Body = &lateEndBody{ReadCloser: r.Body, delay: delay}
+		h.ServeHTTP(w, late)
+	})
+}
+
+func TestResponseStaysWholeWhenItBeginsBeforeTheEndOfTheRequestWasRead(t *testing.T) {
+	const (
+		addr        = "late"
+		endDelay    = 500 * time.Millisecond
+		clientDelay = time.Second
+		// bodyBytes is the size of the request's body and of its response's.
+		bodyBytes = 100 << 10
+	)
+	for _, hop := range []string{"outbound", "inbound"} {
+		inVirtualTime(t, hop, func(t *testing.T) {
+			s := newFaultRig(t, inboundToEndpoint, 1, 1, fault{afterRequest: respondAndGoOn(largeChunkedResponse)})
+			defer s.close()
+			s.armed.Store(true)
+			var handler http.Handler = s.outbound
+			if hop == "inbound" {
+				handler = NewInbound(InboundOptions{AppAddr: "app0", Agent: s.agents[0], AppClient: s.network.appClient(), BufferLimit: testBufferLimit})
+			}
+			go serveHTTP(withLateEnd(handler, endDelay), s.network.Listen(addr))
+			client, _ := s.network.dialHalfClosable(t, addr)
+			go writeText(client, fmt.Sprintf("POST /u/%sr\r\nX-Expect-Instance: e0\r\nContent-Length: %d\r\n\r\n%s", requestHeaders, bodyBytes, strings.Repeat("x", bodyBytes)))
+			response, err := http.ReadResponse(bufio.NewReader(client), nil)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Assert(t, response.StatusCode, qt.Equals, 200)
+			time.Sleep(clientDelay)
+			body, err := io.ReadAll(response.Body)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Assert(t, body, qt.HasLen, bodyBytes)
+			qt.Assert(t, s.runs.at("r"), qt.HasLen, 1)
+		})
+	}
+}
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -226,7 +226,7 @@
 		forwarded.Body = singleUseBody{strings.NewReader("")}
 		return forwarded
 	}
-	forwarded.Body = singleUseBody{r.request.Body}
+	forwarded.Body = singleUseBody{readToLength(r.request.Body, r.request.ContentLength)}
 	setReadDeadline(r.writer, r.deadline)
 	return forwarded
 }
