--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -123,6 +123,10 @@
 					qt.Assert(t, err, qt.IsNil)
 					qt.Assert(t, p.StatusCode, qt.Equals, 200)
 					qt.Assert(t, p.Header.Get(headerRequestID), qt.Equals, id)
+					qt.Assert(t, s.runs.at(id), qt.HasLen, 1)
+					// The node has to notice that the endpoint closed its connection, or the
+					// next request may be sent on it and be lost.
+					synctest.Wait()
 				}
 			})
 		}
