--- a/cmd/corkcove/coreclient.go
+++ b/cmd/corkcove/coreclient.go
@@ -15,11 +15,15 @@
 	"corkcove/internal/settings"
 )
 
-const (
+// defaultParallelCalls is how many nodes a tool asks at once.
+const defaultParallelCalls = 16
+
+// Tests of the whole program, which run on real time, lengthen these.
+var (
 	// toolCallTimeout bounds each call of a tool.
 	toolCallTimeout = 2 * time.Second
-	// defaultParallelCalls is how many nodes a tool asks at once.
-	defaultParallelCalls = 16
+	// toolDialTimeout bounds the making of a tool's connection.
+	toolDialTimeout = time.Second
 )
 
 // errNoMaster says that no core node that answered is the master, so that
@@ -47,7 +51,7 @@
 		}
 		seeds = options.SeedInternalAddrs()
 	}
-	transport := rpc.Transport(time.Second, 2*time.Second, time.Second, 2)
+	transport := rpc.Transport(toolDialTimeout, 2*time.Second, time.Second, 2)
 	return &coreClient{globalOptions: global, clients: rpc.NewClients(&http.Client{Transport: transport}), seeds: seeds}, nil
 }
 
