--- a/internal/replication/placement.go
+++ b/internal/replication/placement.go
@@ -2,33 +2,36 @@
 
 import "math"
 
-// dedicatedMasterMembers is from how many members on the one that is preferred
-// for the master shard owns no other: it tells all nodes of the mesh.
-const dedicatedMasterMembers = 5
+// minDedicatedMasterMembers is the number of members from which the preferred owner of
+// the master shard is the least preferred owner of all other shards: the master also
+// sends updates to all nodes of the mesh.
+const minDedicatedMasterMembers = 5
 
-// preferenceRank is the place of a member in the order for a shard: the master
-// shard goes to the first of the membership, the others start at a member each.
+// preferenceRank returns the rank of a member as owner of the shard; rank 0 is the
+// most preferred. The master shard prefers members in the order of the membership.
+// The other shards start from different members in turn, which spreads them evenly.
+// The rank of a process outside the membership is the number of members.
 func (r *Replica) preferenceRank(shard int, id string) int {
-	members := len(r.membership.Members)
+	memberCount := len(r.membership.Members)
 	index := r.memberIndex(id)
-	if index < 0 || members == 0 {
-		return members
+	if index < 0 || memberCount == 0 {
+		return memberCount
 	}
 	if shard == masterShard {
 		return index
 	}
-	if members < dedicatedMasterMembers {
-		return (index - (shard-1)%members + members) % members
+	if memberCount < minDedicatedMasterMembers {
+		return (index - (shard-1)%memberCount + memberCount) % memberCount
 	}
 	if index == 0 {
-		return members - 1
+		return memberCount - 1
 	}
-	others := members - 1
-	return (index - 1 - (shard-1)%others + others) % others
+	otherCount := memberCount - 1
+	return (index - 1 - (shard-1)%otherCount + otherCount) % otherCount
 }
 
-// preferredOwner is the id of the first healthy member in the order for a shard,
-// empty if there is none.
+// preferredOwner returns the id of the healthy member with the best preference rank
+// for the shard, or an empty string if no member is healthy.
 func (r *Replica) preferredOwner(shard int) string {
 	best, bestRank := "", math.MaxInt
 	for _, m := range r.membership.Members {
@@ -39,7 +42,8 @@
 	return best
 }
 
-// membersByPreference are the ids of the members in the order for a shard.
+// membersByPreference returns the ids of all members, sorted by their preference rank
+// for the shard.
 func (r *Replica) membersByPreference(shard int) []string {
 	ids := make([]string, len(r.membership.Members))
 	for _, m := range r.membership.Members {
--- a/internal/replication/voting.go
+++ b/internal/replication/voting.go
@@ -2,8 +2,8 @@
 
 import "corkcove/internal/rpc/meshpb"
 
-// HandleRequestVotes answers a candidate. reply is called once the votes in the
-// response are synced, or with nil if they could not be.
+// HandleRequestVotes handles a candidate's request for votes or pre-votes. reply is
+// called once all granted votes are synced to disk, or with nil if that failed.
 func (r *Replica) HandleRequestVotes(request *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
 	header := request.Header
 	response := &meshpb.RequestVotesResponse{Membership: r.membership.Version, Member: r.isMember() && header.To == r.self.Id}
@@ -22,69 +22,71 @@
 		}
 		reply(response)
 	})
-	for _, asked := range request.Votes {
-		response.Replies = append(response.Replies, r.voteOn(header.From.Id, asked, writes))
+	for _, voteRequest := range request.Votes {
+		response.Replies = append(response.Replies, r.handleVoteRequest(header.From.Id, voteRequest, writes))
 	}
 	writes.done(nil)
 }
 
-// voteOn decides upon one vote, or pre-vote, that a candidate asks for.
-func (r *Replica) voteOn(from string, asked *meshpb.VoteRequest, writes *writeGroup) *meshpb.VoteReply {
-	s := r.shards[asked.Shard]
-	reply := &meshpb.VoteReply{Shard: asked.Shard, Promised: s.vote.epoch, Epoch: asked.Epoch, PreVote: asked.PreVote}
-	if asked.Epoch == s.vote.epoch && s.vote.candidate == from && !asked.PreVote {
-		// The vote was given already, and the response to it lost.
-		r.fillVote(s, asked, reply)
+// handleVoteRequest grants or refuses one vote or pre-vote. Writes that must be synced
+// before the reply is sent are added to writes.
+func (r *Replica) handleVoteRequest(candidateID string, request *meshpb.VoteRequest, writes *writeGroup) *meshpb.VoteReply {
+	s := r.shards[request.Shard]
+	reply := &meshpb.VoteReply{Shard: request.Shard, Promised: s.vote.epoch, Epoch: request.Epoch, PreVote: request.PreVote}
+	if request.Epoch == s.vote.epoch && s.vote.candidate == candidateID && !request.PreVote {
+		// This vote was already granted, but the response was lost.
+		r.grantVote(s, request, reply)
 		writes.add()
 		r.awaitPersisted(writes.done)
 		return reply
 	}
-	if !r.mayVote(s, from, asked.Epoch) {
+	if !r.canVoteFor(s, candidateID, request.Epoch) {
 		return reply
 	}
-	if asked.PreVote {
-		reply.Granted = r.preVote(s, from)
+	if request.PreVote {
+		reply.Granted = r.grantPreVote(s, candidateID)
 		return reply
 	}
-	r.stepDown(s, asked.Epoch, "voted for another")
-	s.vote = vote{epoch: asked.Epoch, candidate: from}
+	r.stepDown(s, request.Epoch, "voted for another candidate")
+	s.vote = vote{epoch: request.Epoch, candidate: candidateID}
 	s.lease.grantedUntil = max(s.lease.grantedUntil, r.now()+r.options.voteGracePeriod())
-	r.fillVote(s, asked, reply)
+	r.grantVote(s, request, reply)
 	writes.add()
 	r.persistVote(s, writes.done)
 	return reply
 }
 
-// mayVote tells that nothing binds this member: no vote in that epoch or a later
-// one, no lease that it granted, none that it holds.
-func (r *Replica) mayVote(s *shard, from string, epoch uint64) bool {
+// canVoteFor reports whether this member may vote for the candidate in the epoch: it
+// has not voted in that epoch or a later one, has no lease granted to another member
+// in force, and does not hold the shard's lease itself.
+func (r *Replica) canVoteFor(s *shard, candidateID string, epoch uint64) bool {
 	now := r.now()
 	if epoch <= s.vote.epoch {
 		return false
 	}
-	if now < s.lease.grantedUntil && s.vote.candidate != from {
+	if now < s.lease.grantedUntil && s.vote.candidate != candidateID {
 		return false
 	}
 	return !s.isOwned() || now >= s.ownership.leaseUntil
 }
 
-// preVote tells whether a candidate would get the vote, which keeps others waiting
-// for a moment.
-func (r *Replica) preVote(s *shard, from string) bool {
+// grantPreVote reports whether the candidate gets this member's pre-vote. Once granted,
+// pre-votes are refused to other candidates for preVoteReservation.
+func (r *Replica) grantPreVote(s *shard, candidateID string) bool {
 	now := r.now()
-	if now < s.election.preVotedUntil && s.election.preVotedFor != from {
+	if now < s.election.preVotedUntil && s.election.preVotedFor != candidateID {
 		return false
 	}
-	s.election.preVotedFor, s.election.preVotedUntil = from, now+r.options.preVoteReservation()
+	s.election.preVotedFor, s.election.preVotedUntil = candidateID, now+r.options.preVoteReservation()
 	return true
 }
 
-// fillVote grants the vote, with the replica's content if it is newer than the
-// candidate's.
-func (r *Replica) fillVote(s *shard, asked *meshpb.VoteRequest, reply *meshpb.VoteReply) {
-	reply.Granted, reply.Promised = true, asked.Epoch
+// grantVote fills in reply as a granted vote. It includes this member's replica state
+// if that is newer than the candidate's.
+func (r *Replica) grantVote(s *shard, request *meshpb.VoteRequest, reply *meshpb.VoteReply) {
+	reply.Granted, reply.Promised = true, request.Epoch
 	reply.HaveEpoch, reply.HaveVersion = s.log.epoch, s.log.version
-	if s.position().newerThan(position{asked.HaveEpoch, asked.HaveVersion}) {
+	if s.position().newerThan(position{request.HaveEpoch, request.HaveVersion}) {
 		reply.State = r.snapshot(s)
 	}
 }
