--- a/internal/replication/election_test.go
+++ b/internal/replication/election_test.go
@@ -9,48 +9,55 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func (c *simCluster) requestVote(to, from string, shard uint32, epoch uint64) bool {
-	t, f := c.nodes[to].replica, c.nodes[from].replica.Self()
-	ok := false
+// requestVote asks the node named voter, on behalf of the node named candidate, for its
+// vote in the epoch, and returns whether the vote was granted.
+func (c *simCluster) requestVote(voter, candidate string, shard uint32, epoch uint64) bool {
+	replica, sender := c.nodes[voter].replica, c.nodes[candidate].replica.Self()
+	granted := false
 	request := &meshpb.RequestVotesRequest{
-		Header: &meshpb.SenderHeader{From: f, To: t.Self().Id, Membership: t.Membership().Version},
+		Header: &meshpb.SenderHeader{From: sender, To: replica.Self().Id, Membership: replica.Membership().Version},
 		Votes:  []*meshpb.VoteRequest{{Shard: shard, Epoch: epoch}},
 	}
-	t.HandleRequestVotes(request, func(r *meshpb.RequestVotesResponse) {
-		ok = r != nil && len(r.Replies) == 1 && r.Replies[0].Granted
+	replica.HandleRequestVotes(request, func(response *meshpb.RequestVotesResponse) {
+		granted = response != nil && len(response.Replies) == 1 && response.Replies[0].Granted
 	})
 	c.runUntil(c.now + 10*time.Millisecond)
-	return ok
+	return granted
 }
 
-func TestFollowerGrantsNoSecondLeaseWhileOneRuns(t *testing.T) {
+// TestVoterHonorsLeasesAndEarlierVotes checks that a member refuses its vote while a
+// lease that it granted or holds is in force, also right after a restart, and that it
+// votes for one candidate only in each epoch.
+func TestVoterHonorsLeasesAndEarlierVotes(t *testing.T) {
 	cluster := newSimCluster(t, 8, 3)
 	cluster.runUntil(4 * time.Second)
 	_, owned := cluster.nodes["m0"].replica.OwnedEpoch(1)
 	qt.Assert(t, owned, qt.IsTrue)
 	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 500), qt.IsFalse)
-	qt.Assert(t, cluster.requestVote("m0", "m2", 1, 500), qt.IsFalse, qt.Commentf("the owner itself, while it is held"))
+	qt.Assert(t, cluster.requestVote("m0", "m2", 1, 500), qt.IsFalse, qt.Commentf("the owner refuses while it holds the lease"))
 
 	cluster.nodes["m1"].kill()
 	cluster.nodes["m1"].start()
 	cluster.runUntil(cluster.now + 5*time.Millisecond)
 	cluster.setIsolated("m0", true)
-	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 600), qt.IsFalse, qt.Commentf("just restarted, it may have granted before"))
-	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 700), qt.IsTrue, qt.Commentf("the holder itself need not wait"))
-	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 600), qt.IsFalse, qt.Commentf("a restarted member may have granted a lease before the restart"))
+	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 700), qt.IsTrue, qt.Commentf("the lease holder itself need not wait"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one vote per epoch"))
 	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 710), qt.IsFalse)
 	cluster.setIsolated("m1", true)
 	cluster.runUntil(cluster.now + time.Second)
-	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 700), qt.IsFalse, qt.Commentf("one vote per epoch"))
 	qt.Assert(t, cluster.requestVote("m1", "m2", 1, 5000), qt.IsTrue)
 	cluster.runUntil(cluster.now + time.Second)
-	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 5000), qt.IsFalse, qt.Commentf("one epoch, one promise"))
+	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 5000), qt.IsFalse, qt.Commentf("one vote per epoch"))
 	qt.Assert(t, cluster.requestVote("m1", "m0", 1, 5010), qt.IsTrue)
 }
 
-// TestReconnectedMemberDeposesNoOwner: a member that was partitioned has voted for
-// nobody meanwhile; the leases of the others keep its pre-vote from being granted.
-func TestReconnectedMemberDeposesNoOwner(t *testing.T) {
+// TestReconnectedMemberDoesNotDisruptOwners checks that a member that returns from a
+// partition unseats no owner. While partitioned it wins no pre-vote, so it doesn't vote
+// for itself in a higher epoch; afterwards the leases that the other members have
+// granted make them refuse its pre-vote.
+func TestReconnectedMemberDoesNotDisruptOwners(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		cluster := newSimCluster(t, seed, 3)
 		cluster.runUntil(5 * time.Second)
@@ -69,8 +76,9 @@
 	}
 }
 
-// TestOwnerReceivingNothingIsReplacedWithinTwoLeases: the heartbeats of an owner
-// that receives nothing must not renew its leases.
+// TestOwnerReceivingNothingIsReplacedWithinTwoLeases checks that the heartbeats of an
+// owner that receives nothing don't renew its leases: they would keep its shards from
+// all other members, although it can't serve them.
 func TestOwnerReceivingNothingIsReplacedWithinTwoLeases(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		cluster := newSimCluster(t, seed, 5)
@@ -86,9 +94,10 @@
 	}
 }
 
-// TestGrantedLeaseEnds: a member speaks for a master only while the lease that it
-// granted to it runs.
-func TestGrantedLeaseEnds(t *testing.T) {
+// TestGrantedLeaseExpires checks that LeaseGranted reports a lease for the owner's epoch
+// only, and only until the lease expires. A relay may speak for a master no longer than
+// that.
+func TestGrantedLeaseExpires(t *testing.T) {
 	cluster := newSimCluster(t, 3, 3)
 	cluster.runUntil(4 * time.Second)
 	_, own := cluster.nodes["m0"].replica.OwnedEpoch(0)
@@ -101,10 +110,10 @@
 	qt.Assert(t, follower.LeaseGranted(0, epoch), qt.IsFalse)
 }
 
-// TestConcurrentCandidatesLeaveNoReplicaBehind: two that are candidates at once,
-// each named as the successor, ask for different epochs, so that the one that
-// loses, and its replica, follows the other.
-func TestConcurrentCandidatesLeaveNoReplicaBehind(t *testing.T) {
+// TestConcurrentCandidatesConvergeOnOneEpoch checks that two concurrent candidates, both
+// named as successor, propose different epochs, so that the one that loses, and its
+// replica, follows the other.
+func TestConcurrentCandidatesConvergeOnOneEpoch(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		run := &scenarioRun{simCluster: newSimCluster(t, seed, 3), scenario: scenario{Members: 3}}
 		run.workload = newWorkload(run.simCluster)
