--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -6,19 +6,20 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// epochStride parts the epochs among the members, so that two who are candidates
-// at once never ask for the same one, and the one that loses follows the other.
+// epochStride partitions the epochs among the members: each member proposes only
+// epochs with its own remainder modulo epochStride. Concurrent candidates thus never
+// propose the same epoch, and the one that loses follows the other.
 const epochStride = 64
 
-// nextEpoch is the lowest epoch that this member may ask for, above all that it
-// knows of.
+// nextEpoch returns the epoch that this member proposes next for the shard. It is
+// higher than every epoch that the member knows of.
 func (r *Replica) nextEpoch(s *shard) uint64 {
 	highest := max(s.vote.epoch, s.election.epoch, s.log.epoch)
 	return (highest/epochStride+1)*epochStride + uint64(r.memberIndex(r.self.Id)%epochStride)
 }
 
-// startDueElections begins pre-votes for the shards without an owner that this
-// member may own.
+// startDueElections starts pre-votes for the ownerless shards for which this member
+// should become a candidate now.
 func (r *Replica) startDueElections() {
 	if !r.isHealthy(r.self.Id) {
 		return
@@ -32,8 +33,8 @@
 	r.startPreVotes(due)
 }
 
-// electionDue tells that the shard has no owner that this member knows of, and
-// that it is this member's turn to become that.
+// electionDue reports whether this member knows of no owner of the shard and has
+// waited long enough, given its preference rank, to become a candidate.
 func (r *Replica) electionDue(s *shard) bool {
 	now := r.now()
 	votedForSelf := s.vote.candidate == r.self.Id
@@ -43,36 +44,37 @@
 	if now < s.lease.grantedUntil && !votedForSelf {
 		return false
 	}
-	// Who owned it before a restart need not wait: all others granted it leases.
+	// An owner that has just restarted does not wait: the leases of the other members
+	// were granted to it.
 	if votedForSelf && now-r.startedAt < r.options.restartWindow() {
 		return true
 	}
 	rank := r.preferenceRank(s.id, r.self.Id)
 	if r.preferredOwner(s.id) != r.self.Id {
-		turn := time.Duration(rank+1) * r.options.HeartbeatInterval
-		ownerless := max(s.lease.grantedUntil, s.election.notBefore, r.startedAt)
-		return now >= ownerless+r.options.preferredOwnerHeadStart()+turn
+		rankDelay := time.Duration(rank+1) * r.options.HeartbeatInterval
+		ownerlessSince := max(s.lease.grantedUntil, s.election.notBefore, r.startedAt)
+		return now >= ownerlessSince+r.options.preferredOwnerGracePeriod()+rankDelay
 	}
-	// Just after the start, those before it in the order may not have been heard yet.
+	// Right after startup, members with a better rank may not have made contact yet.
 	return rank == 0 || now-r.startedAt >= r.options.HeartbeatInterval
 }
 
-// startPreVotes asks whether the votes would be granted: a member that comes back
-// after a cut would else raise its own epoch, and so unseat an owner whom all
-// others follow.
+// startPreVotes asks the other members whether they would grant their votes. Without
+// a pre-vote, a member that returns from a network partition would raise its epoch
+// and unseat an owner that all other members follow.
 func (r *Replica) startPreVotes(shards []*shard) {
 	if len(shards) == 0 {
 		return
 	}
-	var votes []*meshpb.VoteRequest
+	var requests []*meshpb.VoteRequest
 	for _, s := range shards {
 		r.becomeCandidate(s, true)
 		s.election.votes = map[string]bool{r.self.Id: true}
 		s.election.preVotedFor, s.election.preVotedUntil = r.self.Id, r.now()+r.options.preVoteReservation()
-		votes = append(votes, s.voteRequest())
+		requests = append(requests, s.voteRequest())
 	}
 	for _, p := range r.voters {
-		r.requestVotes(p, votes)
+		r.requestVotes(p, requests)
 	}
 	for _, s := range shards {
 		r.recordVote(s, s.election.epoch, r.self.Id)
@@ -80,38 +82,40 @@
 	r.startPreVotedElections()
 }
 
-// startPreVotedElections begins the elections, in one call to each peer, of all
-// shards whose pre-vote has just been won.
+// startPreVotedElections starts the elections of all shards whose pre-vote has just
+// been won, with one call to each peer.
 func (r *Replica) startPreVotedElections() {
 	shards := r.preVoted
 	r.preVoted = nil
 	r.startElections(shards)
 }
 
-// startElections votes for this member and asks all others for their votes.
+// startElections votes for this member and requests the votes of all other members.
 func (r *Replica) startElections(shards []*shard) {
 	if len(shards) == 0 {
 		return
 	}
-	var votes []*meshpb.VoteRequest
+	var requests []*meshpb.VoteRequest
 	for _, s := range shards {
 		r.becomeCandidate(s, false)
-		votes = append(votes, s.voteRequest())
+		requests = append(requests, s.voteRequest())
 		r.voteForSelf(s)
 	}
 	for _, p := range r.voters {
-		r.requestVotes(p, votes)
+		r.requestVotes(p, requests)
 	}
 }
 
-// becomeCandidate begins a pre-vote or an election.
+// becomeCandidate makes this member a candidate for the shard, in a pre-vote or an
+// election, under a new epoch.
 func (r *Replica) becomeCandidate(s *shard, preVote bool) {
 	epoch := r.nextEpoch(s)
 	s.role, s.roleSince = candidate, r.now()
 	s.election.preVote, s.election.epoch = preVote, epoch
 }
 
-// voteForSelf gives this member's own vote, which counts once it is synced.
+// voteForSelf casts this member's vote for itself. The vote counts once it is synced
+// to disk.
 func (r *Replica) voteForSelf(s *shard) {
 	epoch := s.election.epoch
 	s.vote = vote{epoch: epoch, candidate: r.self.Id}
@@ -124,12 +128,13 @@
 			return
 		}
 		if s.role == candidate && s.election.epoch == epoch {
-			r.stepDown(s, epoch, "own vote not synced")
+			r.stepDown(s, epoch, "failed to persist own vote")
 		}
 	})
 }
 
-// voteRequest asks for the vote that the shard's candidate needs now.
+// voteRequest returns the request for the pre-vote or vote that the candidate for
+// the shard currently needs.
 func (s *shard) voteRequest() *meshpb.VoteRequest {
 	return &meshpb.VoteRequest{
 		Shard:       uint32(s.id),
@@ -140,32 +145,33 @@
 	}
 }
 
-// retryVoteRequests asks those again that haven't voted: the word of a transfer
-// may have reached them after the request.
+// retryVoteRequests repeats the requests to the members that haven't voted. In a
+// transfer, a member that receives the request before the TransferOwnership call
+// refuses its vote, because the lease of the previous owner is still in force there.
 func (r *Replica) retryVoteRequests() {
 	now, interval := r.now(), r.options.voteRetryInterval()
 	for _, p := range r.voters {
-		var votes []*meshpb.VoteRequest
+		var requests []*meshpb.VoteRequest
 		for _, s := range r.shards {
 			if s.role == candidate && !s.election.votes[p.member.Id] && now-s.roleSince > interval {
-				votes = append(votes, s.voteRequest())
+				requests = append(requests, s.voteRequest())
 			}
 		}
-		if len(votes) > 0 && now-p.lastVoteRequest > interval {
-			r.requestVotes(p, votes)
+		if len(requests) > 0 && now-p.lastVoteRequest > interval {
+			r.requestVotes(p, requests)
 		}
 	}
 }
 
-func (r *Replica) requestVotes(p *peer, votes []*meshpb.VoteRequest) {
+func (r *Replica) requestVotes(p *peer, requests []*meshpb.VoteRequest) {
 	p.lastVoteRequest = r.now()
-	request := &meshpb.RequestVotesRequest{Header: r.header(p), Votes: votes}
-	membership := r.membership.Version
+	request := &meshpb.RequestVotesRequest{Header: r.header(p), Votes: requests}
+	membershipVersion := r.membership.Version
 	r.transport.RequestVotes(p.member, request, func(response *meshpb.RequestVotesResponse) {
 		if response == nil || !response.Member {
 			return
 		}
-		if response.Membership != r.membership.Version || membership != r.membership.Version {
+		if response.Membership != r.membership.Version || membershipVersion != r.membership.Version {
 			r.offerMembership(p.member, response.Membership)
 			return
 		}
@@ -183,24 +189,26 @@
 	}
 	if !reply.Granted {
 		if reply.Promised > s.election.epoch || reply.PreVote && reply.Promised == s.election.epoch {
-			r.stepDown(s, reply.Promised, "a member voted for another")
+			r.stepDown(s, reply.Promised, "a member voted for another candidate")
 		}
 		return
 	}
-	have := position{reply.HaveEpoch, reply.HaveVersion}
-	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, have
-	if reply.State != nil && have.newerThan(s.election.bestPosition) {
-		s.election.best, s.election.bestPosition = reply.State, have
+	voterPosition := position{reply.HaveEpoch, reply.HaveVersion}
+	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, voterPosition
+	if reply.State != nil && voterPosition.newerThan(s.election.bestPosition) {
+		s.election.best, s.election.bestPosition = reply.State, voterPosition
 	}
 	r.recordVote(s, reply.Epoch, p.member.Id)
 }
 
-// recordVote counts a vote, or a pre-vote, that this candidate got.
-func (r *Replica) recordVote(s *shard, epoch uint64, from string) {
+// recordVote counts a vote or pre-vote that was granted to this member. A majority of
+// pre-votes queues the shard for an election; a majority of votes makes this member
+// the owner.
+func (r *Replica) recordVote(s *shard, epoch uint64, voterID string) {
 	if s.role != candidate || s.election.epoch != epoch {
 		return
 	}
-	s.election.votes[from] = true
+	s.election.votes[voterID] = true
 	if !s.election.votes[r.self.Id] || countIn(r.membership, s.election.votes) < r.quorum() {
 		return
 	}
@@ -212,8 +220,8 @@
 	r.becomeOwner(s)
 }
 
-// becomeOwner begins an ownership with the newest content that came with a vote,
-// or this member's own if none is newer.
+// becomeOwner starts an ownership from the newest state received with a vote, or from
+// this member's own state if none is newer.
 func (r *Replica) becomeOwner(s *shard) {
 	now, epoch, best := r.now(), s.election.epoch, s.election.best
 	startVersion := s.log.version
@@ -226,18 +234,18 @@
 	if s.id == masterShard {
 		r.membershipChange.reset()
 	}
-	begun := func(err error) {
+	onPersisted := func(err error) {
 		if err != nil {
-			r.stepDown(s, epoch, "own replica not synced")
+			r.stepDown(s, epoch, "failed to persist own replica")
 			return
 		}
 		r.advanceCommit(s)
 	}
 	if best == nil {
 		change := &meshpb.EpochChange{Shard: uint32(s.id), Epoch: epoch, FromEpoch: s.log.epoch, FromVersion: s.log.version}
-		r.changeEpoch(s, change, begun)
+		r.changeEpoch(s, change, onPersisted)
 	} else {
-		r.install(s, best, epoch, begun)
+		r.install(s, best, epoch, onPersisted)
 	}
 	s.stateMachine.BecomeOwner()
 	for _, p := range r.voters {
@@ -245,13 +253,13 @@
 	}
 }
 
-// stepDown makes this member a follower. epoch is the highest that it has heard
-// of.
+// stepDown makes this member a follower of the shard. epoch is the highest epoch that
+// it has heard of.
 func (r *Replica) stepDown(s *shard, epoch uint64, reason string) {
 	if s.role == follower {
 		return
 	}
-	served := s.ownership.serving
+	wasServing := s.ownership.serving
 	r.options.Log.Info("stepped down", "shard", s.id, "epoch", s.log.epoch, "seenEpoch", epoch, "reason", reason)
 	s.role = follower
 	s.ownership.serving, s.ownership.leaseUntil = false, 0
@@ -263,7 +271,7 @@
 	s.election.notBefore = r.now() + r.options.HeartbeatInterval + jitter
 	s.election.epoch = max(s.election.epoch, epoch)
 	r.resolvePending(s)
-	if served && r.options.OnOwnershipChange != nil {
+	if wasServing && r.options.OnOwnershipChange != nil {
 		r.options.OnOwnershipChange(s.id, false, s.log.epoch)
 	}
 }
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -6,22 +6,23 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// sendHeartbeats asks all peers to renew the leases of the shards that this
-// member serves, but for those whom replication has just asked. A learner's
-// answer grants nothing.
+// sendHeartbeats asks the peers to renew the leases of the shards that this member
+// serves. It skips members whose leases replication has just renewed, unless a
+// heartbeat was requested explicitly, and peers with a heartbeat in flight. Answers
+// of learners don't count toward a lease.
 func (r *Replica) sendHeartbeats() {
 	watermarks := r.watermarks()
-	due := r.heartbeatDue
+	requested := r.heartbeatDue
 	r.heartbeatDue = false
 	for _, p := range r.replicationTargets() {
-		if p.heartbeatInFlight || !due && r.isVoter(p) && r.replicationStandsFor(p) {
+		if p.heartbeatInFlight || !requested && r.isVoter(p) && r.replicationRenewedLeases(p) {
 			continue
 		}
 		r.sendHeartbeat(p, watermarks)
 	}
 }
 
-// watermarks tell of each shard that this member serves how far it is committed.
+// watermarks returns the commit watermark of each shard that this member serves.
 func (r *Replica) watermarks() []*meshpb.Watermark {
 	var watermarks []*meshpb.Watermark
 	for _, s := range r.shards {
@@ -66,27 +67,27 @@
 	}
 }
 
-// replicationStandsFor tells that entries which went to the peer of late, and were
-// acknowledged, renewed all the leases that a heartbeat would.
-func (r *Replica) replicationStandsFor(p *peer) bool {
+// replicationRenewedLeases reports whether replication that the peer acknowledged has
+// recently renewed every lease that a heartbeat would renew.
+func (r *Replica) replicationRenewedLeases(p *peer) bool {
 	now, interval := r.now(), r.options.HeartbeatInterval
-	if now-p.lastHeartbeat >= heartbeatsByReplication*interval || now-p.lastContact >= interval {
+	if now-p.lastHeartbeat >= maxIntervalsWithoutHeartbeat*interval || now-p.lastContact >= interval {
 		return false
 	}
-	served := 0
+	servedShards := 0
 	for _, s := range r.shards {
 		if s.role == owner && s.ownership.serving {
-			served++
+			servedShards++
 			if now-p.progress[s.id].leaseFrom >= interval {
 				return false
 			}
 		}
 	}
-	return served > 0
+	return servedShards > 0
 }
 
-// HandleRenewLeases answers another member's heartbeat: it grants leases to the
-// owners that this member voted for.
+// HandleRenewLeases handles another member's heartbeat: it renews the leases of the
+// shards for whose owner this member voted.
 func (r *Replica) HandleRenewLeases(request *meshpb.RenewLeasesRequest) *meshpb.RenewLeasesResponse {
 	header := request.Header
 	response := &meshpb.RenewLeasesResponse{
@@ -114,29 +115,31 @@
 	return response
 }
 
-// handleWatermark notes what a member says of a shard that it owns.
-func (r *Replica) handleWatermark(from string, watermark *meshpb.Watermark, response *meshpb.RenewLeasesResponse) {
+// handleWatermark processes the commit watermark that the sender reports for a shard
+// it owns. It renews the sender's lease if this member voted for the sender, and
+// reports the shard as superseded if this member voted in a higher epoch.
+func (r *Replica) handleWatermark(senderID string, watermark *meshpb.Watermark, response *meshpb.RenewLeasesResponse) {
 	s := r.shards[watermark.Shard]
 	if watermark.Epoch == s.log.epoch {
 		s.catchUp.advance(watermark.Version, s.log.synced, r.now())
 	}
 	switch {
 	case watermark.Epoch <= s.lease.endedEpoch:
-	case watermark.Epoch == s.vote.epoch && s.vote.candidate == from:
+	case watermark.Epoch == s.vote.epoch && s.vote.candidate == senderID:
 		r.grantLease(s)
 		response.Granted = append(response.Granted, watermark.Shard)
 		r.membershipChange.recordReplicated(s, watermark.Committed)
 	case watermark.Epoch > s.vote.epoch:
-		s.lease.hint, s.lease.hintUntil = from, r.now()+r.options.ownerHintDuration()
+		s.lease.hint, s.lease.hintUntil = senderID, r.now()+r.options.ownerHintDuration()
 		s.election.epoch = max(s.election.epoch, watermark.Epoch)
 	case watermark.Epoch < s.vote.epoch:
 		response.Superseded = append(response.Superseded, &meshpb.Watermark{Shard: watermark.Shard, Epoch: s.vote.epoch})
 	}
 }
 
-// advance notes that the owner has committed all up to version. What it had
-// committed a heartbeat ago has had time to come: if that is synced here, the
-// replica is caught up.
+// advance records that the owner has committed all entries up to version. Entries
+// that were committed at the previous heartbeat have had time to arrive: if they are
+// synced here, the replica is caught up.
 func (c *catchUpState) advance(version, synced uint64, now time.Duration) {
 	if synced >= min(c.watermark, version) {
 		c.at = now
--- a/internal/replication/learner.go
+++ b/internal/replication/learner.go
@@ -61,7 +61,7 @@
 // moment ago.
 func (r *Replica) caughtUp() bool {
 	for _, s := range r.shards {
-		if r.now()-s.catchUp.at > learnerFreshness {
+		if r.now()-s.catchUp.at > learnerCaughtUpMaxAge {
 			return false
 		}
 	}
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// grantLease keeps other candidates for the shard waiting, from now on for a
-// lease. Of itself an owner needs none.
+// grantLease extends the lease that this member grants on the shard to LeaseDuration
+// from now. Until it expires, no other candidate gets this member's vote. An owner
+// grants no lease to itself.
 func (r *Replica) grantLease(s *shard) {
 	if s.vote.candidate != r.self.Id {
 		s.lease.grantedUntil = max(s.lease.grantedUntil, r.now()+r.options.LeaseDuration)
 	}
 }
 
-// recordLease notes, at the owner, that the peer granted a lease of the shard when
-// it answered a request that was sent at sentAt.
+// recordLease records, at the owner, that the peer granted a lease on the shard in its
+// answer to a request sent at sentAt.
 func (r *Replica) recordLease(p *peer, s *shard, sentAt time.Duration) {
 	progress := &p.progress[s.id]
 	progress.leaseFrom = max(progress.leaseFrom, sentAt)
 	r.renewLease(s)
 }
 
-// renewLease works out until when the leases of a majority let this member serve
-// the shard.
+// renewLease recomputes until when the leases granted by a majority allow this member
+// to serve the shard.
 func (r *Replica) renewLease(s *shard) {
-	var from []time.Duration
+	var leaseStarts []time.Duration
 	for _, m := range r.membership.Members {
 		if m.Id == r.self.Id {
-			from = append(from, r.now())
+			leaseStarts = append(leaseStarts, r.now())
 		} else if p := r.peers[m.Id]; p != nil {
-			from = append(from, p.progress[s.id].leaseFrom)
+			leaseStarts = append(leaseStarts, p.progress[s.id].leaseFrom)
 		}
 	}
-	if len(from) < r.quorum() {
+	if len(leaseStarts) < r.quorum() {
 		return
 	}
-	quorumFrom := quorumValue(from, r.quorum())
-	s.ownership.leaseUntil = max(s.ownership.leaseUntil, quorumFrom+r.options.ownerLease())
+	quorumStart := quorumValue(leaseStarts, r.quorum())
+	s.ownership.leaseUntil = max(s.ownership.leaseUntil, quorumStart+r.options.ownerLeaseDuration())
 	if s.id == masterShard && s.ownership.serving {
 		r.published.masterLeaseUntil.Store(int64(s.ownership.leaseUntil))
 		r.published.masterEpoch.Store(s.log.epoch)
@@ -44,8 +45,8 @@
 	r.resolvePending(s)
 }
 
-// quorumValue returns the highest value that quorum of the values reach. It sorts
-// values.
+// quorumValue returns the highest value that at least quorum of the values reach. It
+// sorts values in place.
 func quorumValue[T uint64 | time.Duration](values []T, quorum int) T {
 	slices.Sort(values)
 	return values[len(values)-quorum]
--- a/internal/replication/peer.go
+++ b/internal/replication/peer.go
@@ -184,7 +184,7 @@
 	if !r.isHealthy(p.member.Id) {
 		cost += costUnhealthy
 	}
-	if p.replicateInFlight && r.now()-p.lastReplicate > r.options.commitDelay() {
+	if p.replicateInFlight && r.now()-p.lastReplicate > r.options.slowReplicationThreshold() {
 		cost += costSlow
 	}
 	if p.member.Zone != r.self.Zone {
--- a/internal/replication/persistence.go
+++ b/internal/replication/persistence.go
@@ -120,7 +120,7 @@
 	now := r.now()
 	return len(r.disk.outstanding) > 0 &&
 		now-r.disk.outstanding[0] > r.options.diskStallTimeout() &&
-		now-r.clock.lastStarved > r.options.starvationWindow()
+		now-r.clock.lastLateTick > r.options.starvationWindow()
 }
 
 func (r *Replica) recordDiskFailure(err error) {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -84,7 +84,7 @@
 		peers:     map[string]*peer{},
 		bootstrap: options.Bootstrap,
 		startedAt: options.Now(),
-		clock:     tickState{lastStarved: never},
+		clock:     tickState{lastLateTick: never},
 	}
 	r.membershipChange.replicatedUnder = make([]uint64, options.Shards)
 	for id := range options.Shards {
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -37,7 +37,7 @@
 	if s.role == transferring || !s.ownership.serving {
 		return true
 	}
-	return s.ownership.commit < s.log.version && r.now()-s.ownership.uncommittedSince > r.options.commitDelay()
+	return s.ownership.commit < s.log.version && r.now()-s.ownership.uncommittedSince > r.options.slowReplicationThreshold()
 }
 
 // replicateTo sends the peer what its replicas lack, unless a request is under
--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// tickState is what a replica knows of its own processor time.
+// tickState tracks how regularly Tick is called, to detect a lack of CPU time.
 type tickState struct {
 	lastTick time.Duration
-	// lastStarved is when a tick last came late.
-	lastStarved time.Duration
+	// lastLateTick is the time of the last tick that came more than HeartbeatInterval
+	// after the one before.
+	lastLateTick time.Duration
 }
 
-// Tick does what time brings: heartbeats, the ends of leases and elections,
-// replication to those that lag, transfers, and membership changes. It must be
-// called a few times in each heartbeat interval.
+// Tick performs all time-driven work: heartbeats, expiry of leases and elections,
+// replication to lagging peers, ownership transfers and membership changes. It must be
+// called several times per heartbeat interval.
 func (r *Replica) Tick() {
 	r.recordTick()
 	r.retryDisk()
@@ -30,12 +31,12 @@
 	r.manageMembership()
 }
 
-// recordTick notes a tick; one that comes late means that the processor was
-// short.
+// recordTick records the time of a tick. A late tick means that the process lacked CPU
+// time.
 func (r *Replica) recordTick() {
 	now := r.now()
 	if r.clock.lastTick > 0 && now-r.clock.lastTick > r.options.HeartbeatInterval {
-		r.clock.lastStarved = now
+		r.clock.lastLateTick = now
 	}
 	r.clock.lastTick = now
 }
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -2,123 +2,130 @@
 
 import "time"
 
-// never is a time long before the start of any process. Differences to it don't
-// overflow.
+// never is a time long before the start of any process. Subtracting it from a time
+// doesn't overflow.
 const never time.Duration = -1 << 62
 
-// Bounds that don't follow from the options.
+// Durations that don't depend on the options.
 const (
-	// diskRetryInterval is how long a disk that failed is left alone before a
-	// checkpoint tries it again.
+	// diskRetryInterval is the delay before a checkpoint is retried on a failed disk.
 	diskRetryInterval = 300 * time.Millisecond
 
-	// replicateRetryInterval is the pause in the replication to a member that
-	// didn't answer, or that goes by another membership.
+	// replicateRetryInterval is the delay before replication is retried to a member
+	// that didn't answer or that has another membership.
 	replicateRetryInterval = 100 * time.Millisecond
 
-	// electionJitter spreads the elections of members that stepped down together.
+	// electionJitter is the upper bound of the random delay that spreads the elections
+	// of members that stepped down at the same time.
 	electionJitter = 200 * time.Millisecond
 
-	// learnerTimeout is how long a learner counts as there after its last word.
+	// learnerTimeout is how long a learner is remembered after its last join request.
 	learnerTimeout = 1500 * time.Millisecond
 
-	// joinInterval is how often a learner asks for a place.
+	// joinInterval is how often a learner sends join requests.
 	joinInterval = 300 * time.Millisecond
 
-	// learnerFreshness is how long ago a learner's replicas may have been found to
-	// be caught up for it to count as such: a few heartbeats.
-	learnerFreshness = 1200 * time.Millisecond
+	// learnerCaughtUpMaxAge is how long a learner's replica counts as caught up after
+	// it was last found to be: a few heartbeats.
+	learnerCaughtUpMaxAge = 1200 * time.Millisecond
 )
 
-// heartbeatsByReplication is how many heartbeats in a row replication may stand
-// for: heartbeats also carry health and watermarks.
-const heartbeatsByReplication = 3
+// maxIntervalsWithoutHeartbeat is the number of heartbeat intervals after which a
+// heartbeat is sent even if replication has renewed all leases: heartbeats also carry
+// health and watermarks.
+const maxIntervalsWithoutHeartbeat = 3
 
-// What follows from the lease and from the heartbeat interval.
+// The durations below derive from LeaseDuration or HeartbeatInterval.
 
-// ownerLease is how long the owner relies on a lease, counted from the request's
-// sending; the granter's clock may run faster by a tenth.
-func (o *Options) ownerLease() time.Duration { return o.LeaseDuration * 9 / 10 }
+// ownerLeaseDuration is how long the owner relies on a lease, counted from when it sent
+// the request. It is 9/10 of LeaseDuration, which tolerates a granter whose clock runs
+// up to a tenth faster.
+func (o *Options) ownerLeaseDuration() time.Duration { return o.LeaseDuration * 9 / 10 }
 
-// contactTimeout is how long a member counts as reachable after its last word.
+// contactTimeout is how long a member counts as reachable after the last message from
+// it.
 func (o *Options) contactTimeout() time.Duration { return o.LeaseDuration }
 
 // isolatedHeartbeatInterval is the heartbeat interval of a member that reaches no
-// majority, which would find the others again soon.
+// majority. It is short so that the member finds the others again soon.
 func (o *Options) isolatedHeartbeatInterval() time.Duration { return o.HeartbeatInterval / 5 }
 
-// diskStallTimeout is how long a record may wait for the disk before the disk
-// counts as stalled. It is below the lease, so that an owner still has one when
-// it transfers its shards.
+// diskStallTimeout is how long a write may be outstanding before the disk counts as
+// stalled. It is shorter than the lease, so that an owner still holds the lease when it
+// transfers its shards.
 func (o *Options) diskStallTimeout() time.Duration { return o.LeaseDuration / 2 }
 
-// starvationWindow is how long after a late tick waits are put down to a lack of
-// processor time.
+// starvationWindow is how long after a late tick slow writes are attributed to a lack
+// of CPU time rather than to the disk.
 func (o *Options) starvationWindow() time.Duration { return o.LeaseDuration }
 
 // electionTimeout is how long a candidate waits for votes.
 func (o *Options) electionTimeout() time.Duration { return o.LeaseDuration }
 
-// preVoteTimeout is how long a candidate waits for pre-votes, which wait for no
-// disk.
+// preVoteTimeout is how long a candidate waits for pre-votes. It is shorter than
+// electionTimeout because pre-votes are not synced to disk.
 func (o *Options) preVoteTimeout() time.Duration { return o.LeaseDuration / 3 }
 
-// preVoteReservation is how long a pre-vote for one candidate keeps others waiting.
+// preVoteReservation is how long a member that granted a pre-vote refuses pre-votes to
+// other candidates.
 func (o *Options) preVoteReservation() time.Duration { return o.HeartbeatInterval / 2 }
 
-// voteRetryInterval is how often votes that haven't come are requested again.
+// voteRetryInterval is how often missing votes are requested again.
 func (o *Options) voteRetryInterval() time.Duration { return o.HeartbeatInterval / 2 }
 
-// voteGracePeriod is how long a vote keeps other candidates waiting, until the new
-// owner's first entries or heartbeat bring a lease.
+// voteGracePeriod is how long a member that granted a vote refuses other candidates. It
+// covers the time until the new owner's first replication or heartbeat renews the
+// lease.
 func (o *Options) voteGracePeriod() time.Duration { return o.LeaseDuration / 2 }
 
-// ownerHintDuration is how long another member's word that it owns a shard is
-// believed without a lease to it.
+// ownerHintDuration is how long another member's claim to own a shard is trusted if
+// this member has granted it no lease.
 func (o *Options) ownerHintDuration() time.Duration { return o.LeaseDuration }
 
-// restartWindow is how long after its start a member may ask for the shards that
-// it owned before without waiting its turn.
+// restartWindow is how long after its start a member may stand for election, without
+// waiting for its turn, for the shards that it owned before.
 func (o *Options) restartWindow() time.Duration { return 2 * o.LeaseDuration }
 
-// preferredOwnerHeadStart is how long others leave an ownerless shard to the
-// member that comes first in the order for it.
-func (o *Options) preferredOwnerHeadStart() time.Duration { return 2 * o.LeaseDuration }
+// preferredOwnerGracePeriod is how long other members leave an ownerless shard to its
+// preferred owner.
+func (o *Options) preferredOwnerGracePeriod() time.Duration { return 2 * o.LeaseDuration }
 
-// takeoverTimeout is how long a new owner may take to begin to serve.
+// takeoverTimeout is how long a new owner may take until it starts to serve; after
+// that it steps down.
 func (o *Options) takeoverTimeout() time.Duration { return 2 * o.LeaseDuration }
 
-// quorumLossTimeout is how long an owner without a lease stays one: no other may
-// be there either, and it need not be elected again then.
+// quorumLossTimeout is how long an owner without a lease remains owner. If no other
+// owner is elected meanwhile, it resumes without a new election.
 func (o *Options) quorumLossTimeout() time.Duration { return 4 * o.LeaseDuration }
 
-// transferTimeout is how long a successor may take to catch up before the owner
-// takes calls again.
+// transferTimeout is how long a transfer may take before the owner cancels it and
+// accepts calls again.
 func (o *Options) transferTimeout() time.Duration { return o.LeaseDuration }
 
-// minimumOwnership is how long a shard stays with an owner that isn't the
+// minimumOwnership is how long a shard stays at least with an owner that isn't the
 // preferred one.
 func (o *Options) minimumOwnership() time.Duration { return 4 * o.LeaseDuration }
 
-// stalledOwnership is how long a shard stays with a new owner whose disk stalls:
-// its first writes are many.
-func (o *Options) stalledOwnership() time.Duration { return 2 * o.LeaseDuration }
+// minimumStalledOwnership is how long a shard stays at least with a new owner whose disk
+// is stalled: the many writes of a takeover can slow down any disk.
+func (o *Options) minimumStalledOwnership() time.Duration { return 2 * o.LeaseDuration }
 
-// successorHealthyFor is for how long a preferred owner must have been healthy
+// minimumSuccessorHealthyTime is how long a preferred owner must have been healthy
 // before a shard is transferred to it.
-func (o *Options) successorHealthyFor() time.Duration { return 3 * o.LeaseDuration }
+func (o *Options) minimumSuccessorHealthyTime() time.Duration { return 3 * o.LeaseDuration }
 
-// predecessorBackoff is how long the former owner leaves a shard to its
-// successor.
+// predecessorBackoff is how long the previous owner waits after a transfer before it
+// may stand for election again.
 func (o *Options) predecessorBackoff() time.Duration { return 2 * o.LeaseDuration }
 
-// bystanderBackoff is how long all others leave a shard to a named successor.
-func (o *Options) bystanderBackoff() time.Duration { return o.LeaseDuration }
+// nonSuccessorBackoff is how long members other than the named successor wait after a
+// transfer before they may stand for election.
+func (o *Options) nonSuccessorBackoff() time.Duration { return o.LeaseDuration }
 
-// commitDelay is how long a commit, or a response, may be outstanding before
+// slowReplicationThreshold is how long a commit or a response may be outstanding before
 // entries go to more members than a majority needs.
-func (o *Options) commitDelay() time.Duration { return o.LeaseDuration / 20 }
+func (o *Options) slowReplicationThreshold() time.Duration { return o.LeaseDuration / 20 }
 
-// refusedReplicateBackoff is the pause in the replication to a member that took
-// none of it, for as long as it takes to learn why.
+// refusedReplicateBackoff is the pause in replication to a member that refused it. It
+// allows for the time that it takes to learn why.
 func (o *Options) refusedReplicateBackoff() time.Duration { return o.HeartbeatInterval / 5 }
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -42,7 +42,7 @@
 }
 
 func (r *Replica) mustTransfer(s *shard) bool {
-	stalled := r.diskStalled() && r.now()-s.ownership.began > r.options.stalledOwnership()
+	stalled := r.diskStalled() && r.now()-s.ownership.began > r.options.minimumStalledOwnership()
 	return r.leaving || r.disk.failed || stalled
 }
 
@@ -70,7 +70,7 @@
 	}
 	p := r.peers[preferred]
 	acked := p.progress[s.id].acked
-	if now-p.healthySince < r.options.successorHealthyFor() || acked.epoch != s.log.epoch || acked.version+maxSuccessorLag < s.log.version {
+	if now-p.healthySince < r.options.minimumSuccessorHealthyTime() || acked.epoch != s.log.epoch || acked.version+maxSuccessorLag < s.log.version {
 		return false
 	}
 	for _, other := range r.shards {
@@ -133,7 +133,7 @@
 		}
 		s.lease.grantedUntil, s.lease.endedEpoch = 0, ended.Epoch
 		if request.Successor != r.self.Id {
-			s.election.notBefore = r.now() + r.options.bystanderBackoff()
+			s.election.notBefore = r.now() + r.options.nonSuccessorBackoff()
 		} else if s.role == follower && !r.disk.failed {
 			offered = append(offered, s)
 		}
