--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -1,48 +1,48 @@
-// Package lifecycle names the states that endpoints and nodes go through.
+// Package lifecycle defines the states of endpoints and nodes.
 //
-// An endpoint reports one of the first three in its heartbeats, or ends with
-// Gone; a node adds Stopping while it shuts down; an operator sets a user state;
-// and the master makes of these the official state that the view shows. The
-// words are the ones on the wire, in the view and in the heartbeats' JSON, and
-// never change. The package has no state of its own.
+// An endpoint reports Ready or Draining in its heartbeats, and becomes Gone when
+// it deregisters. A node additionally reports Stopping while it shuts down. An
+// operator may set a user state for a node. From these the master derives the
+// official state, which the view contains. The string values are part of the wire
+// format, the view and the heartbeats' JSON, and must not change. The package
+// itself holds no state.
 package lifecycle
 
-// State is the state of an endpoint, or of the node beside it.
+// State is the state of an endpoint or of the node next to it.
 type State string
 
-// States that an endpoint reports of itself, or that its agent notes.
+// States reported by an endpoint or recorded by its agent.
 const (
-	// Ready endpoints take requests.
+	// Ready means that the endpoint accepts requests.
 	Ready State = "ready"
-	// Draining endpoints finish what they have and take nothing new. It is also
-	// an official state.
+	// Draining means that the endpoint finishes the requests in progress and
+	// accepts no new ones. It is also an official state.
 	Draining State = "draining"
-	// Gone endpoints have deregistered.
+	// Gone means that the endpoint has deregistered.
 	Gone State = "gone"
 )
 
-// Stopping is the state of a node whose process shuts down.
+// Stopping is the state of a node whose process is shutting down.
 const Stopping State = "stopping"
 
-// Official states, which the view gives endpoints and nodes. Draining is the
-// third.
+// Official states of endpoints and nodes in the view. Draining is the third one.
 const (
-	// Up endpoints may be chosen for new requests; a node reports itself Up while
-	// it runs.
+	// Up means that the endpoint may be selected for new requests. A running node
+	// reports itself as Up.
 	Up State = "up"
-	// Down endpoints are left out of the view.
+	// Down means that the endpoint is left out of the view.
 	Down State = "down"
 )
 
-// States that only an operator sets, beside Up and Down.
+// States that only an operator can set, in addition to Up and Down.
 const (
-	// Maintenance takes a node's endpoint out at once, as Down does.
+	// Maintenance removes a node's endpoint from the view immediately, as Down does.
 	Maintenance State = "maintenance"
-	// Retired lets a node's endpoint drain.
+	// Retired makes a node's endpoint drain.
 	Retired State = "retired"
 )
 
-// SettableByUser tells whether an operator may set s for a node.
+// SettableByUser reports whether an operator may set s for a node.
 func (s State) SettableByUser() bool {
 	return s == Up || s == Maintenance || s == Retired || s == Down
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,9 +1,9 @@
 // Package mailbox confines state to one goroutine.
 //
-// The goroutine that calls Run owns the state. All others reach it only by
-// functions that they post to the mailbox; these run one after the other, in the
-// order in which they were posted, so that the state needs no lock. A function
-// must not wait: while it runs, nothing else does.
+// The goroutine that calls Run owns the state. Other goroutines access it only
+// through functions that they post to the mailbox. These run one at a time, in the
+// order in which they were posted, so the state needs no lock. A posted function
+// must not block, because nothing else runs until it returns.
 package mailbox
 
 import (
@@ -12,45 +12,45 @@
 	"time"
 )
 
-// capacity is how many functions may wait before Post blocks: more than all
-// calls in flight of a core member with hundreds of nodes.
-const capacity = 4096
+// queueCapacity is the number of functions that can be queued before Post blocks.
+// It exceeds the number of calls in flight on a core member with hundreds of nodes.
+const queueCapacity = 4096
 
-// Mailbox holds the functions that wait for their goroutine. It is safe for
+// Mailbox is a queue of functions to run on one goroutine. It is safe for
 // concurrent use.
 type Mailbox struct {
-	functions chan func()
+	queue     chan func()
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// New returns a mailbox. Its functions wait until Run is called.
+// New returns an empty mailbox. Posted functions are queued until Run is called.
 func New() *Mailbox {
-	return &Mailbox{functions: make(chan func(), capacity), closed: make(chan struct{})}
+	return &Mailbox{queue: make(chan func(), queueCapacity), closed: make(chan struct{})}
 }
 
-// Post has function run on the mailbox's goroutine. It blocks while the mailbox
-// is full. After Close, function may or may not run.
-func (m *Mailbox) Post(function func()) {
+// Post queues fn to run on the mailbox's goroutine. It blocks while the queue is
+// full. Once the mailbox is closed, fn may or may not run.
+func (m *Mailbox) Post(fn func()) {
 	select {
-	case m.functions <- function:
+	case m.queue <- fn:
 	case <-m.closed:
 	}
 }
 
-// Close ends Run. What has not run yet is dropped.
+// Close makes Run return. Functions that are still queued are discarded.
 func (m *Mailbox) Close() {
 	m.closeOnce.Do(func() { close(m.closed) })
 }
 
-// Run runs the posted functions, and onTick every interval, until Close.
+// Run runs the posted functions, and onTick once per interval, until Close.
 func (m *Mailbox) Run(interval time.Duration, onTick func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case function := <-m.functions:
-			function()
+		case fn := <-m.queue:
+			fn()
 		case <-ticker.C:
 			onTick()
 		case <-m.closed:
@@ -59,12 +59,12 @@
 	}
 }
 
-// Call runs function on the mailbox's goroutine and waits for its result. It is
-// false if the mailbox was closed first: function may or may not have run. It
-// must not be called on that goroutine itself.
-func Call[R any](m *Mailbox, function func() R) (result R, ok bool) {
+// Call runs fn on the mailbox's goroutine and returns its result. ok is false if
+// the mailbox was closed first; fn may or may not have run in that case. Calling it
+// from the mailbox's own goroutine deadlocks.
+func Call[R any](m *Mailbox, fn func() R) (result R, ok bool) {
 	results := make(chan R, 1)
-	m.Post(func() { results <- function() })
+	m.Post(func() { results <- fn() })
 	select {
 	case result = <-results:
 		return result, true
@@ -73,13 +73,14 @@
 	}
 }
 
-// CallAsync runs function on the mailbox's goroutine and waits until function,
-// or something that it has started, calls reply, at most once. It is false if
-// ctx ended or the mailbox was closed first: function may or may not have run.
-func CallAsync[R any](ctx context.Context, m *Mailbox, function func(reply func(R))) (result R, ok bool) {
+// CallAsync runs fn on the mailbox's goroutine and waits until reply is called, by
+// fn or by something that fn started. reply must be called at most once. ok is false
+// if ctx ended or the mailbox was closed first; fn may or may not have run in that
+// case.
+func CallAsync[R any](ctx context.Context, m *Mailbox, fn func(reply func(R))) (result R, ok bool) {
 	results := make(chan R, 1)
 	m.Post(func() {
-		function(func(r R) { results <- r })
+		fn(func(r R) { results <- r })
 	})
 	select {
 	case result = <-results:
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -10,24 +10,24 @@
 	"corkcove/internal/mailbox"
 )
 
-// newRunning starts a mailbox without ticks; the test's end closes it.
-func newRunning(t *testing.T) *mailbox.Mailbox {
+// startMailbox runs a mailbox whose ticks do nothing, until the end of the test.
+func startMailbox(t *testing.T) *mailbox.Mailbox {
 	t.Helper()
 	m := mailbox.New()
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		m.Run(time.Hour, func() {})
 	}()
 	t.Cleanup(func() {
 		m.Close()
-		<-ended
+		<-stopped
 	})
 	return m
 }
 
-func TestFunctionsRunInTheOrderOfTheirPosts(t *testing.T) {
-	m := newRunning(t)
+func TestFunctionsRunInPostOrder(t *testing.T) {
+	m := startMailbox(t)
 	var order []int
 	for i := range 100 {
 		m.Post(func() { order = append(order, i) })
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestTicksRunWithoutPosts(t *testing.T) {
+func TestRunCallsOnTickWithoutPosts(t *testing.T) {
 	m := mailbox.New()
 	ticks := 0
 	m.Run(time.Millisecond, func() {
@@ -51,15 +51,15 @@
 	qt.Assert(t, ticks >= 3, qt.IsTrue)
 }
 
-func TestCallEndsWhenTheMailboxIsClosed(t *testing.T) {
+func TestCallReturnsFalseAfterClose(t *testing.T) {
 	m := mailbox.New()
 	m.Close()
 	_, ok := mailbox.Call(m, func() int { return 1 })
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-func TestCallAsyncWaitsForTheReplyOrTheContext(t *testing.T) {
-	m := newRunning(t)
+func TestCallAsyncReturnsOnReplyOrContextEnd(t *testing.T) {
+	m := startMailbox(t)
 	result, ok := mailbox.CallAsync(t.Context(), m, func(reply func(int)) {
 		m.Post(func() { reply(7) })
 	})
