--- a/internal/wal/directory.go
+++ b/internal/wal/directory.go
@@ -6,34 +6,37 @@
 	"path/filepath"
 )
 
-// File is a file that is being written.
+// File is a file open for writing.
 type File interface {
 	io.Writer
-	// Sync returns once all that was written is on disk.
+	// Sync returns once all written data is on stable storage.
 	Sync() error
+	// Close closes the file. It doesn't sync it.
 	Close() error
 }
 
-// Directory is where a log keeps its files. It belongs to one log at a time.
+// Directory stores the files of a log. Only one log may use it at a time.
 type Directory interface {
-	// Create makes an empty file, also where there is one of that name.
+	// Create creates a file, or truncates it if it exists.
 	Create(name string) (File, error)
 	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Rename gives a file another name, and replaces one that has it.
-	Rename(from, to string) error
+	// Rename renames a file, replacing any file named newName.
+	Rename(oldName, newName string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// List returns the names of all files.
+	// List returns the names of all files in the directory.
 	List() ([]string, error)
-	// Sync returns once all names are on disk as they are now.
+	// Sync returns once all preceding creates, renames and removes are on stable
+	// storage.
 	Sync() error
 }
 
-// osDirectory is a directory of the operating system's, by its path.
+// osDirectory is the path of a directory in the operating system's file system.
 type osDirectory string
 
-// OpenDirectory returns the directory at path, and makes it where there is none.
+// OpenDirectory returns the directory at path, creating it and its parents if they
+// don't exist.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, Error.Wrap(err)
@@ -49,7 +52,9 @@
 
 func (d osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-func (d osDirectory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+func (d osDirectory) Rename(oldName, newName string) error {
+	return os.Rename(d.path(oldName), d.path(newName))
+}
 
 func (d osDirectory) Remove(name string) error { return os.Remove(d.path(name)) }
 
@@ -66,12 +71,12 @@
 }
 
 func (d osDirectory) Sync() error {
-	directory, err := os.Open(string(d))
+	dir, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	err = directory.Sync()
-	// Nothing was written through it.
-	_ = directory.Close()
+	err = dir.Sync()
+	// A failed close loses nothing, as nothing was written through this descriptor.
+	_ = dir.Close()
 	return err
 }
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -1,16 +1,17 @@
-// Package wal keeps records on disk: a write-ahead log in segments, and snapshots
-// that take the place of what is behind them.
+// Package wal implements a write-ahead log of opaque records on disk, in segments,
+// with snapshots that replace the records before them.
 //
-// A directory holds generations. Generation n has the file snapshot-n, with the
-// records that stand for all before it, and segment-n, with the records after it.
-// A file is a row of records, each behind a header of its length and checksum; a
-// snapshot ends with a record that tells that it is whole. A checkpoint begins a
-// new generation and removes the older ones once the new snapshot is synced under
-// its name, so that a crash at any moment leaves a whole generation.
+// The files of a directory are numbered by generation. Generation n consists of
+// snapshot-n, whose records replace everything before it, and segment-n, to which
+// later records are appended. A file is a sequence of records, each preceded by a
+// header with its length and checksum. A snapshot ends with a trailer record that
+// marks it as complete. A checkpoint starts a new generation and removes the older
+// ones only after the new snapshot has been synced under its final name, so that a
+// crash at any point leaves a complete generation.
 //
-// A Log's files belong to one goroutine of its own, which Open starts and Close
-// ends. It takes all appends and checkpoints in the order of the calls, syncs
-// appends in groups, and calls back on that goroutine. The log never
-// acknowledges a record before it is synced, never writes behind a record that
-// may be torn, and doesn't know what the records mean.
+// Each Log has a writer goroutine that owns its files; Open starts it and Close
+// stops it. The writer processes appends and checkpoints in call order, syncs
+// consecutive appends as a group, and invokes the callbacks. The log never
+// acknowledges a record before it has been synced, never writes after a record that
+// may be torn, and does not interpret the records.
 package wal
--- a/internal/wal/generation.go
+++ b/internal/wal/generation.go
@@ -7,20 +7,21 @@
 	"strings"
 )
 
-// The names of files; the number of their generation follows.
+// Prefixes of file names. The generation number follows, with at least 8 digits.
 const (
-	segmentPrefix    = "segment-"
-	snapshotPrefix   = "snapshot-"
-	unfinishedPrefix = "unfinished-"
+	segmentPrefix  = "segment-"
+	snapshotPrefix = "snapshot-"
+	// tempPrefix marks a snapshot that is still being written.
+	tempPrefix = "unfinished-"
 )
 
 func fileName(prefix string, generation uint64) string {
 	return fmt.Sprintf("%s%08d", prefix, generation)
 }
 
-// generationOf is the number in a name with that prefix, false if it is another
-// name.
-func generationOf(name, prefix string) (uint64, bool) {
+// parseGeneration returns the generation in a file name with the given prefix. ok is
+// false if the name has another form.
+func parseGeneration(name, prefix string) (generation uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok {
 		return 0, false
@@ -29,11 +30,12 @@
 	return generation, err == nil
 }
 
-// generationsOf are the numbers in the names with that prefix, lowest first.
-func generationsOf(names []string, prefix string) []uint64 {
+// sortedGenerations returns the generations of the files with the given prefix, in
+// ascending order.
+func sortedGenerations(names []string, prefix string) []uint64 {
 	var generations []uint64
 	for _, name := range names {
-		if generation, ok := generationOf(name, prefix); ok {
+		if generation, ok := parseGeneration(name, prefix); ok {
 			generations = append(generations, generation)
 		}
 	}
@@ -41,24 +43,24 @@
 	return generations
 }
 
-// readGenerations reads the records of a directory, and the number of its newest
-// generation.
-func readGenerations(directory Directory) (newest uint64, records [][]byte, err error) {
+// recoverRecords returns the records stored in a directory, and the newest
+// generation among its segments and snapshots.
+func recoverRecords(directory Directory) (newest uint64, records [][]byte, err error) {
 	names, err := directory.List()
 	if err != nil {
 		return 0, nil, err
 	}
-	segments := generationsOf(names, segmentPrefix)
-	snapshots := generationsOf(names, snapshotPrefix)
+	segments := sortedGenerations(names, segmentPrefix)
+	snapshots := sortedGenerations(names, snapshotPrefix)
 	for _, generation := range slices.Concat(segments, snapshots) {
 		newest = max(newest, generation)
 	}
-	from, records, err := readNewestSnapshot(directory, snapshots)
+	snapshotGeneration, records, err := readNewestSnapshot(directory, snapshots)
 	if err != nil {
 		return 0, nil, err
 	}
 	for _, generation := range segments {
-		if generation < from {
+		if generation < snapshotGeneration {
 			continue
 		}
 		data, err := directory.Read(fileName(segmentPrefix, generation))
@@ -71,8 +73,9 @@
 	return newest, records, nil
 }
 
-// readNewestSnapshot returns the newest snapshot that is whole, and its
-// generation; none, and 0, if there is none.
+// readNewestSnapshot returns the records and the generation of the newest complete
+// snapshot, or generation 0 and no records if there is none. snapshots is in
+// ascending order.
 func readNewestSnapshot(directory Directory, snapshots []uint64) (generation uint64, records [][]byte, err error) {
 	for _, generation := range slices.Backward(snapshots) {
 		data, err := directory.Read(fileName(snapshotPrefix, generation))
@@ -86,20 +89,21 @@
 	return 0, nil, nil
 }
 
-// beginGeneration makes the segment and the snapshot before it syncs the
-// directory, once for both names. Until then nothing goes into the segment, and
-// all older files stay.
+// beginGeneration starts a new generation from a snapshot. It creates the segment
+// and the snapshot before the directory sync, so that one sync makes both names
+// durable. Before that sync nothing is appended to the segment and no older file is
+// removed.
 func (l *Log) beginGeneration(snapshot [][]byte) error {
 	l.closeSegment()
 	l.generation++
-	name := fileName(segmentPrefix, l.generation)
-	segment, err := l.directory.Create(name)
+	segmentName := fileName(segmentPrefix, l.generation)
+	segment, err := l.directory.Create(segmentName)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	if err := l.writeSnapshot(snapshot); err != nil {
 		_ = segment.Close()
-		l.removeUnused(name)
+		l.tryRemove(segmentName)
 		return Error.Wrap(err)
 	}
 	l.segment = segment
@@ -107,47 +111,49 @@
 	return nil
 }
 
-// writeSnapshot writes the snapshot under another name first, so that a file of
-// its name is whole but for a loss of power.
+// writeSnapshot writes the snapshot to a temporary file, renames it and syncs the
+// directory. Under its final name the file is complete, except possibly after a
+// power loss.
 func (l *Log) writeSnapshot(snapshot [][]byte) error {
-	data, err := encodeRecords(append(slices.Clip(snapshot), snapshotEnd))
+	data, err := encodeRecords(append(slices.Clip(snapshot), snapshotTrailer))
 	if err != nil {
 		return err
 	}
-	unfinished := fileName(unfinishedPrefix, l.generation)
-	file, err := l.directory.Create(unfinished)
+	tempName := fileName(tempPrefix, l.generation)
+	file, err := l.directory.Create(tempName)
 	if err != nil {
 		return err
 	}
 	err = writeAndSync(file, data)
-	// What was synced is on disk whether or not the file can be closed.
+	// Synced data is durable even if the close fails.
 	_ = file.Close()
 	if err == nil {
-		err = l.directory.Rename(unfinished, fileName(snapshotPrefix, l.generation))
+		err = l.directory.Rename(tempName, fileName(snapshotPrefix, l.generation))
 	}
 	if err != nil {
-		l.removeUnused(unfinished)
+		l.tryRemove(tempName)
 		return err
 	}
 	return l.directory.Sync()
 }
 
-// removeOldGenerations removes what the newest snapshot stands for. What is left,
-// or comes back after a loss of power, goes with the next generation.
+// removeOldGenerations removes the files that the newest snapshot replaces. Files that
+// can't be removed, or that reappear after a power loss, are removed when the next
+// generation begins.
 func (l *Log) removeOldGenerations() {
 	names, err := l.directory.List()
 	if err != nil {
 		return
 	}
 	for _, name := range names {
-		for _, prefix := range []string{segmentPrefix, snapshotPrefix, unfinishedPrefix} {
-			if generation, ok := generationOf(name, prefix); ok && generation < l.generation {
-				l.removeUnused(name)
+		for _, prefix := range []string{segmentPrefix, snapshotPrefix, tempPrefix} {
+			if generation, ok := parseGeneration(name, prefix); ok && generation < l.generation {
+				l.tryRemove(name)
 			}
 		}
 	}
 }
 
-// removeUnused removes a file that no start reads. If that fails, it goes with the
-// next generation.
-func (l *Log) removeUnused(name string) { _ = l.directory.Remove(name) }
+// tryRemove removes a file that recovery doesn't need. Errors are ignored because
+// removal is tried again when the next generation begins.
+func (l *Log) tryRemove(name string) { _ = l.directory.Remove(name) }
