--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// discardDirectory keeps no files.
+// discardDirectory is an empty directory that discards all writes.
 type discardDirectory struct{}
 
 func (discardDirectory) Create(string) (File, error) { return discardFile{}, nil }
@@ -18,7 +18,7 @@
 func (discardFile) Sync() error                    { return nil }
 func (discardFile) Close() error                   { return nil }
 
-// BenchmarkAppend appends one record at a time, without a disk.
+// BenchmarkAppend appends 200-byte records one at a time, without disk I/O.
 func BenchmarkAppend(b *testing.B) {
 	log, _, err := Open(discardDirectory{})
 	if err != nil {
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -9,120 +9,129 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// choiceSequence makes choices, one after the other. All of them are gone through while they
-// are few; of more, some are drawn.
-type choiceSequence struct {
-	path, limits []int
-	position     int
-	rng          *rand.Rand
+// choiceEnumerator enumerates all sequences of choices in depth-first order, or makes
+// random choices if rng is set.
+type choiceEnumerator struct {
+	// choices is the current sequence; limits has the number of options of each
+	// choice.
+	choices, limits []int
+	// depth is the number of choices made in the current run.
+	depth int
+	rng   *rand.Rand
 }
 
-func (c *choiceSequence) pick(n int) int {
+// pick returns the next choice, from 0 to n-1.
+func (c *choiceEnumerator) pick(n int) int {
 	if c.rng != nil {
 		return c.rng.Intn(n)
 	}
-	if c.position == len(c.path) {
-		c.path, c.limits = append(c.path, 0), append(c.limits, n)
+	if c.depth == len(c.choices) {
+		c.choices, c.limits = append(c.choices, 0), append(c.limits, n)
 	}
-	c.position++
-	return c.path[c.position-1]
+	c.depth++
+	return c.choices[c.depth-1]
 }
 
-func (c *choiceSequence) next() bool {
-	c.position = 0
-	for i := len(c.path) - 1; i >= 0; i-- {
-		if c.path[i]++; c.path[i] < c.limits[i] {
-			c.path, c.limits = c.path[:i+1], c.limits[:i+1]
+// advance moves on to the next sequence and reports whether there is one.
+func (c *choiceEnumerator) advance() bool {
+	c.depth = 0
+	for i := len(c.choices) - 1; i >= 0; i-- {
+		if c.choices[i]++; c.choices[i] < c.limits[i] {
+			c.choices, c.limits = c.choices[:i+1], c.limits[:i+1]
 			return true
 		}
 	}
 	return false
 }
 
-// forEachChoice calls f for all choices, or for some drawn where there are more
-// than maxChoices.
+// forEachChoice calls f for each sequence of choices. If there are more than maxChoices,
+// it calls f for the first maxChoices and then for as many random ones.
 func forEachChoice(seed int64, maxChoices int, f func(pick func(n int) int)) {
-	choices := &choiceSequence{}
+	enumerator := &choiceEnumerator{}
 	for i := 0; i < maxChoices; i++ {
-		f(choices.pick)
-		if !choices.next() {
+		f(enumerator.pick)
+		if !enumerator.advance() {
 			return
 		}
 	}
 	rng := rand.New(rand.NewSource(seed))
 	for i := 0; i < maxChoices; i++ {
-		f((&choiceSequence{rng: rng}).pick)
+		f((&choiceEnumerator{rng: rng}).pick)
 	}
 }
 
-// logUser is what a user of the log holds in memory, and what of that it was told
-// is on disk. Records are numbers, each above the one before.
-type logUser struct {
+// logClient models a user of the log: the records that it holds in memory, and those
+// that were acknowledged as durable. Records are increasing numbers.
+type logClient struct {
 	records, acknowledged []int
-	last                  int
+	lastRecord            int
 }
 
-func (u *logUser) clone() *logUser {
-	return &logUser{append([]int(nil), u.records...), append([]int(nil), u.acknowledged...), u.last}
+func (c *logClient) clone() *logClient {
+	return &logClient{append([]int(nil), c.records...), append([]int(nil), c.acknowledged...), c.lastRecord}
 }
 
-func (u *logUser) appendRecords(log *Log, n int) error {
+// appendRecords appends n records as one group and waits for the results.
+func (c *logClient) appendRecords(log *Log, n int) error {
 	errs := make(chan error, n)
 	var jobs []job
 	for range n {
-		u.last++
-		u.records = append(u.records, u.last)
-		jobs = append(jobs, job{record: []byte(strconv.Itoa(u.last)), done: func(err error) { errs <- err }})
+		c.lastRecord++
+		c.records = append(c.records, c.lastRecord)
+		jobs = append(jobs, job{record: []byte(strconv.Itoa(c.lastRecord)), done: func(err error) { errs <- err }})
 	}
 	log.enqueue(jobs...)
 	for i := range n {
 		if err := <-errs; err != nil {
 			return err
 		}
-		u.acknowledged = append(u.acknowledged, u.records[len(u.records)-n+i])
+		c.acknowledged = append(c.acknowledged, c.records[len(c.records)-n+i])
 	}
 	return nil
 }
 
-func (u *logUser) checkpoint(log *Log) error {
+func (c *logClient) checkpoint(log *Log) error {
 	var records []string
-	for _, x := range u.records {
+	for _, x := range c.records {
 		records = append(records, strconv.Itoa(x))
 	}
 	err := checkpointAndWait(log, records)
 	if err == nil {
-		u.acknowledged = append([]int(nil), u.records...)
+		c.acknowledged = append([]int(nil), c.records...)
 	}
 	return err
 }
 
-// open starts on what the directory holds and says what is wrong with it.
-func (u *logUser) open(directory *faultyDirectory) (*Log, string) {
+// open recovers the records of a directory. It describes the problem if a record is
+// invalid, out of order or was never written, or if an acknowledged record is lost, and
+// returns "" otherwise.
+func (c *logClient) open(directory *faultyDirectory) (*Log, string) {
 	log, records, err := Open(directory)
 	if err != nil {
 		return nil, err.Error()
 	}
-	u.records = nil
-	last, found := 0, map[int]bool{}
+	c.records = nil
+	last, recovered := 0, map[int]bool{}
 	for _, r := range records {
 		x, err := strconv.Atoi(string(r))
-		if err != nil || x <= last || x > u.last {
-			return log, fmt.Sprintf("%q behind %d, of %d", r, last, u.last)
+		if err != nil || x <= last || x > c.lastRecord {
+			return log, fmt.Sprintf("read invalid record %q after %d; last written: %d", r, last, c.lastRecord)
 		}
-		last, found[x] = x, true
-		u.records = append(u.records, x)
+		last, recovered[x] = x, true
+		c.records = append(c.records, x)
 	}
-	for _, x := range u.acknowledged {
-		if !found[x] {
-			return log, fmt.Sprintf("%d was acknowledged and is lost; read: %v", x, u.records)
+	for _, x := range c.acknowledged {
+		if !recovered[x] {
+			return log, fmt.Sprintf("acknowledged record %d is lost; read: %v", x, c.records)
 		}
 	}
 	return log, ""
 }
 
-// run is a process from its start to the end of its work, or to a loss of power.
-func (u *logUser) run(directory *faultyDirectory, checkpoints, appends int) string {
-	log, problem := u.open(directory)
+// runProcess runs a process from its start until its work is done or power is lost, and
+// returns a description of the first problem, or "".
+func (c *logClient) runProcess(directory *faultyDirectory, checkpoints, appends int) string {
+	log, problem := c.open(directory)
 	if log != nil {
 		defer log.Close()
 	}
@@ -130,68 +139,73 @@
 		return problem
 	}
 	for range checkpoints {
-		for attempts := 0; u.checkpoint(log) != nil && attempts < 8; attempts++ {
+		for attempts := 0; c.checkpoint(log) != nil && attempts < 8; attempts++ {
 		}
 		for i := range appends {
-			_ = u.appendRecords(log, 1+i%2)
+			_ = c.appendRecords(log, 1+i%2)
 		}
 	}
 	return ""
 }
 
-// runCrashes runs a first process up to its end at each step, on a directory that
-// refuses some steps or none. Where the end is a loss of power, a second process
-// follows on each directory that may be found; where it is a kill, on the
-// directory as it stands. That one ends with a loss of power too, and a third one
-// reads.
-func runCrashes(maxChoices int, report func(string)) (n int) {
-	secondLoss := []int{1, 2, 3, 4, 5, 6, 7, 9, 12, 1 << 30}
-	for refusedFrom := range 21 {
-		refusedSteps := 1 + refusedFrom%3
+// runCrashScenarios runs a first process that stops at each step in turn, on a directory
+// that fails one to three consecutive steps or none. After a power loss, a second
+// process runs on each possible surviving directory; after a kill, on the directory as
+// it is. The second process ends with a power loss too, and a third one reads. It
+// returns the number of scenarios.
+func runCrashScenarios(maxChoices int, report func(string)) (n int) {
+	secondLossSteps := []int{1, 2, 3, 4, 5, 6, 7, 9, 12, 1 << 30}
+	for firstFailure := range 21 {
+		failureCount := 1 + firstFailure%3
 		for lastStep := 1; lastStep <= 30; lastStep++ {
-			directory, user := newFaultyDirectory(), &logUser{}
-			directory.refuses = func(step int) bool { return refusedFrom > 0 && step >= refusedFrom && step < refusedFrom+refusedSteps }
+			directory, client := newFaultyDirectory(), &logClient{}
+			directory.failsAt = func(step int) bool {
+				return firstFailure > 0 && step >= firstFailure && step < firstFailure+failureCount
+			}
 			directory.lastStep = lastStep
-			situation := fmt.Sprintf("refusing %d from step %d, power lost at step %d", refusedSteps, refusedFrom, lastStep)
-			if problem := user.run(directory, 3, 3); problem != "" {
-				report(situation + ": " + problem)
+			scenario := fmt.Sprintf("%d failures from step %d, stopped after step %d", failureCount, firstFailure, lastStep)
+			if problem := client.runProcess(directory, 3, 3); problem != "" {
+				report(scenario + ": " + problem)
 				return n
 			}
-			restart := func(killed bool, found *faultyDirectory, lossIndex int) {
+			restart := func(killed bool, survivor *faultyDirectory, lossIndex int) {
 				n++
-				found.lastStep = secondLoss[lossIndex]
-				restarted := user.clone()
-				problem := restarted.run(found, 2, 2)
+				survivor.lastStep = secondLossSteps[lossIndex]
+				secondClient := client.clone()
+				problem := secondClient.runProcess(survivor, 2, 2)
 				if problem == "" {
-					problem = restarted.verify(found.afterPowerLoss(rand.New(rand.NewSource(int64(n))).Intn))
+					problem = secondClient.verify(survivor.afterPowerLoss(rand.New(rand.NewSource(int64(n))).Intn))
 				}
 				if problem != "" {
-					report(fmt.Sprintf("%s, killed first %v, second loss at step %d, world %d: %s", situation, killed, found.lastStep, n, problem))
+					report(fmt.Sprintf("%s, killed %v, then power lost after step %d, scenario %d: %s", scenario, killed, survivor.lastStep, n, problem))
 				}
 			}
-			forEachChoice(int64(lastStep), maxChoices, func(pick func(int) int) { restart(false, directory.afterPowerLoss(pick), n%len(secondLoss)) })
-			forEachChoice(int64(lastStep), maxChoices, func(pick func(int) int) { restart(true, directory.afterKill(), pick(4*len(secondLoss))/4) })
+			forEachChoice(int64(lastStep), maxChoices, func(pick func(int) int) { restart(false, directory.afterPowerLoss(pick), n%len(secondLossSteps)) })
+			forEachChoice(int64(lastStep), maxChoices, func(pick func(int) int) { restart(true, directory.afterKill(), pick(4*len(secondLossSteps))/4) })
 		}
 	}
 	return n
 }
 
-// verify starts once more and says what is wrong.
-func (u *logUser) verify(directory *faultyDirectory) string {
-	log, problem := u.open(directory)
+// verify recovers the records once more and describes the problem found, or returns "".
+func (c *logClient) verify(directory *faultyDirectory) string {
+	log, problem := c.open(directory)
 	if log != nil {
 		log.Close()
 	}
 	return problem
 }
 
+// TestAcknowledgedRecordsSurviveRepeatedPowerLossAndKill guards against the loss of
+// acknowledged records. One cause was a segment created after the only directory sync: a
+// power loss removed its name, and with it all records appended since the checkpoint.
 func TestAcknowledgedRecordsSurviveRepeatedPowerLossAndKill(t *testing.T) {
 	failures := 0
-	runs := runCrashes(16, func(problem string) {
+	scenarios := runCrashScenarios(16, func(problem string) {
 		if failures++; failures <= 3 {
 			t.Error(problem)
 		}
 	})
-	t.Logf("%d worlds, %d wrong", runs, failures)
-	qt.Assert(t, runs > 10000, qt.IsTrue)
+	t.Logf("%d scenarios, %d failed", scenarios, failures)
+	qt.Assert(t, scenarios > 10000, qt.IsTrue)
 }
--- a/internal/wal/faulty_directory_test.go
+++ b/internal/wal/faulty_directory_test.go
@@ -6,25 +6,33 @@
 	"sync"
 )
 
-// faultyDirectory is in memory, and as bad as a disk may be: at a loss of power
-// each write that was not synced may be present, missing or torn, and each name
-// that was made, renamed or removed since the directory's last sync kept or lost,
-// independently of all others.
+// faultyDirectory is an in-memory directory that simulates a disk with the weakest
+// durability guarantees. After a power loss each unsynced write may be present, missing
+// or torn, and each name that was created, renamed or removed since the last directory
+// sync may be kept or lost, independently of all others.
 type faultyDirectory struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// step counts the operations that change or sync the disk. All after lastStep
+	// fail with errPowerLost.
 	step     int
 	lastStep int
-	refuses  func(step int) bool
-	files    map[string]*inode
-	versions map[string][]*inode
-	maxBytes int
+	// failsAt selects the steps that fail with errDiskFull; nil means none.
+	failsAt func(step int) bool
+	files   map[string]*inode
+	// candidates has, for each name changed since the last directory sync, the files
+	// that it may refer to after a power loss; nil means that the name is missing.
+	candidates map[string][]*inode
+	// peakBytes is the largest total size of all files so far.
+	peakBytes int
 }
 
+// inode is the content of a file: what was synced, and the writes since.
 type inode struct {
 	synced   []byte
 	unsynced []unsyncedWrite
 }
 
+// unsyncedWrite is a write of data at offset, or a truncation to zero length.
 type unsyncedWrite struct {
 	offset    int
 	data      []byte
@@ -32,97 +40,105 @@
 }
 
 func newFaultyDirectory() *faultyDirectory {
-	return &faultyDirectory{lastStep: 1 << 30, files: map[string]*inode{}, versions: map[string][]*inode{}}
+	return &faultyDirectory{lastStep: 1 << 30, files: map[string]*inode{}, candidates: map[string][]*inode{}}
 }
 
+// countStep counts a step and returns the error that it fails with.
 func (d *faultyDirectory) countStep() error {
 	d.step++
 	if d.step > d.lastStep {
 		return errPowerLost
 	}
-	if d.refuses != nil && d.refuses(d.step) {
+	if d.failsAt != nil && d.failsAt(d.step) {
 		return errDiskFull
 	}
 	return nil
 }
 
-func (d *faultyDirectory) setName(n string, f *inode) {
-	if _, ok := d.versions[n]; !ok {
-		d.versions[n] = []*inode{d.files[n]}
+// setEntry makes name refer to file, or removes it if file is nil, and remembers what
+// it may still refer to after a power loss.
+func (d *faultyDirectory) setEntry(name string, file *inode) {
+	if _, ok := d.candidates[name]; !ok {
+		d.candidates[name] = []*inode{d.files[name]}
 	}
-	d.versions[n] = append(d.versions[n], f)
-	if f == nil {
-		delete(d.files, n)
+	d.candidates[name] = append(d.candidates[name], file)
+	if file == nil {
+		delete(d.files, name)
 		return
 	}
-	d.files[n] = f
+	d.files[name] = file
 }
 
-func (d *faultyDirectory) Create(n string) (File, error) {
+func (d *faultyDirectory) Create(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return nil, err
 	}
-	f := d.files[n]
-	if f == nil {
-		f = &inode{}
-		d.setName(n, f)
+	file := d.files[name]
+	if file == nil {
+		file = &inode{}
+		d.setEntry(name, file)
 	} else {
-		f.unsynced = append(f.unsynced, unsyncedWrite{truncates: true})
+		file.unsynced = append(file.unsynced, unsyncedWrite{truncates: true})
 	}
-	return &openFile{d, f}, nil
+	return &faultyFile{d, file}, nil
 }
 
-type openFile struct {
+// faultyFile is an open file. A write that fails because the disk is full still writes
+// the first half of its data.
+type faultyFile struct {
 	directory *faultyDirectory
 	file      *inode
 }
 
-func (h *openFile) Write(b []byte) (int, error) {
-	h.directory.mu.Lock()
-	defer h.directory.mu.Unlock()
-	at := len(h.file.content())
-	if err := h.directory.countStep(); err != nil {
+func (f *faultyFile) Write(data []byte) (int, error) {
+	f.directory.mu.Lock()
+	defer f.directory.mu.Unlock()
+	offset := len(f.file.content())
+	if err := f.directory.countStep(); err != nil {
 		if errors.Is(err, errDiskFull) {
-			h.file.unsynced = append(h.file.unsynced, unsyncedWrite{offset: at, data: append([]byte(nil), b[:len(b)/2]...)})
+			f.file.unsynced = append(f.file.unsynced, unsyncedWrite{offset: offset, data: append([]byte(nil), data[:len(data)/2]...)})
 		}
-		return len(b) / 2, err
+		return len(data) / 2, err
 	}
-	h.file.unsynced = append(h.file.unsynced, unsyncedWrite{offset: at, data: append([]byte(nil), b...)})
-	h.directory.recordSize()
-	return len(b), nil
+	f.file.unsynced = append(f.file.unsynced, unsyncedWrite{offset: offset, data: append([]byte(nil), data...)})
+	f.directory.updatePeakBytes()
+	return len(data), nil
 }
 
-func (h *openFile) Sync() error {
-	h.directory.mu.Lock()
-	defer h.directory.mu.Unlock()
-	if err := h.directory.countStep(); err != nil {
+func (f *faultyFile) Sync() error {
+	f.directory.mu.Lock()
+	defer f.directory.mu.Unlock()
+	if err := f.directory.countStep(); err != nil {
 		return err
 	}
-	h.file.synced, h.file.unsynced = h.file.content(), nil
+	f.file.synced, f.file.unsynced = f.file.content(), nil
 	return nil
 }
 
-func (h *openFile) Close() error { return nil }
+func (f *faultyFile) Close() error { return nil }
 
+// Outcomes of an unsynced write after a power loss.
 const (
 	writePresent = iota
 	writeMissing
 	writeFirstHalf
 	writeLastHalf
+	// writeZeroed keeps the first headerSize bytes and zeroes the rest.
 	writeZeroed
-	writeOutcomes
+	writeOutcomeCount
 )
 
-func (c unsyncedWrite) applyTo(content []byte, outcome int) []byte {
+// applyTo returns content after the write had the given outcome.
+func (w unsyncedWrite) applyTo(content []byte, outcome int) []byte {
 	if outcome == writeMissing {
 		return content
 	}
-	if c.truncates {
+	if w.truncates {
 		return nil
 	}
-	data, offset := c.data, c.offset
+	data, offset := w.data, w.offset
 	if outcome == writeFirstHalf {
 		data = data[:len(data)/2]
 	}
@@ -140,53 +156,55 @@
 	return content
 }
 
-func (f *inode) content() []byte { return f.contentAfter(func(int) int { return writePresent }) }
+// content is what a running process reads, including all unsynced writes.
+func (f *inode) content() []byte { return f.contentWith(func(int) int { return writePresent }) }
 
-func (f *inode) contentAfter(pick func(n int) int) []byte {
+// contentWith is the content with an outcome picked for each unsynced write.
+func (f *inode) contentWith(pick func(n int) int) []byte {
 	content := append([]byte(nil), f.synced...)
-	for _, c := range f.unsynced {
-		content = c.applyTo(content, pick(writeOutcomes))
+	for _, w := range f.unsynced {
+		content = w.applyTo(content, pick(writeOutcomeCount))
 	}
 	return content
 }
 
-func (d *faultyDirectory) Read(n string) ([]byte, error) {
+func (d *faultyDirectory) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.files[n].content(), nil
+	return d.files[name].content(), nil
 }
 
-func (d *faultyDirectory) Rename(a, b string) error {
+func (d *faultyDirectory) Rename(oldName, newName string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	f := d.files[a]
-	d.setName(a, nil)
-	d.setName(b, f)
+	file := d.files[oldName]
+	d.setEntry(oldName, nil)
+	d.setEntry(newName, file)
 	return nil
 }
 
-func (d *faultyDirectory) Remove(n string) error {
+func (d *faultyDirectory) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	d.setName(n, nil)
+	d.setEntry(name, nil)
 	return nil
 }
 
 func (d *faultyDirectory) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []string
-	for n := range d.files {
-		out = append(out, n)
+	var names []string
+	for name := range d.files {
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out, nil
+	sort.Strings(names)
+	return names, nil
 }
 
 func (d *faultyDirectory) Sync() error {
@@ -195,66 +213,67 @@
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	d.versions = map[string][]*inode{}
+	d.candidates = map[string][]*inode{}
 	return nil
 }
 
-func (d *faultyDirectory) recordSize() {
-	n := 0
-	for _, f := range d.files {
-		n += len(f.content())
+func (d *faultyDirectory) updatePeakBytes() {
+	size := 0
+	for _, file := range d.files {
+		size += len(file.content())
 	}
-	d.maxBytes = max(d.maxBytes, n)
+	d.peakBytes = max(d.peakBytes, size)
 }
 
-// afterPowerLoss is the directory as it may be found once power is back; pick
-// decides what became of each write and name.
+// afterPowerLoss returns a possible state of the directory after a power loss. pick
+// decides the outcome of each unsynced write and changed name.
 func (d *faultyDirectory) afterPowerLoss(pick func(n int) int) *faultyDirectory {
-	found := newFaultyDirectory()
+	survivor := newFaultyDirectory()
 	var names []string
-	for n := range d.files {
-		names = append(names, n)
+	for name := range d.files {
+		names = append(names, name)
 	}
-	for n := range d.versions {
-		if d.files[n] == nil {
-			names = append(names, n)
+	for name := range d.candidates {
+		if d.files[name] == nil {
+			names = append(names, name)
 		}
 	}
 	sort.Strings(names)
 	contents := map[*inode][]byte{}
-	for _, n := range names {
-		f := d.files[n]
-		if versions := d.versions[n]; len(versions) > 0 {
-			f = versions[pick(len(versions))]
+	for _, name := range names {
+		file := d.files[name]
+		if versions := d.candidates[name]; len(versions) > 0 {
+			file = versions[pick(len(versions))]
 		}
-		if f == nil {
+		if file == nil {
 			continue
 		}
-		if contents[f] == nil {
-			contents[f] = f.contentAfter(pick)
+		if contents[file] == nil {
+			contents[file] = file.contentWith(pick)
 		}
-		found.files[n] = &inode{synced: contents[f]}
+		survivor.files[name] = &inode{synced: contents[file]}
 	}
-	return found
+	return survivor
 }
 
-// afterKill is the directory as a killed process leaves it.
+// afterKill returns the directory as a killed process leaves it: unsynced changes are
+// visible but can still be lost in a later power loss.
 func (d *faultyDirectory) afterKill() *faultyDirectory {
-	found := newFaultyDirectory()
+	survivor := newFaultyDirectory()
 	copies := map[*inode]*inode{nil: nil}
-	copyOf := func(f *inode) *inode {
-		if _, ok := copies[f]; !ok {
-			copies[f] = &inode{append([]byte(nil), f.synced...), append([]unsyncedWrite(nil), f.unsynced...)}
+	copyOf := func(file *inode) *inode {
+		if _, ok := copies[file]; !ok {
+			copies[file] = &inode{append([]byte(nil), file.synced...), append([]unsyncedWrite(nil), file.unsynced...)}
 		}
-		return copies[f]
+		return copies[file]
 	}
-	for n, f := range d.files {
-		found.files[n] = copyOf(f)
+	for name, file := range d.files {
+		survivor.files[name] = copyOf(file)
 	}
-	for n, fs := range d.versions {
-		for _, f := range fs {
-			found.versions[n] = append(found.versions[n], copyOf(f))
+	for name, files := range d.candidates {
+		for _, file := range files {
+			survivor.candidates[name] = append(survivor.candidates[name], copyOf(file))
 		}
 	}
-	return found
+	return survivor
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -23,6 +23,8 @@
 	return <-result
 }
 
+// TestAcknowledgedRecordsSurviveCrashAtEveryStep loses power after each step in turn and
+// keeps none, half or all of the unsynced data.
 func TestAcknowledgedRecordsSurviveCrashAtEveryStep(t *testing.T) {
 	for lastStep := 1; lastStep < 90; lastStep++ {
 		for _, keep := range []func(int) int{func(int) int { return 0 }, func(n int) int { return n / 2 }, func(n int) int { return n }} {
@@ -44,7 +46,7 @@
 			log.Close()
 			_, records, err := Open(directory.afterPowerLoss(keep))
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, len(records) >= len(acknowledged), qt.IsTrue, qt.Commentf("crash at step %d: %d of %d", lastStep, len(records), len(acknowledged)))
+			qt.Assert(t, len(records) >= len(acknowledged), qt.IsTrue, qt.Commentf("crash after step %d: read %d records, %d acknowledged", lastStep, len(records), len(acknowledged)))
 			for i, record := range acknowledged {
 				qt.Assert(t, string(records[i]), qt.Equals, record)
 			}
@@ -59,12 +61,12 @@
 	qt.Assert(t, appendRecordAndWait(log, "too early"), qt.IsNotNil)
 	qt.Assert(t, checkpointAndWait(log, nil), qt.IsNil)
 	qt.Assert(t, appendRecordAndWait(log, "a"), qt.IsNil)
-	setFull := func(on bool) { directory.mu.Lock(); directory.full = on; directory.mu.Unlock() }
-	setFull(true)
+	setDiskFull := func(on bool) { directory.mu.Lock(); directory.diskFull = on; directory.mu.Unlock() }
+	setDiskFull(true)
 	qt.Assert(t, appendRecordAndWait(log, "b"), qt.IsNotNil)
 	qt.Assert(t, checkpointAndWait(log, []string{"a", "b"}), qt.IsNotNil)
-	setFull(false)
-	qt.Assert(t, appendRecordAndWait(log, "c"), qt.IsNotNil, qt.Commentf("nothing may be taken behind a torn record"))
+	setDiskFull(false)
+	qt.Assert(t, appendRecordAndWait(log, "c"), qt.IsNotNil, qt.Commentf("no record may be written after a torn one"))
 	qt.Assert(t, checkpointAndWait(log, []string{"a", "b"}), qt.IsNil)
 	qt.Assert(t, appendRecordAndWait(log, "d"), qt.IsNil)
 	log.Close()
@@ -73,12 +75,13 @@
 	qt.Assert(t, len(records), qt.Equals, 3)
 	qt.Assert(t, string(records[2]), qt.Equals, "d")
 }
+
 func TestDirectorySizeStaysBoundedOverManyCheckpoints(t *testing.T) {
-	const cells, size, checkpointBytes = 20, 100, 4000
+	const keys, size, checkpointBytes = 20, 100, 4000
 	directory := newFaultyDirectory()
 	state := map[int]string{}
 	snapshot := func() (records []string) {
-		for i := range cells {
+		for i := range keys {
 			if record, ok := state[i]; ok {
 				records = append(records, record)
 			}
@@ -88,15 +91,15 @@
 	log, _, err := Open(directory)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, checkpointAndWait(log, nil), qt.IsNil)
-	written, syncs := 0, 0
+	written, checkpointSteps := 0, 0
 	for i := range 1000 {
 		record := fmt.Sprintf("%*d", size, i)
-		state[i%cells] = record
+		state[i%keys] = record
 		qt.Assert(t, appendRecordAndWait(log, record), qt.IsNil)
 		if written += len(record); written > checkpointBytes {
 			before := directory.step
 			qt.Assert(t, checkpointAndWait(log, snapshot()), qt.IsNil)
-			syncs = directory.step - before
+			checkpointSteps = directory.step - before
 			written = 0
 		}
 		if i%97 == 0 {
@@ -104,13 +107,13 @@
 			var records [][]byte
 			log, records, err = Open(directory)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, len(records) <= cells+checkpointBytes/size+1, qt.IsTrue, qt.Commentf("change %d: %d records", i, len(records)))
+			qt.Assert(t, len(records) <= keys+checkpointBytes/size+1, qt.IsTrue, qt.Commentf("append %d: %d records", i, len(records)))
 			qt.Assert(t, checkpointAndWait(log, snapshot()), qt.IsNil)
 			written = 0
 		}
-		qt.Assert(t, len(directory.files) <= 2, qt.IsTrue, qt.Commentf("change %d: %d files", i, len(directory.files)))
+		qt.Assert(t, len(directory.files) <= 2, qt.IsTrue, qt.Commentf("append %d: %d files", i, len(directory.files)))
 	}
 	log.Close()
-	qt.Assert(t, directory.maxBytes <= 2*cells*(size+headerSize)+checkpointBytes+checkpointBytes/size*headerSize+1000, qt.IsTrue, qt.Commentf("%d bytes at the most", directory.maxBytes))
-	qt.Assert(t, syncs, qt.Equals, 8, qt.Commentf("made twice, written, synced, renamed, the folder synced, two removed"))
+	qt.Assert(t, directory.peakBytes <= 2*keys*(size+headerSize)+checkpointBytes+checkpointBytes/size*headerSize+1000, qt.IsTrue, qt.Commentf("peak size %d bytes", directory.peakBytes))
+	qt.Assert(t, checkpointSteps, qt.Equals, 8, qt.Commentf("2 creates, write, sync, rename, directory sync, 2 removes"))
 }
--- a/internal/wal/mem_directory_test.go
+++ b/internal/wal/mem_directory_test.go
@@ -6,17 +6,21 @@
 	"sync"
 )
 
-// memDirectory is in memory. It counts each step that reaches the disk and takes
-// none after lastStep, as at a loss of power. What was not synced may be torn.
+// memDirectory is an in-memory directory. It counts the operations that change or sync
+// the disk and fails all after lastStep, which simulates a power loss. A failed write
+// leaves the first half of its data.
 type memDirectory struct {
 	mu       sync.Mutex
 	lastStep int
 	step     int
-	full     bool
+	// diskFull makes every step fail with errDiskFull.
+	diskFull bool
 	files    map[string]*memFile
-	synced   map[string]*memFile
+	// syncedFiles are the files whose names survive a power loss.
+	syncedFiles map[string]*memFile
 }
 
+// memFile is a file of which the first synced bytes survive a power loss.
 type memFile struct {
 	directory *memDirectory
 	data      []byte
@@ -26,41 +30,42 @@
 var errPowerLost = errors.New("power lost")
 var errDiskFull = errors.New("disk full")
 
-func newMemDirectory(last int) *memDirectory {
-	return &memDirectory{lastStep: last, files: map[string]*memFile{}, synced: map[string]*memFile{}}
+func newMemDirectory(lastStep int) *memDirectory {
+	return &memDirectory{lastStep: lastStep, files: map[string]*memFile{}, syncedFiles: map[string]*memFile{}}
 }
 
+// countStep counts a step and returns the error that it fails with.
 func (d *memDirectory) countStep() error {
 	d.step++
 	if d.step > d.lastStep {
 		return errPowerLost
 	}
-	if d.full {
+	if d.diskFull {
 		return errDiskFull
 	}
 	return nil
 }
 
-func (d *memDirectory) Create(n string) (File, error) {
+func (d *memDirectory) Create(name string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return nil, err
 	}
 	f := &memFile{directory: d}
-	d.files[n] = f
+	d.files[name] = f
 	return f, nil
 }
 
-func (f *memFile) Write(b []byte) (int, error) {
+func (f *memFile) Write(data []byte) (int, error) {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
 	if err := f.directory.countStep(); err != nil {
-		f.data = append(f.data, b[:len(b)/2]...)
-		return len(b) / 2, err
+		f.data = append(f.data, data[:len(data)/2]...)
+		return len(data) / 2, err
 	}
-	f.data = append(f.data, b...)
-	return len(b), nil
+	f.data = append(f.data, data...)
+	return len(data), nil
 }
 
 func (f *memFile) Sync() error {
@@ -70,9 +75,9 @@
 		return err
 	}
 	f.synced = len(f.data)
-	for n, x := range f.directory.files {
-		if x == f {
-			f.directory.synced[n] = f
+	for name, file := range f.directory.files {
+		if file == f {
+			f.directory.syncedFiles[name] = f
 		}
 	}
 	return nil
@@ -80,38 +85,38 @@
 
 func (f *memFile) Close() error { return nil }
 
-func (d *memDirectory) Read(n string) ([]byte, error) {
-	return append([]byte(nil), d.files[n].data...), nil
+func (d *memDirectory) Read(name string) ([]byte, error) {
+	return append([]byte(nil), d.files[name].data...), nil
 }
 
-func (d *memDirectory) Rename(a, b string) error {
+func (d *memDirectory) Rename(oldName, newName string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	d.files[b] = d.files[a]
-	delete(d.files, a)
+	d.files[newName] = d.files[oldName]
+	delete(d.files, oldName)
 	return nil
 }
 
-func (d *memDirectory) Remove(n string) error {
+func (d *memDirectory) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	delete(d.files, n)
+	delete(d.files, name)
 	return nil
 }
 
 func (d *memDirectory) List() ([]string, error) {
-	var out []string
-	for n := range d.files {
-		out = append(out, n)
+	var names []string
+	for name := range d.files {
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out, nil
+	sort.Strings(names)
+	return names, nil
 }
 
 func (d *memDirectory) Sync() error {
@@ -120,20 +125,20 @@
 	if err := d.countStep(); err != nil {
 		return err
 	}
-	d.synced = map[string]*memFile{}
-	for n, f := range d.files {
-		d.synced[n] = f
+	d.syncedFiles = map[string]*memFile{}
+	for name, file := range d.files {
+		d.syncedFiles[name] = file
 	}
 	return nil
 }
 
-// afterPowerLoss is the directory as it may be found once power is back: keep tells
-// how many of the bytes that were not synced are still there.
+// afterPowerLoss returns the directory as it may be found after a power loss. keep
+// returns how many of a file's unsynced bytes survive.
 func (d *memDirectory) afterPowerLoss(keep func(unsynced int) int) *memDirectory {
-	n := newMemDirectory(1 << 30)
-	for s, f := range d.synced {
-		b := append([]byte(nil), f.data[:f.synced+keep(len(f.data)-f.synced)]...)
-		n.files[s] = &memFile{directory: n, data: b, synced: len(b)}
+	survivor := newMemDirectory(1 << 30)
+	for name, file := range d.syncedFiles {
+		data := append([]byte(nil), file.data[:file.synced+keep(len(file.data)-file.synced)]...)
+		survivor.files[name] = &memFile{directory: survivor, data: data, synced: len(data)}
 	}
-	return n
+	return survivor
 }
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -9,15 +9,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// update writes the fixtures of this package that are missing. The committed
-// files are the reference: they were written by the code of commit 242832a and
-// must never be regenerated, so a directory that exists is refused.
+// update writes the fixtures that are missing. The committed files are the reference:
+// they were written by the code of commit 242832a and must never be regenerated, so an
+// existing directory is an error.
 var update = flag.Bool("update", false, "write missing fixture directories")
 
 const fixtureDirectory = "testdata/242832a"
 
-// fixtures are the committed directories, with the records that Open must read
-// from each.
+// fixtures lists the committed directories, with the function that writes each and the
+// records that Open must read from it.
 var fixtures = []struct {
 	name  string
 	write func(t *testing.T, dir string)
@@ -25,34 +25,34 @@
 }{
 	{"snapshot-and-segment", writeSnapshotAndSegment, []string{"first", "second", "\x00\xff third", "fourth"}},
 	{"torn-segment", writeTornSegment, []string{"first", "second", "\x00\xff third"}},
-	{"torn-checksum", writeTornChecksum, []string{"first", "second"}},
+	{"torn-checksum", writeChecksumMismatch, []string{"first", "second"}},
 	{"torn-snapshot", writeTornSnapshot, []string{"old first", "old second", "\x00\xff third", "fourth"}},
 	{"old-files-left", writeOldFilesLeft, []string{"first", "second", "\x00\xff third", "fourth"}},
 }
 
-// TestDirectoriesOf242832aAreRead opens directories that an earlier release left.
-func TestDirectoriesOf242832aAreRead(t *testing.T) {
-	for _, folder := range fixtures {
-		t.Run(folder.name, func(t *testing.T) {
-			dir := filepath.Join(fixtureDirectory, folder.name)
+// TestOpenReadsDirectoriesOf242832a opens directories written by an earlier release.
+func TestOpenReadsDirectoriesOf242832a(t *testing.T) {
+	for _, fixture := range fixtures {
+		t.Run(fixture.name, func(t *testing.T) {
+			dir := filepath.Join(fixtureDirectory, fixture.name)
 			if *update {
 				qt.Assert(t, os.MkdirAll(fixtureDirectory, 0o755), qt.IsNil)
-				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
-				folder.write(t, dir)
+				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures must not be overwritten"))
+				fixture.write(t, dir)
 			}
-			qt.Assert(t, readLog(t, dir), qt.DeepEquals, folder.want)
+			qt.Assert(t, readLog(t, dir), qt.DeepEquals, fixture.want)
 		})
 	}
 }
 
-// TestWrittenDirectoriesMatch242832a writes the same records by present code:
-// an earlier release must be able to read what this one leaves.
+// TestWrittenDirectoriesMatch242832a writes the same records with the current code and
+// compares the files, since an earlier release must be able to read them.
 func TestWrittenDirectoriesMatch242832a(t *testing.T) {
-	for _, folder := range fixtures {
-		t.Run(folder.name, func(t *testing.T) {
+	for _, fixture := range fixtures {
+		t.Run(fixture.name, func(t *testing.T) {
 			dir := t.TempDir()
-			folder.write(t, dir)
-			qt.Assert(t, filesIn(t, dir), qt.DeepEquals, filesIn(t, filepath.Join(fixtureDirectory, folder.name)))
+			fixture.write(t, dir)
+			qt.Assert(t, filesIn(t, dir), qt.DeepEquals, filesIn(t, filepath.Join(fixtureDirectory, fixture.name)))
 		})
 	}
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// writeGeneration begins a new generation in a directory and appends records.
+// writeGeneration starts a new generation in a directory and appends records to it.
 func writeGeneration(t *testing.T, dir string, snapshot []string, appended ...string) {
 	t.Helper()
 	log, _ := openLog(t, dir)
@@ -113,6 +113,7 @@
 	writeGeneration(t, dir, []string{"first", "second"}, "\x00\xff third", "fourth")
 }
 
+// writeTornSegment truncates the segment's last record by one byte.
 func writeTornSegment(t *testing.T, dir string) {
 	writeSnapshotAndSegment(t, dir)
 	files := filesIn(t, dir)
@@ -120,8 +121,9 @@
 	writeFiles(t, dir, files)
 }
 
-// writeTornChecksum damages a record in the middle: what follows isn't read.
-func writeTornChecksum(t *testing.T, dir string) {
+// writeChecksumMismatch damages the first of the segment's two records. Open must not
+// read the second one either.
+func writeChecksumMismatch(t *testing.T, dir string) {
 	writeSnapshotAndSegment(t, dir)
 	segment, err := os.ReadFile(filepath.Join(dir, fileName(segmentPrefix, 2)))
 	qt.Assert(t, err, qt.IsNil)
@@ -129,7 +131,8 @@
 	writeFiles(t, dir, map[string]string{fileName(segmentPrefix, 2): string(segment)})
 }
 
-// writeTornSnapshot leaves two segments behind the last whole snapshot.
+// writeTornSnapshot leaves a torn snapshot, so that Open must fall back to the older
+// snapshot and read two segments after it.
 func writeTornSnapshot(t *testing.T, dir string) {
 	writeGeneration(t, dir, []string{"old first"}, "old second")
 	old := filesIn(t, dir)
@@ -142,7 +145,8 @@
 	})
 }
 
-// writeOldFilesLeft leaves the files that the newest snapshot stands for.
+// writeOldFilesLeft leaves the files that the newest snapshot replaces, as a crash before
+// their removal does.
 func writeOldFilesLeft(t *testing.T, dir string) {
 	writeGeneration(t, dir, []string{"old first"}, "old second")
 	old := filesIn(t, dir)
