--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -9,15 +9,18 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// maxReplicateBytes is the size from which on no more goes into a request. One
-// state or entry may be larger.
+// maxReplicateBytes is the encoded size, in bytes, above which nothing more is added
+// to a Replicate request. The last state, epoch change or entry may exceed it, since
+// none of them is split.
 const maxReplicateBytes = 256 << 10
 
-// unknownPosition is what no replica holds, so that the full state goes.
+// unknownPosition is a position that no log contains. A peer for which it is recorded
+// gets full states, because no epoch change can start from it.
 var unknownPosition = position{version: 1 << 63}
 
-// replicateToLagging sends entries to the peers that didn't get them at once:
-// those that a majority doesn't need, at intervals, and all if a majority is slow.
+// replicateToLagging replicates to all members and learners, for the sake of those that
+// don't get each entry immediately (see rankPeers): to each of them once per
+// HeartbeatInterval, or on every tick while a commit is slow.
 func (r *Replica) replicateToLagging() {
 	now := r.now()
 	slow := slices.ContainsFunc(r.shards, r.commitIsSlow)
@@ -29,7 +32,9 @@
 	r.rankPeers()
 }
 
-// commitIsSlow tells that an owned shard waits for more replicas.
+// commitIsSlow reports whether the owner of s should replicate to more members than
+// the preferred peers: during a takeover or a transfer, and when an entry has been
+// uncommitted for longer than commitDelay.
 func (r *Replica) commitIsSlow(s *shard) bool {
 	if !s.isOwned() {
 		return false
@@ -40,15 +45,16 @@
 	return s.ownership.commit < s.log.version && r.now()-s.ownership.uncommittedSince > r.options.commitDelay()
 }
 
-// replicateTo sends the peer what its replicas lack, unless a request is under
-// way.
+// replicateTo sends the peer what its replicas lack. It does nothing while a request
+// to the peer is in flight, during the backoff after a failed or rejected request, and
+// on a learner.
 func (r *Replica) replicateTo(p *peer) {
 	now := r.now()
 	if p.replicateInFlight || now < p.replicateNotBefore || r.learner {
 		return
 	}
 	p.lastReplicate = now
-	request, complete := r.missingAt(p)
+	request, complete := r.buildReplicateRequest(p)
 	if len(request.States)+len(request.Entries)+len(request.EpochChanges) == 0 {
 		return
 	}
@@ -72,8 +78,9 @@
 				more = true
 			}
 		}
+		// With NotReceiving set the peer processed none of the request.
 		if !response.NotReceiving {
-			r.recordRefusedEpochChanges(p, request, response)
+			r.recordIgnoredEpochChanges(p, request, response)
 		}
 		if more || slices.Contains(r.preferredPeers, p) {
 			r.replicateTo(p)
@@ -81,22 +88,22 @@
 	})
 }
 
-// missingAt collects what the peer's replicas of the owned shards lack, and tells
-// whether all of it went in.
-func (r *Replica) missingAt(p *peer) (request *meshpb.ReplicateRequest, complete bool) {
+// buildReplicateRequest collects what the peer's replicas of the owned shards lack.
+// complete is false if maxReplicateBytes left some of it out.
+func (r *Replica) buildReplicateRequest(p *peer) (request *meshpb.ReplicateRequest, complete bool) {
 	batch := replicateBatch{request: &meshpb.ReplicateRequest{}}
 	for _, s := range r.shards {
 		if !s.isOwned() {
 			continue
 		}
-		if batch.full() || !r.addMissing(&batch, s, &p.progress[s.id]) {
+		if batch.full() || !r.addShardUpdate(&batch, s, &p.progress[s.id]) {
 			return batch.request, false
 		}
 	}
 	return batch.request, true
 }
 
-// replicateBatch is a request that is being filled.
+// replicateBatch is a Replicate request under construction and its size so far.
 type replicateBatch struct {
 	request *meshpb.ReplicateRequest
 	bytes   int
@@ -114,7 +121,7 @@
 	b.request.EpochChanges = append(b.request.EpochChanges, change)
 }
 
-// addEntries tells whether all entries went in.
+// addEntries adds entries until the batch is full. It reports whether it added all.
 func (b *replicateBatch) addEntries(entries []*meshpb.Entry) bool {
 	for _, entry := range entries {
 		if b.full() {
@@ -126,10 +133,10 @@
 	return true
 }
 
-// addMissing adds what a replica of the shard lacks: what takes it to this epoch if
-// it is at another, then the entries that follow; or the full state where the log
-// doesn't reach back. It tells whether all of it went in.
-func (r *Replica) addMissing(batch *replicateBatch, s *shard, replica *progress) bool {
+// addShardUpdate adds what a replica of the shard lacks: an epoch change if the replica
+// is at another epoch, followed by the entries after it; or the full state if the log
+// no longer holds these entries. It reports whether all of it was added.
+func (r *Replica) addShardUpdate(batch *replicateBatch, s *shard, replica *progress) bool {
 	version := replica.acked.version
 	if replica.acked.epoch != s.log.epoch {
 		change := s.epochChangeFrom(replica.assumedPosition(s))
@@ -148,8 +155,9 @@
 	return batch.addEntries(entries)
 }
 
-// assumedPosition is what the replica reported to the owner of this epoch, or else
-// most probably holds: all of the epoch before.
+// assumedPosition returns the position that the replica reported to the owner of the
+// current epoch. Without a report it returns the end of the previous epoch, which is
+// what an up-to-date replica holds.
 func (p *progress) assumedPosition(s *shard) position {
 	if p.reportedTo == s.log.epoch {
 		return p.reported
@@ -157,18 +165,19 @@
 	return s.log.lastEpochEnd()
 }
 
-// report notes what the replica holds, as reported to the owner of the shard's
-// epoch.
-func (p *progress) report(s *shard, have position) {
+// setReported records the position that the replica reported to the owner of the
+// shard's current epoch.
+func (p *progress) setReported(s *shard, have position) {
 	p.reported, p.reportedTo = have, s.log.epoch
 }
 
-// handleReplicateAck takes in what the peer says of one shard that was replicated
-// to it, and tells whether there is more to replicate at once.
+// handleReplicateAck processes the peer's acknowledgement for one shard. sentAt is when
+// the request was sent; the lease that the peer granted counts from then. more reports
+// whether to replicate again immediately.
 func (r *Replica) handleReplicateAck(p *peer, ack *meshpb.ReplicateAck, sentAt time.Duration) (more bool) {
 	s := r.shards[ack.Shard]
 	if ack.Promised >= s.vote.epoch && ack.Promised > 0 && s.isOwned() {
-		r.stepDown(s, ack.Promised, "a replica follows another owner")
+		r.stepDown(s, ack.Promised, "a peer voted for another owner")
 		return false
 	}
 	if ack.Epoch != s.log.epoch || !s.isOwned() {
@@ -177,7 +186,7 @@
 	replica := &p.progress[s.id]
 	if ack.Gap {
 		replica.acked = position{}
-		replica.report(s, position{ack.HaveEpoch, ack.HaveVersion})
+		replica.setReported(s, position{ack.HaveEpoch, ack.HaveVersion})
 		if ack.Promised > 0 {
 			p.replicateNotBefore = r.now() + r.options.refusedReplicateBackoff()
 		}
@@ -190,22 +199,25 @@
 	return false
 }
 
-// recordRefusedEpochChanges notes the epoch changes of which the peer said nothing,
-// or that its replica would go on from just there: it knows no epoch changes, as a
-// member of an earlier release, and gets full states.
-func (r *Replica) recordRefusedEpochChanges(p *peer, request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse) {
+// recordIgnoredEpochChanges has the peer sent full states for the shards whose epoch
+// changes it ignored, after a backoff. A member of an earlier release ignores them,
+// because it doesn't know the message.
+func (r *Replica) recordIgnoredEpochChanges(p *peer, request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse) {
 	for _, change := range request.EpochChanges {
-		if !refused(change, response.Acks) {
+		if !epochChangeIgnored(change, response.Acks) {
 			continue
 		}
 		if s := r.shards[change.Shard]; change.Epoch == s.log.epoch {
-			p.progress[s.id].report(s, unknownPosition)
+			p.progress[s.id].setReported(s, unknownPosition)
 			p.replicateNotBefore = r.now() + r.options.refusedReplicateBackoff()
 		}
 	}
 }
 
-func refused(change *meshpb.EpochChange, acks []*meshpb.ReplicateAck) bool {
+// epochChangeIgnored reports whether the acknowledgements show that the peer didn't
+// process the epoch change: there is none for the shard, or it reports a gap although
+// the replica is at the position that the change starts from.
+func epochChangeIgnored(change *meshpb.EpochChange, acks []*meshpb.ReplicateAck) bool {
 	i := slices.IndexFunc(acks, func(ack *meshpb.ReplicateAck) bool { return ack.Shard == change.Shard })
 	if i < 0 {
 		return true
--- a/internal/replication/replicate_test.go
+++ b/internal/replication/replicate_test.go
@@ -9,8 +9,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// TestReplicaRefusesEpochChangeFromOtherPosition: a replica at the same version
-// under another epoch may hold something else.
+// TestReplicaRefusesEpochChangeFromOtherPosition checks that a replica applies an epoch
+// change only if it is at exactly the epoch and version that the change starts from. At
+// the same version in another epoch its content may differ.
 func TestReplicaRefusesEpochChangeFromOtherPosition(t *testing.T) {
 	cluster := newSimCluster(t, 5, 3)
 	load := newWorkload(cluster)
@@ -18,7 +19,7 @@
 	cluster.runUntil(5 * time.Second)
 	follower := cluster.nodes["m1"].replica
 	status := follower.ShardStatuses()[0]
-	replicate := func(change *meshpb.EpochChange) *meshpb.ReplicateAck {
+	sendEpochChange := func(change *meshpb.EpochChange) *meshpb.ReplicateAck {
 		var ack *meshpb.ReplicateAck
 		request := &meshpb.ReplicateRequest{
 			Header:       &meshpb.SenderHeader{From: cluster.nodes["m0"].replica.Self(), To: follower.Self().Id, Membership: follower.Membership().Version},
@@ -32,21 +33,22 @@
 		cluster.runUntil(cluster.now + 20*time.Millisecond)
 		return ack
 	}
-	ack := replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch - 1, FromVersion: status.Version})
+	ack := sendEpochChange(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch - 1, FromVersion: status.Version})
 	qt.Assert(t, ack.Gap && ack.HaveEpoch == status.Epoch && ack.HaveVersion == status.Version, qt.IsTrue)
-	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version + 1})
+	ack = sendEpochChange(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version + 1})
 	qt.Assert(t, ack.Gap, qt.IsTrue)
 	qt.Assert(t, follower.ShardStatuses()[0].Epoch, qt.Equals, status.Epoch)
-	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version})
+	ack = sendEpochChange(&meshpb.EpochChange{Epoch: status.Epoch + 640, FromEpoch: status.Epoch, FromVersion: status.Version})
 	qt.Assert(t, ack.Gap, qt.IsFalse)
 	qt.Assert(t, follower.ShardStatuses()[0].Epoch, qt.Equals, status.Epoch+640)
-	ack = replicate(&meshpb.EpochChange{Epoch: status.Epoch + 64, FromEpoch: status.Epoch + 640, FromVersion: status.Version})
+	ack = sendEpochChange(&meshpb.EpochChange{Epoch: status.Epoch + 64, FromEpoch: status.Epoch + 640, FromVersion: status.Version})
 	qt.Assert(t, ack.Gap && ack.Promised == status.Epoch+640, qt.IsTrue)
 }
 
-// TestMemberWithoutEpochChangesGetsFullStates: a member of an earlier release takes
-// states and entries, and ignores epoch changes.
-func TestMemberWithoutEpochChangesGetsFullStates(t *testing.T) {
+// TestPeerWithoutEpochChangeSupportGetsFullStates checks that a member of an earlier
+// release, which processes states and entries but ignores epoch changes, still reaches
+// the epoch of a new owner, and that few Replicate calls are needed for it.
+func TestPeerWithoutEpochChangeSupportGetsFullStates(t *testing.T) {
 	cluster := newSimCluster(t, 2, 3)
 	load := newWorkload(cluster)
 	load.start(20 * time.Second)
@@ -61,5 +63,5 @@
 			qt.Check(t, cluster.nodes["m2"].replica.Epoch(i), qt.Equals, status.Epoch)
 		}
 	}
-	qt.Assert(t, cluster.replicateCalls-callsBefore < 600, qt.IsTrue, qt.Commentf("%d copies", cluster.replicateCalls-callsBefore))
+	qt.Assert(t, cluster.replicateCalls-callsBefore < 600, qt.IsTrue, qt.Commentf("%d Replicate calls", cluster.replicateCalls-callsBefore))
 }
