--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -8,16 +8,18 @@
 
 // pendingCall is a call of Execute whose outcome isn't known yet.
 type pendingCall struct {
-	// version must be committed for the call to succeed, under the same epoch.
+	// version must be committed under epoch for the call to succeed.
 	version uint64
 	epoch   uint64
-	// changed tells that the call made an entry.
-	changed  bool
+	// changed is true if the call appended an entry.
+	changed bool
+	// deadline is when the call fails, in the time of Options.Now.
 	deadline time.Duration
 	callback func(error)
 }
 
-// fail says what is promised of a call that didn't succeed.
+// fail ends the call with ErrOutcomeUnknown if it appended an entry, which may still
+// be committed, and with ErrUnavailable otherwise.
 func (c pendingCall) fail() {
 	if c.changed {
 		c.callback(ErrOutcomeUnknown)
@@ -26,11 +28,15 @@
 	c.callback(ErrUnavailable)
 }
 
-// Execute runs function on the shard's content if this member serves the shard.
-// The change that function returns, if any, is applied and replicated. callback
-// is called with nil once all that function saw and did is committed, and was
-// read under the lease; else with ErrNotOwner, ErrUnavailable or
-// ErrOutcomeUnknown, after RequestTimeout at the latest.
+// Execute runs function on the shard's state machine if this member serves the shard,
+// then applies and replicates the change that function returns, if any. function must
+// not modify content itself.
+//
+// callback is called once, possibly before Execute returns. It gets nil when everything
+// that function read and changed is committed; a call without a change also needs the
+// lease to be valid at that time. Otherwise it gets ErrNotOwner or ErrUnavailable, which
+// promise that nothing was done, or ErrOutcomeUnknown. A call that isn't decided within
+// RequestTimeout fails at the next tick.
 func (r *Replica) Execute(shard int, function func(content StateMachine, now time.Duration) *meshpb.Change, callback func(error)) {
 	s := r.shards[shard]
 	now := r.now()
@@ -56,7 +62,8 @@
 	r.resolvePending(s)
 }
 
-// propose makes an entry of the change, at the owner, and replicates it.
+// propose appends the change to the owner's log as a new entry and replicates it to the
+// preferred peers.
 func (r *Replica) propose(s *shard, change *meshpb.Change) {
 	entry := &meshpb.Entry{Shard: uint32(s.id), Epoch: s.log.epoch, Version: s.log.version + 1, Change: change}
 	s.append(entry, r.now())
@@ -76,18 +83,19 @@
 	}
 }
 
-// resolvePending ends the calls whose outcome is known, in their order.
+// resolvePending completes, in order, the pending calls whose outcome is known or whose
+// deadline has passed. It stops at the first call that is still undecided.
 func (r *Replica) resolvePending(s *shard) {
 	now := r.now()
 	for len(s.ownership.pending) > 0 {
 		call := s.ownership.pending[0]
-		lost := !s.isOwned() || s.log.epoch != call.epoch
-		done := s.ownership.commit >= call.version && (call.changed || now < s.ownership.leaseUntil)
+		ownershipLost := !s.isOwned() || s.log.epoch != call.epoch
+		succeeded := s.ownership.commit >= call.version && (call.changed || now < s.ownership.leaseUntil)
 		switch {
-		case lost:
+		case ownershipLost:
 			s.ownership.pending = s.ownership.pending[1:]
 			call.fail()
-		case done:
+		case succeeded:
 			s.ownership.pending = s.ownership.pending[1:]
 			call.callback(nil)
 		case now >= call.deadline:
@@ -99,7 +107,9 @@
 	}
 }
 
-// advanceCommit works out, at the owner, up to where a majority holds the shard.
+// advanceCommit recomputes, at the owner, the version that a majority of the members has
+// on disk, and acts on what has become committed: it begins to serve, records the
+// membership as replicated, completes pending calls and may complete a transfer.
 func (r *Replica) advanceCommit(s *shard) {
 	if !s.isOwned() {
 		return
@@ -129,8 +139,8 @@
 	}
 }
 
-// syncedVersions are the versions up to which the members have the shard on disk
-// under this owner's epoch.
+// syncedVersions returns, for each member, the version up to which its replica is on
+// disk in the owner's epoch, and 0 for a replica at another epoch.
 func (r *Replica) syncedVersions(s *shard) []uint64 {
 	versions := make([]uint64, 0, len(r.membership.Members))
 	for _, m := range r.membership.Members {
@@ -145,8 +155,8 @@
 	return versions
 }
 
-// beginServing lets a new owner take calls: a majority holds what its epoch began
-// with.
+// beginServing makes a new owner accept calls. It is called once a majority holds the
+// content that the epoch began with.
 func (r *Replica) beginServing(s *shard) {
 	s.ownership.serving = true
 	r.options.Log.Info("became shard owner", "shard", s.id, "epoch", s.log.epoch, "version", s.ownership.minimumCommit)
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -2,44 +2,48 @@
 
 import "corkcove/internal/rpc/meshpb"
 
-// writeGroup waits for a number of writes.
+// writeGroup calls a function once a number of asynchronous writes have completed.
 type writeGroup struct {
-	// outstanding counts the writes and, at first, the one who adds them: its own
-	// call of done tells that there are no more.
+	// outstanding counts the writes in progress, plus one for the code that adds them,
+	// which calls done itself after it has added the last one.
 	outstanding int
 	failed      bool
-	// end is called once all writes are done.
-	end func(failed bool)
+	// onComplete is called once all writes have completed; failed is true if any failed.
+	onComplete func(failed bool)
 }
 
-func newWriteGroup(end func(failed bool)) *writeGroup {
-	return &writeGroup{outstanding: 1, end: end}
+func newWriteGroup(onComplete func(failed bool)) *writeGroup {
+	return &writeGroup{outstanding: 1, onComplete: onComplete}
 }
 
-// add announces one more call of done.
+// add registers one more write, whose completion must be reported by a call of done.
 func (g *writeGroup) add() { g.outstanding++ }
 
+// done reports that a write has completed, with an error if it failed.
 func (g *writeGroup) done(err error) {
 	g.failed = g.failed || err != nil
 	if g.outstanding--; g.outstanding == 0 {
-		g.end(g.failed)
+		g.onComplete(g.failed)
 	}
 }
 
-// incomingReplication is a Replicate request that this member takes in.
+// incomingReplication is the state of a Replicate request that this member processes.
 type incomingReplication struct {
 	replica *Replica
-	// from is the id of the owner.
-	from   string
-	writes *writeGroup
-	// acks are the answers in the order of the shards in the request.
-	acks    []*meshpb.ReplicateAck
-	byShard map[uint32]*meshpb.ReplicateAck
+	// ownerID is the member id of the sender, the owner of the shards.
+	ownerID string
+	writes  *writeGroup
+	// acks hold one acknowledgement per shard, in the order in which the request first
+	// names the shards. ackByShard indexes them by shard.
+	acks       []*meshpb.ReplicateAck
+	ackByShard map[uint32]*meshpb.ReplicateAck
 }
 
-// HandleReplicate takes entries, epoch changes and states from an owner. reply is
-// called once all that the response acknowledges is synced, or with nil if it
-// could not be. A learner takes them as members do, and counts for nothing.
+// HandleReplicate processes the states, epoch changes and entries that an owner sends.
+// reply is called once everything that the response acknowledges is synced, or with nil
+// if a write failed. A request that isn't admitted has no effect, and its response holds
+// no acknowledgements. A learner processes requests as a member does, but what it
+// acknowledges doesn't count towards a majority.
 func (r *Replica) HandleReplicate(request *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
 	header := request.Header
 	response := &meshpb.ReplicateResponse{Membership: r.membership.Version, Member: (r.isMember() || !r.leaving) && header.To == r.self.Id}
@@ -56,17 +60,19 @@
 	}
 	response.Healthy = r.isHealthy(r.self.Id)
 	if header.NotReceiving {
-		// The owner doesn't hear this member, or is back after a while: the response
-		// tells whether it does now.
+		// The owner has received nothing from this member for longer than a lease, as its
+		// messages are lost or it was suspended. Nothing is applied; if the owner receives
+		// the response, it is in contact again.
 		response.NotReceiving = true
 		reply(response)
 		return
 	}
-	r.takeIn(request, response, reply)
+	r.processReplicate(request, response, reply)
 }
 
-func (r *Replica) takeIn(request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse, reply func(*meshpb.ReplicateResponse)) {
-	in := &incomingReplication{replica: r, from: request.Header.From.Id, byShard: map[uint32]*meshpb.ReplicateAck{}}
+// processReplicate applies an admitted request and replies once its writes are synced.
+func (r *Replica) processReplicate(request *meshpb.ReplicateRequest, response *meshpb.ReplicateResponse, reply func(*meshpb.ReplicateResponse)) {
+	in := &incomingReplication{replica: r, ownerID: request.Header.From.Id, ackByShard: map[uint32]*meshpb.ReplicateAck{}}
 	in.writes = newWriteGroup(func(failed bool) {
 		if failed {
 			reply(nil)
@@ -77,23 +83,24 @@
 		reply(response)
 	})
 	for _, state := range request.States {
-		in.takeState(state)
+		in.installState(state)
 	}
 	for _, change := range request.EpochChanges {
-		in.takeEpochChange(change)
+		in.applyEpochChange(change)
 	}
 	for _, entry := range request.Entries {
-		in.takeEntry(entry)
+		in.appendEntry(entry)
 	}
 	in.writes.done(nil)
 }
 
-// grantLeases renews the owner's leases of the shards that it replicated. Where
-// another epoch got the vote meanwhile, nothing is acknowledged.
+// grantLeases grants the owner a lease on each acknowledged shard. If this member has
+// voted in another epoch while the writes were in progress, it reports a gap instead of
+// acknowledging.
 func (in *incomingReplication) grantLeases() {
 	for _, ack := range in.acks {
 		s := in.replica.shards[ack.Shard]
-		if !ack.Gap && s.vote == (vote{ack.Epoch, in.from}) {
+		if !ack.Gap && s.vote == (vote{ack.Epoch, in.ownerID}) {
 			in.replica.grantLease(s)
 		} else {
 			ack.Gap = true
@@ -101,51 +108,60 @@
 	}
 }
 
+// addAck adds the acknowledgement of a shard to the response.
 func (in *incomingReplication) addAck(shard uint32, epoch, version uint64) *meshpb.ReplicateAck {
 	ack := &meshpb.ReplicateAck{Shard: shard, Epoch: epoch, Version: version}
 	in.acks = append(in.acks, ack)
-	in.byShard[shard] = ack
+	in.ackByShard[shard] = ack
 	return ack
 }
 
-// awaitEarlierWrites makes the response wait for what the replica holds already.
+// awaitEarlierWrites delays the response until all earlier writes are synced. An
+// acknowledgement of what the replica already holds depends on them.
 func (in *incomingReplication) awaitEarlierWrites() {
 	in.writes.add()
 	in.replica.awaitPersisted(in.writes.done)
 }
 
-// superseded tells that this member's vote is for another epoch than the one that
-// it is to acknowledge.
-func (in *incomingReplication) superseded(s *shard, ack *meshpb.ReplicateAck) bool {
+// rejectIfSuperseded reports whether this member may not acknowledge the epoch of ack,
+// because it has voted in a later one, or for another candidate in the same one, or
+// because the owner has given up that epoch. If so, it makes ack a rejection that holds
+// the epoch of the last vote.
+func (in *incomingReplication) rejectIfSuperseded(s *shard, ack *meshpb.ReplicateAck) bool {
 	if ack.Epoch > s.vote.epoch {
 		return false
 	}
-	if ack.Epoch == s.vote.epoch && s.vote.candidate == in.from && ack.Epoch > s.lease.endedEpoch {
+	if ack.Epoch == s.vote.epoch && s.vote.candidate == in.ownerID && ack.Epoch > s.lease.endedEpoch {
 		return false
 	}
 	ack.Promised, ack.Gap = s.vote.epoch, true
 	return true
 }
 
-// adoptEpoch votes for the owner of a higher epoch, as if it had asked.
+// adoptEpoch votes for the sender if epoch is above that of the last vote, as if the
+// sender had requested the vote. The write of the vote isn't awaited: the caller
+// writes a state or an epoch change next, and Storage completes writes in order.
 func (in *incomingReplication) adoptEpoch(s *shard, epoch uint64) {
 	if epoch <= s.vote.epoch {
 		return
 	}
 	in.replica.stepDown(s, epoch, "another member took over")
-	s.vote = vote{epoch: epoch, candidate: in.from}
+	s.vote = vote{epoch: epoch, candidate: in.ownerID}
 	in.replica.persistVote(s, func(error) {})
 }
 
-// reportGap says what the replica holds instead of what the owner took it to.
+// reportGap makes ack tell the owner the actual position of the replica, which isn't
+// the one that the owner assumed.
 func reportGap(s *shard, ack *meshpb.ReplicateAck) {
 	ack.Gap, ack.HaveEpoch, ack.HaveVersion = true, s.log.epoch, s.log.version
 }
 
-func (in *incomingReplication) takeState(state *meshpb.ShardState) {
+// installState replaces the replica's content with a full state. It acknowledges but
+// doesn't install a state that the replica already contains.
+func (in *incomingReplication) installState(state *meshpb.ShardState) {
 	s := in.replica.shards[state.Shard]
 	ack := in.addAck(state.Shard, state.Epoch, state.Version)
-	if in.superseded(s, ack) {
+	if in.rejectIfSuperseded(s, ack) {
 		return
 	}
 	if state.Epoch == s.log.epoch && s.log.version >= state.Version {
@@ -158,10 +174,12 @@
 	in.replica.install(s, state, state.Epoch, in.writes.done)
 }
 
-func (in *incomingReplication) takeEpochChange(change *meshpb.EpochChange) {
+// applyEpochChange takes the replica to a new epoch. It reports a gap unless the replica
+// is at exactly the position that the change starts from.
+func (in *incomingReplication) applyEpochChange(change *meshpb.EpochChange) {
 	s := in.replica.shards[change.Shard]
 	ack := in.addAck(change.Shard, change.Epoch, 0)
-	if in.superseded(s, ack) {
+	if in.rejectIfSuperseded(s, ack) {
 		return
 	}
 	if change.Epoch == s.log.epoch {
@@ -179,16 +197,19 @@
 	ack.Version = s.log.version
 }
 
-func (in *incomingReplication) takeEntry(entry *meshpb.Entry) {
+// appendEntry appends an entry to the replica and acknowledges it with the shard's
+// earlier data in the request. It skips entries that the replica already has, and
+// reports a gap if the entry is of another epoch or an entry before it is missing.
+func (in *incomingReplication) appendEntry(entry *meshpb.Entry) {
 	s := in.replica.shards[entry.Shard]
-	ack := in.byShard[entry.Shard]
+	ack := in.ackByShard[entry.Shard]
 	if ack == nil {
 		ack = in.addAck(entry.Shard, entry.Epoch, s.log.version)
 		if entry.Epoch == s.log.epoch {
 			in.awaitEarlierWrites()
 		}
 	}
-	if ack.Gap || in.superseded(s, ack) {
+	if ack.Gap || in.rejectIfSuperseded(s, ack) {
 		return
 	}
 	if entry.Epoch != s.log.epoch || entry.Version > s.log.version+1 {
