--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -6,53 +6,60 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// How much of a shard's log is kept in memory for members that lag: others get
-// the full state. The memory is what bounds it.
+// Limits of the entries that a replica keeps in memory for lagging members; members
+// that are further behind get the full state. They bound the memory per shard.
 const (
+	// maxLogEntries is the maximum number of entries.
 	maxLogEntries = 1024
-	maxLogBytes   = 1 << 20
-	// maxEpochEnds is how many ends of earlier epochs are remembered.
+	// maxLogBytes is the maximum sum of their encoded sizes, in bytes.
+	maxLogBytes = 1 << 20
+	// maxEpochEnds is how many ends of earlier epochs are kept.
 	maxEpochEnds = 16
 )
 
-// replicaLog is the position of a replica and the last entries that led there.
+// replicaLog is the position of a replica and the most recent entries that led to it.
 type replicaLog struct {
+	// position is that of the content in memory, which may be ahead of the disk.
 	position
-	// synced is the version up to which all is on disk.
+	// synced is the version up to which the content is on disk under the current epoch,
+	// 0 if that isn't known.
 	synced uint64
-	// entries are the last ones; size is the sum of their sizes in bytes.
-	entries []*meshpb.Entry
-	size    int
-	// epochEnds are the positions at which earlier epochs ended in this replica,
-	// the latest at the end.
+	// entries are the most recent ones, ending with the one at version. entryBytes is
+	// the sum of their encoded sizes.
+	entries    []*meshpb.Entry
+	entryBytes int
+	// epochEnds are the positions at which earlier epochs ended in this replica, oldest
+	// first.
 	epochEnds []position
 }
 
-// append takes the next entry.
+// append adds the next entry and trims the log if it exceeds a limit.
 func (l *replicaLog) append(entry *meshpb.Entry) {
 	l.version = entry.Version
 	l.entries = append(l.entries, entry)
-	if l.size += proto.Size(entry); len(l.entries) > maxLogEntries || l.size > maxLogBytes {
+	if l.entryBytes += proto.Size(entry); len(l.entries) > maxLogEntries || l.entryBytes > maxLogBytes {
 		l.trim()
 	}
 }
 
-// trim drops half of the entries, so that it isn't done for each new one.
+// trim drops the oldest entries until the log is at most half of both limits, so that
+// appending an entry doesn't trim the log every time.
 func (l *replicaLog) trim() {
 	for i := range l.entries {
-		if len(l.entries)-i <= maxLogEntries/2 && l.size <= maxLogBytes/2 {
+		if len(l.entries)-i <= maxLogEntries/2 && l.entryBytes <= maxLogBytes/2 {
 			l.entries = append([]*meshpb.Entry(nil), l.entries[i:]...)
 			return
 		}
-		l.size -= proto.Size(l.entries[i])
+		l.entryBytes -= proto.Size(l.entries[i])
 	}
-	l.entries, l.size = nil, 0
+	l.entries, l.entryBytes = nil, 0
 }
 
-// reset drops the entries and the past epochs.
-func (l *replicaLog) reset() { l.entries, l.size, l.epochEnds = nil, 0, nil }
+// reset drops the entries and the ends of earlier epochs.
+func (l *replicaLog) reset() { l.entries, l.entryBytes, l.epochEnds = nil, 0, nil }
 
-// beginEpoch notes where the present epoch ended, and begins another.
+// beginEpoch records the current position as the end of its epoch, and moves the log to
+// a new epoch at the same version.
 func (l *replicaLog) beginEpoch(epoch uint64) {
 	l.epochEnds = append(l.epochEnds, l.position)
 	if n := len(l.epochEnds); n > maxEpochEnds {
@@ -61,24 +68,28 @@
 	l.epoch = epoch
 }
 
-// recordSynced notes that all up to version is on disk.
+// recordSynced records that the content up to version is on disk.
 func (l *replicaLog) recordSynced(version uint64) { l.synced = max(l.synced, version) }
 
-// lastEpochEnd is where the epoch before this one ended.
+// lastEpochEnd returns the position at which the previous epoch ended. An owner's log
+// always has one, since becomeOwner changes the epoch or installs a state.
 func (l *replicaLog) lastEpochEnd() position { return l.epochEnds[len(l.epochEnds)-1] }
 
-// entriesAfter returns the entries that lead from a replica at from to this one,
-// if from is known to be part of this one's history and the log reaches back to
-// it. An epoch has one history, so a replica at an epoch that is part of this
-// one's past, no further than that epoch went here, holds a part of this one.
-func (l *replicaLog) entriesAfter(from position) ([]*meshpb.Entry, bool) {
+// entriesAfter returns the entries that take a replica at from to this log's position.
+// ok is false if from isn't known to be part of this log's history, or if the log no
+// longer holds all of these entries.
+//
+// All replicas of one epoch share one history. So a replica at the current epoch, or at
+// an earlier epoch in epochEnds, holds a prefix of this log's history if its version
+// isn't beyond the point that this log reached in that epoch.
+func (l *replicaLog) entriesAfter(from position) (entries []*meshpb.Entry, ok bool) {
 	known := from.epoch == l.epoch && from.version <= l.version
 	for _, end := range l.epochEnds {
 		known = known || end.epoch == from.epoch && from.version <= end.version
 	}
-	n := l.version - from.version
-	if !known || from.version > l.version || n > uint64(len(l.entries)) {
+	missing := l.version - from.version
+	if !known || from.version > l.version || missing > uint64(len(l.entries)) {
 		return nil, false
 	}
-	return l.entries[uint64(len(l.entries))-n:], true
+	return l.entries[uint64(len(l.entries))-missing:], true
 }
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -2,16 +2,19 @@
 
 import "corkcove/internal/rpc/meshpb"
 
-// maxSuccessorLag is how many entries a preferred owner's replica may lack for a
-// transfer to begin: it must catch up while no calls are taken.
+// maxSuccessorLag is the maximum number of entries that the preferred owner's replica
+// may lack when a transfer to it begins. The shard accepts no calls while the replica
+// catches up.
 const maxSuccessorLag = 64
 
-// Leave begins to transfer all that this member owns. Where a learner waits for a
-// place, it is given this member's before LeaveComplete.
+// Leave begins the graceful departure of this member: it transfers the ownership of all
+// its shards and asks to be replaced by a learner, if there is one. LeaveComplete
+// reports when that is finished.
 func (r *Replica) Leave() { r.leaving, r.heartbeatDue = true, true }
 
-// LeaveComplete tells that a member that leaves owns nothing any more and, if a
-// learner could take its place, that this has happened.
+// LeaveComplete reports whether a leaving member may exit: it owns no shards and, if a
+// learner was available to replace it, has been removed from the membership, and the
+// remaining members hold all shards.
 func (r *Replica) LeaveComplete() bool {
 	for _, s := range r.shards {
 		if s.isOwned() {
@@ -24,15 +27,15 @@
 	return r.isMember() && len(r.learners) == 0 && len(r.membership.Members) <= int(r.membership.Size)
 }
 
-// maybeTransfer begins a transfer if this member can't go on as the shard's owner,
-// or if another one is preferred.
+// maybeTransfer begins a transfer if this member can't remain the shard's owner, or if
+// another member is the preferred owner.
 func (r *Replica) maybeTransfer(s *shard) {
 	if !s.ownership.serving {
 		return
 	}
 	successor := ""
 	if r.mustTransfer(s) {
-		successor = r.firstHealthyOther(s)
+		successor = r.healthySuccessor(s)
 	} else if r.mayTransferToPreferred(s) {
 		successor = r.preferredOwner(s.id)
 	}
@@ -41,14 +44,17 @@
 	}
 }
 
+// mustTransfer reports whether this member must give up the shard: it is leaving, its
+// disk failed, or its disk is stalled. A stalled disk doesn't count until the ownership
+// is older than stalledOwnership, because a new owner writes a lot at first.
 func (r *Replica) mustTransfer(s *shard) bool {
 	stalled := r.diskStalled() && r.now()-s.ownership.began > r.options.stalledOwnership()
 	return r.leaving || r.disk.failed || stalled
 }
 
-// firstHealthyOther is the id of the member that comes next in the order for the
-// shard, empty if none can own it.
-func (r *Replica) firstHealthyOther(s *shard) string {
+// healthySuccessor returns the id of the first healthy other member in the shard's
+// order of preference, or "" if there is none.
+func (r *Replica) healthySuccessor(s *shard) string {
 	for _, id := range r.membersByPreference(s.id) {
 		if id != r.self.Id && r.isHealthy(id) {
 			return id
@@ -57,8 +63,10 @@
 	return ""
 }
 
-// mayTransferToPreferred tells that the preferred owner is another, healthy for
-// long enough, and nearly caught up. One shard is transferred at a time.
+// mayTransferToPreferred reports whether the shard can move to its preferred owner: the
+// membership is complete, this member has owned the shard for minimumOwnership, and the
+// preferred owner is another member that has been healthy for successorHealthyFor and
+// has almost caught up. Only one shard is transferred at a time.
 func (r *Replica) mayTransferToPreferred(s *shard) bool {
 	if len(r.membership.Members) < int(r.membership.Size) {
 		return false
@@ -81,7 +89,7 @@
 	return true
 }
 
-// beginTransfer stops taking calls, so that the successor can catch up.
+// beginTransfer stops accepting calls for the shard, so that the successor can catch up.
 func (r *Replica) beginTransfer(s *shard, successor string) {
 	s.role, s.roleSince = transferring, r.now()
 	s.ownership.successor = successor
@@ -91,8 +99,9 @@
 	r.maybeCompleteTransfer(s)
 }
 
-// maybeCompleteTransfer gives up the shard and names the successor to all, once
-// the successor holds all and every call has been answered.
+// maybeCompleteTransfer gives up the ownership and announces the successor to all
+// members, once everything is committed, the successor's replica holds all of it, and
+// every pending call has been answered.
 func (r *Replica) maybeCompleteTransfer(s *shard) {
 	successor := s.ownership.successor
 	p := r.peers[successor]
@@ -108,36 +117,36 @@
 		return
 	}
 	r.options.Log.Info("transferred shard ownership", "shard", s.id, "epoch", s.log.epoch, "peer", successor)
-	ended := []*meshpb.Watermark{{Shard: uint32(s.id), Epoch: s.log.epoch}}
+	watermarks := []*meshpb.Watermark{{Shard: uint32(s.id), Epoch: s.log.epoch}}
 	r.stepDown(s, s.log.epoch, "ownership transferred")
 	s.lease.grantedUntil, s.election.notBefore = 0, r.now()+r.options.predecessorBackoff()
 	for _, p := range r.voters {
-		request := &meshpb.TransferOwnershipRequest{Watermarks: ended, Successor: successor, Header: r.header(p)}
+		request := &meshpb.TransferOwnershipRequest{Watermarks: watermarks, Successor: successor, Header: r.header(p)}
 		r.transport.TransferOwnership(p.member, request, func(*meshpb.TransferOwnershipResponse) {})
 	}
 }
 
-// HandleTransferOwnership takes the word of an owner that it has given up shards.
-// The leases granted to it end; if this member is the successor, it becomes a
-// candidate without a pre-vote.
+// HandleTransferOwnership processes an owner's notice that it has given up shards. This
+// member ends the leases that it granted to the owner. If it is the successor, it starts
+// elections without a pre-vote; otherwise it starts none for bystanderBackoff.
 func (r *Replica) HandleTransferOwnership(request *meshpb.TransferOwnershipRequest) *meshpb.TransferOwnershipResponse {
 	header := request.Header
 	if header.To != r.self.Id || header.Membership != r.membership.Version || !r.isMember() {
 		return &meshpb.TransferOwnershipResponse{}
 	}
-	var offered []*shard
-	for _, ended := range request.Watermarks {
-		s := r.shards[ended.Shard]
-		if s.vote != (vote{ended.Epoch, header.From.Id}) {
+	var toElect []*shard
+	for _, watermark := range request.Watermarks {
+		s := r.shards[watermark.Shard]
+		if s.vote != (vote{watermark.Epoch, header.From.Id}) {
 			continue
 		}
-		s.lease.grantedUntil, s.lease.endedEpoch = 0, ended.Epoch
+		s.lease.grantedUntil, s.lease.endedEpoch = 0, watermark.Epoch
 		if request.Successor != r.self.Id {
 			s.election.notBefore = r.now() + r.options.bystanderBackoff()
 		} else if s.role == follower && !r.disk.failed {
-			offered = append(offered, s)
+			toElect = append(toElect, s)
 		}
 	}
-	r.startElections(offered)
+	r.startElections(toElect)
 	return &meshpb.TransferOwnershipResponse{Ok: true}
 }
--- a/internal/replication/transfer_test.go
+++ b/internal/replication/transfer_test.go
@@ -7,6 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// TestLeaveTransfersOwnership checks that the other members own all shards within 600 ms
+// of Leave.
 func TestLeaveTransfersOwnership(t *testing.T) {
 	cluster := newSimCluster(t, 4, 3)
 	cluster.runUntil(4 * time.Second)
@@ -16,6 +18,8 @@
 	qt.Assert(t, cluster.ownedShards(), qt.Equals, simShards)
 }
 
+// TestStalledDiskTransfersOwnership checks that an owner whose disk takes 8 s per sync
+// transfers its shards within 1.5 s, and that the new owners serve calls.
 func TestStalledDiskTransfersOwnership(t *testing.T) {
 	cluster := newSimCluster(t, 6, 3)
 	load := newWorkload(cluster)
@@ -30,9 +34,11 @@
 	requireServing(t, cluster, load, before+40)
 }
 
-// TestTransferIsQuickInAnyMessageOrder: a vote request may overtake the word that the
-// owner has transferred the shard, and is then repeated; what the owner had sent
-// before may come after it, and renews no lease.
+// TestTransferIsQuickInAnyMessageOrder checks with 60 message orders that a transfer
+// leaves no shard without an owner for long. The successor's vote request may overtake
+// the owner's TransferOwnership message; it is then rejected, since the lease is still
+// valid, and must soon be repeated. Heartbeats and Replicate requests that the owner
+// sent earlier may arrive after that message, and must not renew the lease.
 func TestTransferIsQuickInAnyMessageOrder(t *testing.T) {
 	late := 0
 	for seed := int64(1); seed <= 60; seed++ {
@@ -48,11 +54,12 @@
 		cluster.runUntil(cluster.now + time.Second)
 		qt.Check(t, cluster.ownedShards(), qt.Equals, simShards, qt.Commentf("seed %d", seed))
 	}
-	qt.Assert(t, late, qt.Equals, 0, qt.Commentf("of 60"))
+	qt.Assert(t, late, qt.Equals, 0, qt.Commentf("of 60 seeds"))
 }
 
-// TestStarvedOwnerKeepsItsShards: transferred, the load of a member without processor
-// time would starve the next one, and then the one after it.
+// TestStarvedOwnerKeepsItsShards checks that an owner which gets too little processor
+// time doesn't mistake its late writes for a stalled disk and transfer its shards.
+// Their load would starve the next owner, and then the one after it.
 func TestStarvedOwnerKeepsItsShards(t *testing.T) {
 	cluster := newSimCluster(t, 6, 5)
 	load := newWorkload(cluster)
