--- a/internal/replication/replicate_test.go
+++ b/internal/replication/replicate_test.go
@@ -47,7 +47,8 @@
 
 // TestPeerWithoutEpochChangeSupportGetsFullStates checks that a member of an earlier
 // release, which processes states and entries but ignores epoch changes, still reaches
-// the epoch of a new owner, and that few Replicate calls are needed for it.
+// the epoch of a new owner. The limit on Replicate calls, which includes those of the
+// workload, guards against an owner that repeats ignored epoch changes in a loop.
 func TestPeerWithoutEpochChangeSupportGetsFullStates(t *testing.T) {
 	cluster := newSimCluster(t, 2, 3)
 	load := newWorkload(cluster)
