--- a/internal/replication/handler.go
+++ b/internal/replication/handler.go
@@ -18,7 +18,7 @@
 // mailbox that was closed.
 func result[Response any](response *Response, ok bool) (*Response, error) {
 	if !ok || response == nil {
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	return response, nil
 }
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -7,69 +7,73 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Options configure a Replica. There are no defaults: each field without the
-// word optional must be set. The values named are those of corkcove.
+// Options configures a Replica. There are no defaults: every field that is not
+// marked optional must be set. The values in parentheses are those of corkcove.
 type Options struct {
-	// Self is how other members reach this one; its Id is ignored, since the id is
+	// Self is this process as other members reach it. Its Id is ignored: the id is
 	// read from the log or made by NewID.
 	Self *meshpb.Member
 
-	// Seeds are the members of the first start, or for a learner the members to ask
-	// for a place. If none of them runs, a learner never gets one (see
-	// SetExtraSeeds).
+	// Seeds are the members of the initial membership or, for a learner, the members
+	// that it asks for admission. If none of them runs, a learner is never admitted
+	// (see SetExtraSeeds).
 	Seeds []*meshpb.Member
 
-	// Bootstrap marks the first start of a whole core: without a log, the Seeds are
-	// the first membership. If it is set again once a core exists, an emptied
-	// majority would start a second one and lose the state.
+	// Bootstrap marks the first start of a whole cluster: a process without a log then
+	// takes Seeds as the initial membership. It must not be set again once a cluster
+	// exists: a majority with empty disks would form a second cluster, and the state
+	// would be lost.
 	Bootstrap bool
 
-	// Shards is the number of shards (13). All members, and all starts, must agree.
+	// Shards is the number of shards (13). It must be the same for all members and
+	// across all restarts.
 	Shards int
 
-	// LeaseDuration is for how long a member that answered an owner grants no other
-	// candidate its vote (900 ms). A shard whose owner is lost has none for this
-	// long at least. If it is too short for heartbeats to come back in time, shards
-	// change their owners for nothing. All members must agree: one with a shorter
-	// lease would let a second owner in while the first one still serves reads.
+	// LeaseDuration is how long a member that answered an owner grants no other
+	// candidate its vote (900 ms). A shard whose owner fails has no owner for at least
+	// this long. If it is too short for heartbeats to return in time, shards change
+	// owners needlessly. It must be the same for all members: one with a shorter lease
+	// would vote for a second owner while the first still serves reads.
 	LeaseDuration time.Duration
 
 	// HeartbeatInterval is how often an owner renews its leases (250 ms). It must be
-	// well below half of LeaseDuration, so that one lost heartbeat costs nothing.
+	// well below half of LeaseDuration, so that the loss of one heartbeat does not
+	// cost the lease.
 	HeartbeatInterval time.Duration
 
 	// RequestTimeout is how long Execute waits for a commit or a lease before it
-	// fails (900 ms). Above what the caller waits for, its errors come too late.
+	// fails (900 ms). If it exceeds the caller's own timeout, the errors arrive too
+	// late.
 	RequestTimeout time.Duration
 
-	// EvictionTimeout is for how long a member must have been unreachable before a
-	// learner may take its place (2 s). If it is below the length of a restart,
-	// members lose their places to each restart.
+	// EvictionTimeout is how long a member must have been unreachable before a learner
+	// may replace it (2 s). If it is shorter than a restart takes, members can be
+	// evicted during any restart.
 	EvictionTimeout time.Duration
 
-	// CheckpointBytes is the size of the log's records after which a snapshot takes
-	// their place (4 MiB). If it is small, the disk is busy with snapshots; if it is
-	// large, a start reads for long.
+	// CheckpointBytes is the size of the records in the log, in bytes, above which a
+	// snapshot replaces them (4 MiB). A small value keeps the disk busy with snapshots;
+	// a large one makes startup slow.
 	CheckpointBytes int
 
-	// NewStateMachine makes the empty content of a shard.
+	// NewStateMachine returns the empty content of a shard.
 	NewStateMachine func() StateMachine
 
-	// NewID makes an id that no member has ever had. A process without a log takes a
-	// new one, since votes that it gave under the old one are forgotten.
+	// NewID returns an id that no member has ever had. A process without a log takes a
+	// new one, since the votes that it gave under its earlier id are lost.
 	NewID func() string
 
-	// Now is the time since a fixed moment. It must never go back.
+	// Now returns the time since a fixed moment. It must never go backwards.
 	Now func() time.Duration
 
-	// Rand gives a number from 0 up to n, n excluded. It spreads elections.
+	// Rand returns a random number in [0, n). It adds jitter to elections.
 	Rand func(n int) int
 
 	// Log is the logger of the process. Optional.
 	Log logring.Logger
 
-	// OnOwnershipChange is called when this member has begun, or ceased, to serve a
-	// shard as its owner. Optional.
+	// OnOwnershipChange is called when this member starts or stops serving a shard as
+	// its owner. Optional.
 	OnOwnershipChange func(shard int, owned bool, epoch uint64)
 
 	// OnCommit is called when entries of an owned shard have been committed.
@@ -79,16 +83,21 @@
 	// OnMembershipChange is called with each new membership. Optional.
 	OnMembershipChange func(*meshpb.Membership)
 
-	// OnEntryProgress is called for each step of an entry at this member, which is
-	// one of the Progress constants; change is nil for ProgressCommitted, which
-	// stands for all entries up to version. Optional.
+	// OnEntryProgress is called for each step of an entry at this member; step is one
+	// of the Progress constants. change is nil for ProgressCommitted, which covers all
+	// entries up to version. Optional.
 	OnEntryProgress func(step string, shard int, epoch, version uint64, change *meshpb.Change)
 }
 
-// The steps of an entry, in their order. They are the words of `corkcove trace`.
+// The steps of an entry, in order. `corkcove trace` prints these values.
 const (
-	ProgressProposed  = "proposed"
-	ProgressReceived  = "received"
-	ProgressSynced    = "synced"
+	// ProgressProposed means that the owner has created the entry.
+	ProgressProposed = "proposed"
+	// ProgressReceived means that a member other than the owner, or a learner, has
+	// received the entry.
+	ProgressReceived = "received"
+	// ProgressSynced means that the entry is synced to disk at this member.
+	ProgressSynced = "synced"
+	// ProgressCommitted means that the owner has found the entry to be committed.
 	ProgressCommitted = "committed"
 )
