--- a/internal/replication/wal_storage.go
+++ b/internal/replication/wal_storage.go
@@ -5,24 +5,26 @@
 	"corkcove/internal/wal"
 )
 
-// WALStorage is the Storage on a write-ahead log. Its callbacks go through the
-// replica's mailbox.
+// WALStorage is a Storage that writes to a write-ahead log.
 type WALStorage struct {
+	// Mailbox is the replica's mailbox, in which the callbacks run.
 	Mailbox *mailbox.Mailbox
-	Log     *wal.Log
+	// Log is the log that holds the records.
+	Log *wal.Log
 }
 
 // Append implements Storage.
 func (s WALStorage) Append(record []byte, done func(error)) {
-	s.Log.Append(record, s.posted(done))
+	s.Log.Append(record, s.postCallback(done))
 }
 
 // Checkpoint implements Storage.
 func (s WALStorage) Checkpoint(snapshot [][]byte, done func(error)) {
-	s.Log.Checkpoint(snapshot, s.posted(done))
+	s.Log.Checkpoint(snapshot, s.postCallback(done))
 }
 
-func (s WALStorage) posted(done func(error)) func(error) {
+// postCallback returns a callback that runs done in the mailbox.
+func (s WALStorage) postCallback(done func(error)) func(error) {
 	return func(err error) {
 		s.Mailbox.Post(func() { done(err) })
 	}
