--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -60,11 +60,11 @@
 func (r *Replica) propose(s *shard, change *meshpb.Change) {
 	entry := &meshpb.Entry{Shard: uint32(s.id), Epoch: s.log.epoch, Version: s.log.version + 1, Change: change}
 	s.append(entry, r.now())
-	r.entryProgress(ProgressProposed, s, entry.Epoch, entry.Version, change)
+	r.reportEntryProgress(ProgressProposed, s, entry.Epoch, entry.Version, change)
 	r.persist(&meshpb.Record{Entry: entry}, func(err error) {
 		if err == nil && s.log.epoch == entry.Epoch && s.log.synced+1 >= entry.Version {
 			s.log.recordSynced(entry.Version)
-			r.entryProgress(ProgressSynced, s, entry.Epoch, entry.Version, change)
+			r.reportEntryProgress(ProgressSynced, s, entry.Epoch, entry.Version, change)
 			r.advanceCommit(s)
 		}
 	})
@@ -118,7 +118,7 @@
 	}
 	if commit > s.ownership.commit {
 		s.ownership.commit = commit
-		r.entryProgress(ProgressCommitted, s, s.log.epoch, commit, nil)
+		r.reportEntryProgress(ProgressCommitted, s, s.log.epoch, commit, nil)
 		r.resolvePending(s)
 		if r.options.OnCommit != nil {
 			r.options.OnCommit(s.id)
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -37,7 +37,7 @@
 func (r *Replica) electionDue(s *shard) bool {
 	now := r.now()
 	votedForSelf := s.vote.candidate == r.self.Id
-	if s.role != follower || now < s.election.notBefore || now < s.lease.hintUntil {
+	if s.role != follower || now < s.election.notBefore || now < s.lease.ownerHintUntil {
 		return false
 	}
 	if now < s.lease.grantedUntil && !votedForSelf {
@@ -83,8 +83,8 @@
 // startPreVotedElections begins the elections, in one call to each peer, of all
 // shards whose pre-vote has just been won.
 func (r *Replica) startPreVotedElections() {
-	shards := r.preVoted
-	r.preVoted = nil
+	shards := r.wonPreVotes
+	r.wonPreVotes = nil
 	r.startElections(shards)
 }
 
@@ -117,7 +117,7 @@
 	s.vote = vote{epoch: epoch, candidate: r.self.Id}
 	s.lease.grantedUntil = 0
 	s.election.votes = map[string]bool{}
-	s.election.best, s.election.bestPosition = nil, s.position()
+	s.election.newestState, s.election.newestPosition = nil, s.position()
 	r.persistVote(s, func(err error) {
 		if err == nil {
 			r.recordVote(s, epoch, r.self.Id)
@@ -189,8 +189,8 @@
 	}
 	have := position{reply.HaveEpoch, reply.HaveVersion}
 	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, have
-	if reply.State != nil && have.newerThan(s.election.bestPosition) {
-		s.election.best, s.election.bestPosition = reply.State, have
+	if reply.State != nil && have.newerThan(s.election.newestPosition) {
+		s.election.newestState, s.election.newestPosition = reply.State, have
 	}
 	r.recordVote(s, reply.Epoch, p.member.Id)
 }
@@ -201,11 +201,11 @@
 		return
 	}
 	s.election.votes[from] = true
-	if !s.election.votes[r.self.Id] || countIn(r.membership, s.election.votes) < r.quorum() {
+	if !s.election.votes[r.self.Id] || countMembers(r.membership, s.election.votes) < r.quorum() {
 		return
 	}
 	if s.election.preVote {
-		r.preVoted = append(r.preVoted, s)
+		r.wonPreVotes = append(r.wonPreVotes, s)
 		s.election.votes = map[string]bool{}
 		return
 	}
@@ -215,14 +215,14 @@
 // becomeOwner begins an ownership with the newest content that came with a vote,
 // or this member's own if none is newer.
 func (r *Replica) becomeOwner(s *shard) {
-	now, epoch, best := r.now(), s.election.epoch, s.election.best
+	now, epoch, best := r.now(), s.election.epoch, s.election.newestState
 	startVersion := s.log.version
 	if best != nil {
 		startVersion = best.Version
 	}
 	s.role, s.roleSince = owner, now
-	s.ownership = ownership{began: now, startVersion: startVersion, minimumCommit: startVersion, pending: s.ownership.pending}
-	s.election.best, s.election.votes = nil, nil
+	s.ownership = ownership{startedAt: now, startVersion: startVersion, minimumCommit: startVersion, pending: s.ownership.pending}
+	s.election.newestState, s.election.votes = nil, nil
 	if s.id == masterShard {
 		r.membershipChange.reset()
 	}
@@ -237,7 +237,7 @@
 		change := &meshpb.EpochChange{Shard: uint32(s.id), Epoch: epoch, FromEpoch: s.log.epoch, FromVersion: s.log.version}
 		r.changeEpoch(s, change, begun)
 	} else {
-		r.install(s, best, epoch, begun)
+		r.installState(s, best, epoch, begun)
 	}
 	s.stateMachine.BecomeOwner()
 	for _, p := range r.voters {
@@ -258,7 +258,7 @@
 	if s.id == masterShard {
 		r.published.masterLeaseUntil.Store(0)
 	}
-	s.election.best, s.election.votes = nil, nil
+	s.election.newestState, s.election.votes = nil, nil
 	jitter := time.Duration(r.options.Rand(int(electionJitter/time.Millisecond))) * time.Millisecond
 	s.election.notBefore = r.now() + r.options.HeartbeatInterval + jitter
 	s.election.epoch = max(s.election.epoch, epoch)
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -155,7 +155,7 @@
 	}
 	in.adoptEpoch(s, state.Epoch)
 	in.writes.add()
-	in.replica.install(s, state, state.Epoch, in.writes.done)
+	in.replica.installState(s, state, state.Epoch, in.writes.done)
 }
 
 func (in *incomingReplication) takeEpochChange(change *meshpb.EpochChange) {
@@ -200,12 +200,12 @@
 	}
 	s.append(entry, in.replica.now())
 	ack.Version = entry.Version
-	in.replica.entryProgress(ProgressReceived, s, entry.Epoch, entry.Version, entry.Change)
+	in.replica.reportEntryProgress(ProgressReceived, s, entry.Epoch, entry.Version, entry.Change)
 	in.writes.add()
 	in.replica.persist(&meshpb.Record{Entry: entry}, func(err error) {
 		if err == nil && s.log.epoch == entry.Epoch {
 			s.log.recordSynced(entry.Version)
-			in.replica.entryProgress(ProgressSynced, s, entry.Epoch, entry.Version, entry.Change)
+			in.replica.reportEntryProgress(ProgressSynced, s, entry.Epoch, entry.Version, entry.Change)
 		}
 		in.writes.done(err)
 	})
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -127,7 +127,7 @@
 		response.Granted = append(response.Granted, watermark.Shard)
 		r.membershipChange.recordReplicated(s, watermark.Committed)
 	case watermark.Epoch > s.vote.epoch:
-		s.lease.hint, s.lease.hintUntil = from, r.now()+r.options.ownerHintDuration()
+		s.lease.ownerHint, s.lease.ownerHintUntil = from, r.now()+r.options.ownerHintDuration()
 		s.election.epoch = max(s.election.epoch, watermark.Epoch)
 	case watermark.Epoch < s.vote.epoch:
 		response.Superseded = append(response.Superseded, &meshpb.Watermark{Shard: watermark.Shard, Epoch: s.vote.epoch})
@@ -139,7 +139,7 @@
 // replica is caught up.
 func (c *catchUpState) advance(version, synced uint64, now time.Duration) {
 	if synced >= min(c.watermark, version) {
-		c.at = now
+		c.caughtUpAt = now
 	}
 	c.watermark = version
 }
--- a/internal/replication/learner.go
+++ b/internal/replication/learner.go
@@ -61,7 +61,7 @@
 // moment ago.
 func (r *Replica) caughtUp() bool {
 	for _, s := range r.shards {
-		if r.now()-s.catchUp.at > learnerFreshness {
+		if r.now()-s.catchUp.caughtUpAt > learnerFreshness {
 			return false
 		}
 	}
@@ -72,7 +72,7 @@
 // now on, and the owner of the master shard gives it a place when there is one. To
 // a process that has left it tells whether the others hold all without it.
 func (r *Replica) HandleJoin(request *meshpb.JoinRequest) *meshpb.JoinResponse {
-	response := &meshpb.JoinResponse{Ok: contains(r.membership, request.From.Id), Membership: r.membership}
+	response := &meshpb.JoinResponse{Ok: containsMember(r.membership, request.From.Id), Membership: r.membership}
 	if _, owned := r.OwnedEpoch(masterShard); owned {
 		response.Replicated = r.membershipAccepted() && r.membershipReplicated()
 	}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -48,7 +48,7 @@
 // sender is in the membership that this process goes by, and goes by it too. To
 // others it offers the membership.
 func (r *Replica) admits(header *meshpb.SenderHeader, addressed bool) bool {
-	if addressed && header.Membership == r.membership.Version && contains(r.membership, header.From.Id) {
+	if addressed && header.Membership == r.membership.Version && containsMember(r.membership, header.From.Id) {
 		return true
 	}
 	r.offerMembership(header.From, header.Membership)
@@ -105,7 +105,7 @@
 func (r *Replica) adoptMembership(membership *meshpb.Membership, done func(error)) {
 	r.options.Log.Info("adopted membership", "version", membership.Version, "members", len(membership.Members))
 	r.membership = proto.Clone(membership).(*meshpb.Membership)
-	if contains(r.membership, r.self.Id) {
+	if containsMember(r.membership, r.self.Id) {
 		r.becomeMember()
 	} else {
 		r.becomeLearner()
@@ -163,7 +163,7 @@
 		return true
 	}
 	for _, membership := range []*meshpb.Membership{change.previous, r.membership} {
-		if countIn(membership, change.accepted) < quorumOf(membership) {
+		if countMembers(membership, change.accepted) < quorumOf(membership) {
 			return false
 		}
 	}
--- a/internal/replication/persistence.go
+++ b/internal/replication/persistence.go
@@ -8,22 +8,24 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// diskState is what a replica knows of its disk.
+// diskState is the state of a replica's writes to disk.
 type diskState struct {
-	// failed tells that the last write failed: this member votes and acknowledges
-	// nothing until a checkpoint succeeds, which is tried again from retryAt on.
+	// failed is set when a write fails. This member then gives no votes and
+	// acknowledges nothing until a checkpoint succeeds. retryAt is the earliest time
+	// of the next attempt.
 	failed  bool
 	retryAt time.Duration
-	// checkpointing tells that a checkpoint is under way.
+	// checkpointing is set while a checkpoint is in progress.
 	checkpointing bool
-	// bytesSinceCheckpoint is the size of the records since then.
+	// bytesSinceCheckpoint is the size of the records written since the last checkpoint
+	// began.
 	bytesSinceCheckpoint int
-	// outstanding are the times at which the records were written that aren't synced
-	// yet, oldest first.
-	outstanding []time.Duration
+	// unsyncedSince are the times at which the records that are not synced yet were
+	// written, oldest first.
+	unsyncedSince []time.Duration
 }
 
-// restoreRecord takes in one record of the log at the start.
+// restoreRecord applies one record that was read from the log at startup.
 func (r *Replica) restoreRecord(data []byte, now time.Duration) error {
 	var record meshpb.Record
 	if err := proto.Unmarshal(data, &record); err != nil {
@@ -34,7 +36,7 @@
 	}
 	if membership := record.GetMembership(); membership != nil && (r.membership == nil || membership.Version > r.membership.Version) {
 		r.membership = membership
-		r.bootstrap = r.bootstrap && !contains(membership, r.self.Id)
+		r.bootstrap = r.bootstrap && !containsMember(membership, r.self.Id)
 	}
 	if v := record.GetVote(); v != nil && r.hasShard(v) {
 		r.shards[v.Shard].restoreVote(v)
@@ -51,35 +53,41 @@
 	return nil
 }
 
-// hasShard tells whether there is a shard that message names.
+// hasShard reports whether the shard that message names exists.
 func (r *Replica) hasShard(message interface{ GetShard() uint32 }) bool {
 	return int(message.GetShard()) < len(r.shards)
 }
 
+// restoreVote applies a vote unless it is older than the last one.
 func (s *shard) restoreVote(v *meshpb.Vote) {
 	if v.Epoch >= s.vote.epoch {
 		s.vote = vote{epoch: v.Epoch, candidate: v.Candidate}
 	}
 }
 
+// restoreState replaces the replica's content.
 func (s *shard) restoreState(state *meshpb.ShardState, now time.Duration) {
 	s.log.position = position{state.Epoch, state.Version}
 	s.stateMachine.Restore(state, now, true)
 	s.log.reset()
 }
 
+// restoreEpochChange applies an epoch change if it continues from the replica's
+// position.
 func (s *shard) restoreEpochChange(change *meshpb.EpochChange, now time.Duration) {
 	if s.position() == (position{change.FromEpoch, change.FromVersion}) {
 		s.changeEpoch(change, now)
 	}
 }
 
+// restoreEntry applies an entry if it is the next one of the replica's epoch.
 func (s *shard) restoreEntry(entry *meshpb.Entry, now time.Duration) {
 	if entry.Epoch == s.log.epoch && entry.Version == s.log.version+1 {
 		s.append(entry, now)
 	}
 }
 
+// encodeRecord panics if record can't be marshaled, which no valid record causes.
 func encodeRecord(record *meshpb.Record) []byte {
 	data, err := proto.Marshal(record)
 	if err != nil {
@@ -88,13 +96,14 @@
 	return data
 }
 
-// persist writes a record. done is called once it is synced, or has failed.
+// persist writes a record. done is called once the record is synced or has failed. A
+// checkpoint follows when the log has grown beyond CheckpointBytes.
 func (r *Replica) persist(record *meshpb.Record, done func(error)) {
 	data := encodeRecord(record)
 	r.disk.bytesSinceCheckpoint += len(data)
-	r.disk.outstanding = append(r.disk.outstanding, r.now())
+	r.disk.unsyncedSince = append(r.disk.unsyncedSince, r.now())
 	r.storage.Append(data, func(err error) {
-		r.disk.outstanding = r.disk.outstanding[1:]
+		r.disk.unsyncedSince = r.disk.unsyncedSince[1:]
 		if err != nil {
 			r.recordDiskFailure(err)
 		}
@@ -105,24 +114,26 @@
 	}
 }
 
-// persistVote writes the shard's last vote.
+// persistVote writes this member's last vote for the shard.
 func (r *Replica) persistVote(s *shard, done func(error)) {
 	r.persist(&meshpb.Record{Vote: &meshpb.Vote{Shard: uint32(s.id), Epoch: s.vote.epoch, Candidate: s.vote.candidate}}, done)
 }
 
-// awaitPersisted calls done once all that was written so far is synced.
+// awaitPersisted calls done once all records written so far are synced.
 func (r *Replica) awaitPersisted(done func(error)) { r.storage.Append(nil, done) }
 
-// diskStalled tells that a record has waited long for the disk. Where this member
-// itself got no processor of late, the wait is no sign of the disk: a transfer
-// would bring the load that it suffers from to the next member, and so on.
+// diskStalled reports whether a record has waited for the disk too long. If this
+// process itself was recently short of CPU time, the wait says nothing about the
+// disk: a transfer would move the load that causes the shortage to the next member,
+// and from there to the one after it.
 func (r *Replica) diskStalled() bool {
 	now := r.now()
-	return len(r.disk.outstanding) > 0 &&
-		now-r.disk.outstanding[0] > r.options.diskStallTimeout() &&
-		now-r.clock.lastStarved > r.options.starvationWindow()
+	return len(r.disk.unsyncedSince) > 0 &&
+		now-r.disk.unsyncedSince[0] > r.options.diskStallTimeout() &&
+		now-r.tickState.lastStarved > r.options.starvationWindow()
 }
 
+// recordDiskFailure marks the disk as failed and schedules the next attempt.
 func (r *Replica) recordDiskFailure(err error) {
 	if r.disk.failed {
 		return
@@ -132,25 +143,27 @@
 	r.disk.retryAt = r.now() + diskRetryInterval
 }
 
-// retryDisk tries a checkpoint on a disk that had failed.
+// retryDisk attempts a checkpoint on a failed disk when the next attempt is due.
 func (r *Replica) retryDisk() {
 	if r.disk.failed && !r.disk.checkpointing && r.now() >= r.disk.retryAt {
 		r.checkpoint()
 	}
 }
 
-// checkpoint writes all that this member holds in place of its log.
+// checkpoint replaces the log by a snapshot of everything that this member holds.
 func (r *Replica) checkpoint() {
 	r.disk.checkpointing = true
 	r.disk.bytesSinceCheckpoint = 0
-	var written []position
+	var positions []position
 	for _, s := range r.shards {
-		written = append(written, s.position())
+		positions = append(positions, s.position())
 	}
-	r.storage.Checkpoint(r.snapshotRecords(), func(err error) { r.checkpointDone(written, err) })
+	r.storage.Checkpoint(r.snapshotRecords(), func(err error) { r.handleCheckpointResult(positions, err) })
 }
 
-func (r *Replica) checkpointDone(written []position, err error) {
+// handleCheckpointResult marks the disk as healthy and the positions that the snapshot
+// contained as synced or, after a failure, schedules the next attempt.
+func (r *Replica) handleCheckpointResult(positions []position, err error) {
 	r.disk.checkpointing = false
 	if err != nil {
 		r.recordDiskFailure(err)
@@ -162,14 +175,14 @@
 	}
 	r.disk.failed = false
 	for i, s := range r.shards {
-		if s.log.epoch == written[i].epoch {
-			s.log.recordSynced(written[i].version)
+		if s.log.epoch == positions[i].epoch {
+			s.log.recordSynced(positions[i].version)
 			r.advanceCommit(s)
 		}
 	}
 }
 
-// snapshotRecords are the records that hold all that this member does.
+// snapshotRecords returns records of everything that this member holds.
 func (r *Replica) snapshotRecords() [][]byte {
 	records := [][]byte{encodeRecord(&meshpb.Record{Identity: &meshpb.Identity{Id: r.self.Id, Bootstrap: r.bootstrap}})}
 	if r.membership.Version > 0 {
@@ -185,16 +198,16 @@
 	return records
 }
 
-// snapshot is the full state of the shard's replica.
+// snapshot returns the full state of the shard's replica.
 func (r *Replica) snapshot(s *shard) *meshpb.ShardState {
 	state := s.stateMachine.Snapshot(r.now())
 	state.Shard, state.Epoch, state.Version = uint32(s.id), s.log.epoch, s.log.version
 	return state
 }
 
-// install makes state the content of the replica at that epoch. done is called
-// once it is synced, or has failed.
-func (r *Replica) install(s *shard, state *meshpb.ShardState, epoch uint64, done func(error)) {
+// installState replaces the replica's content by state and moves it to epoch. done is
+// called once this is synced or has failed.
+func (r *Replica) installState(s *shard, state *meshpb.ShardState, epoch uint64, done func(error)) {
 	s.stateMachine.Restore(state, r.now(), false)
 	s.log.reset()
 	s.log.epochEnds = []position{{state.Epoch, state.Version}}
@@ -204,20 +217,21 @@
 	r.persistContent(s, &meshpb.Record{State: stored}, done)
 }
 
-// changeEpoch takes the replica to another epoch. done is called once that is
-// synced, or has failed.
+// changeEpoch moves the replica to another epoch. done is called once this is synced
+// or has failed.
 func (r *Replica) changeEpoch(s *shard, change *meshpb.EpochChange, done func(error)) {
 	s.changeEpoch(change, r.now())
 	s.log.synced = 0
 	r.persistContent(s, &meshpb.Record{EpochChange: change}, done)
 }
 
-// persistContent writes the record that brought the replica to where it is now.
+// persistContent writes the record that moved the replica to its current position.
+// done is called once the record is synced or has failed.
 func (r *Replica) persistContent(s *shard, record *meshpb.Record, done func(error)) {
-	written := s.position()
+	current := s.position()
 	r.persist(record, func(err error) {
-		if err == nil && s.log.epoch == written.epoch {
-			s.log.recordSynced(written.version)
+		if err == nil && s.log.epoch == current.epoch {
+			s.log.recordSynced(current.version)
 		}
 		done(err)
 	})
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -9,16 +9,16 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// masterShard is the shard whose owner is the master of the cluster and decides
-// upon the membership.
+// masterShard is the shard whose owner is the master of the cluster and decides the
+// membership.
 const masterShard = 0
 
-// founderIDPrefix and the address are the id of a member of the first start, so
-// that all of them know the ids of all.
-const founderIDPrefix = "founder-"
+// initialMemberIDPrefix, followed by its address, is the id of an initial member, so
+// that each initial member knows the ids of the others. The ids are stored.
+const initialMemberIDPrefix = "founder-"
 
-// Replica is one member's replicas of all shards and its roles in them. See the
-// package comment for the goroutine that it belongs to.
+// Replica holds one process's replicas of all shards and its roles in them. It is
+// confined to one goroutine (see the package comment).
 type Replica struct {
 	options   Options
 	transport Transport
@@ -26,11 +26,12 @@
 
 	self       *meshpb.Member
 	membership *meshpb.Membership
-	// learner tells that this process is outside the membership.
+	// learner is set while this process is outside the membership.
 	learner bool
-	// bootstrap tells that it takes part in the first start and was never a member.
+	// bootstrap is set while this process takes part in the first start of the cluster
+	// and has never been a member.
 	bootstrap bool
-	// leaving tells that the process is about to end.
+	// leaving is set once the process is about to end.
 	leaving bool
 	// startedAt is when the process started, or last became a member.
 	startedAt time.Duration
@@ -38,43 +39,46 @@
 	shards []*shard
 
 	// peers are the other members by id, voters the same in the order of the
-	// membership, learners those that ask for a place in the order in which they came.
+	// membership. learners are the processes that request to join, in the order of
+	// their first requests.
 	peers    map[string]*peer
 	voters   []*peer
 	learners []*peer
-	// preferredPeers get entries at once (see rankPeers).
+	// preferredPeers are the peers that get new entries at once (see rankPeers).
 	preferredPeers []*peer
 
 	disk             diskState
-	clock            tickState
+	tickState        tickState
 	membershipChange membershipChange
 	join             joinState
 
-	// preVoted are the shards whose pre-vote has just been won.
-	preVoted []*shard
-	// lastHeartbeat is when heartbeats were last sent; heartbeatDue asks for more
-	// with the next tick.
+	// wonPreVotes are the shards whose pre-vote this member has just won.
+	wonPreVotes []*shard
+	// lastHeartbeat is when heartbeats were last sent. heartbeatDue requests more at
+	// the next tick.
 	lastHeartbeat time.Duration
 	heartbeatDue  bool
-	// lastWithoutQuorum is when this member last reached no majority.
+	// lastWithoutQuorum is when this member last could not reach a majority.
 	lastWithoutQuorum time.Duration
 
 	published published
 }
 
-// published is what other goroutines may read.
+// published is the state that other goroutines may read.
 type published struct {
-	// masterLeaseUntil is until when this member serves the master shard, in
+	// masterLeaseUntil is when this member's lease of the master shard ends, in
 	// nanoseconds of Options.Now.
 	masterLeaseUntil atomic.Int64
-	masterEpoch      atomic.Uint64
-	// contacts are the addresses of the members that were in contact at the last
-	// heartbeat.
+	// masterEpoch is the epoch at which this member last served the master shard.
+	masterEpoch atomic.Uint64
+	// contacts are the addresses of the members that were in contact when heartbeats
+	// were last sent.
 	contacts atomic.Pointer[map[string]bool]
 }
 
-// New starts a replica on the records that storage held, oldest first. It calls
-// storage.Checkpoint, and nothing may be appended before.
+// New returns a replica restored from the records that storage held, oldest first. It
+// fails if a record can't be decoded. It calls storage.Checkpoint, before which
+// nothing may be appended to storage.
 func New(options Options, transport Transport, storage Storage, records [][]byte) (*Replica, error) {
 	r := &Replica{
 		options:   options,
@@ -84,11 +88,11 @@
 		peers:     map[string]*peer{},
 		bootstrap: options.Bootstrap,
 		startedAt: options.Now(),
-		clock:     tickState{lastStarved: never},
+		tickState: tickState{lastStarved: never},
 	}
 	r.membershipChange.replicatedUnder = make([]uint64, options.Shards)
 	for id := range options.Shards {
-		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpState{at: never}})
+		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpState{caughtUpAt: never}})
 	}
 	now := options.Now()
 	for _, data := range records {
@@ -96,24 +100,24 @@
 			return nil, err
 		}
 	}
-	r.setIdentity()
+	r.resolveIdentity()
 	r.assumeGrantedLeases(now)
 	r.updatePeers()
 	r.checkpoint()
 	return r, nil
 }
 
-// setIdentity decides, with what the log said, who this process is: a member, a
-// founder, or a learner.
-func (r *Replica) setIdentity() {
+// resolveIdentity determines, from the id and the membership that the log held, whether
+// this process is a member, an initial member of a new cluster, or a learner.
+func (r *Replica) resolveIdentity() {
 	switch {
-	case r.self.Id == "" && r.isFounder():
-		r.self.Id = founderIDPrefix + r.self.Addr
-		r.membership = r.firstMembership()
+	case r.self.Id == "" && r.isInitialMember():
+		r.self.Id = initialMemberIDPrefix + r.self.Addr
+		r.membership = r.initialMembership()
 	case r.self.Id == "":
 		r.self.Id = r.options.NewID()
 		r.learner = true
-	case r.membership == nil || !contains(r.membership, r.self.Id):
+	case r.membership == nil || !containsMember(r.membership, r.self.Id):
 		r.learner = true
 	}
 	if r.membership == nil {
@@ -122,8 +126,9 @@
 	r.bootstrap = r.bootstrap && !r.isMember()
 }
 
-// isFounder tells that this process is one of the first membership.
-func (r *Replica) isFounder() bool {
+// isInitialMember reports whether this process is one of the seeds in the first start
+// of a cluster (see Options.Bootstrap).
+func (r *Replica) isInitialMember() bool {
 	if !r.options.Bootstrap {
 		return false
 	}
@@ -135,18 +140,19 @@
 	return false
 }
 
-func (r *Replica) firstMembership() *meshpb.Membership {
+// initialMembership returns the membership of all seeds.
+func (r *Replica) initialMembership() *meshpb.Membership {
 	membership := &meshpb.Membership{Version: 1, Size: uint32(len(r.options.Seeds))}
 	for _, seed := range r.options.Seeds {
 		m := proto.Clone(seed).(*meshpb.Member)
-		m.Id = founderIDPrefix + seed.Addr
+		m.Id = initialMemberIDPrefix + seed.Addr
 		membership.Members = append(membership.Members, m)
 	}
 	return membership
 }
 
-// assumeGrantedLeases takes it that leases were granted just before the process
-// ended: they aren't durable.
+// assumeGrantedLeases assumes that this member renewed the leases of the owners that
+// it voted for just before its process ended, since granted leases are not durable.
 func (r *Replica) assumeGrantedLeases(now time.Duration) {
 	for _, s := range r.shards {
 		if s.vote.candidate != "" && s.vote.candidate != r.self.Id {
@@ -155,8 +161,8 @@
 	}
 }
 
-// contains tells whether the member of that id is in the membership.
-func contains(membership *meshpb.Membership, id string) bool {
+// containsMember reports whether the membership contains the member with that id.
+func containsMember(membership *meshpb.Membership, id string) bool {
 	for _, m := range membership.GetMembers() {
 		if m.Id == id {
 			return true
@@ -165,8 +171,8 @@
 	return false
 }
 
-// countIn is how many members of the membership are in the set of ids.
-func countIn(membership *meshpb.Membership, ids map[string]bool) int {
+// countMembers returns how many members of the membership are in the set of ids.
+func countMembers(membership *meshpb.Membership, ids map[string]bool) int {
 	n := 0
 	for _, m := range membership.Members {
 		if ids[m.Id] {
@@ -176,12 +182,13 @@
 	return n
 }
 
-// quorumOf is how many members are a majority of the membership.
+// quorumOf returns how many members are a majority of the membership.
 func quorumOf(membership *meshpb.Membership) int { return len(membership.Members)/2 + 1 }
 
 func (r *Replica) now() time.Duration { return r.options.Now() }
 
-func (r *Replica) entryProgress(step string, s *shard, epoch, version uint64, change *meshpb.Change) {
+// reportEntryProgress calls OnEntryProgress, if it is set.
+func (r *Replica) reportEntryProgress(step string, s *shard, epoch, version uint64, change *meshpb.Change) {
 	if r.options.OnEntryProgress != nil {
 		r.options.OnEntryProgress(step, s.id, epoch, version, change)
 	}
@@ -189,9 +196,10 @@
 
 func (r *Replica) quorum() int { return quorumOf(r.membership) }
 
-func (r *Replica) isMember() bool { return !r.learner && contains(r.membership, r.self.Id) }
+func (r *Replica) isMember() bool { return !r.learner && containsMember(r.membership, r.self.Id) }
 
-// memberIndex is the place of a member in the membership, -1 if it has none.
+// memberIndex returns the index of the member with that id in the membership, or -1 if
+// there is none.
 func (r *Replica) memberIndex(id string) int {
 	for i, m := range r.membership.Members {
 		if m.Id == id {
--- a/internal/replication/shard.go
+++ b/internal/replication/shard.go
@@ -6,38 +6,39 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// role is what this member is to one shard.
+// role is the role of this member in one shard.
 type role int
 
 const (
 	// follower keeps a replica and grants leases and votes.
 	follower role = iota
-	// candidate asks for the votes of a majority.
+	// candidate requests the votes of a majority.
 	candidate
-	// owner decides the order of changes, and serves while it has a lease.
+	// owner orders the changes, and serves while it has a lease.
 	owner
-	// transferring is an owner that takes no calls while its successor catches up.
+	// transferring is an owner that accepts no calls while its successor catches up.
 	transferring
 )
 
 // position is a point in a shard's history: the content after all entries up to
-// version, the last of which came under epoch.
+// version, in a replica at epoch.
 type position struct{ epoch, version uint64 }
 
-// newerThan tells that a replica at p holds more than one at q.
+// newerThan reports whether p is later than q.
 func (p position) newerThan(q position) bool {
 	return p.epoch > q.epoch || p.epoch == q.epoch && p.version > q.version
 }
 
-// shard is this member's replica of one shard and its role in it.
+// shard is this member's replica of one shard, and its role in the shard.
 type shard struct {
 	id           int
 	stateMachine StateMachine
-	log          replicaLog
+	// log is the position of the replica, with the most recent entries.
+	log replicaLog
 
 	role role
-	// roleSince is when the role began; for a candidate, when its pre-vote or
-	// election did; for an owner, also when a transfer failed.
+	// roleSince is when the role began. For a candidate it is when the current
+	// pre-vote or election began, for an owner also when a transfer last failed.
 	roleSince time.Duration
 
 	vote      vote
@@ -47,95 +48,104 @@
 	catchUp   catchUpState
 }
 
-// vote is the last vote of this member, for itself too. It is durable.
+// vote is the last vote that this member gave, possibly to itself. It is durable.
 type vote struct {
-	epoch     uint64
+	epoch uint64
+	// candidate is the id of the member that got the vote.
 	candidate string
 }
 
-// lease is what this member has granted to the owner of a shard, and what it
-// knows of other owners.
+// lease is the lease that this member has granted to the owner of a shard, and
+// what it has heard of other owners.
 type lease struct {
-	// grantedUntil is until when no candidate gets a vote but the one that got the
-	// last.
+	// grantedUntil is the end of the lease, or of the grace period after a vote. Until
+	// then only the candidate that got the last vote can get another.
 	grantedUntil time.Duration
-	// endedEpoch is the last epoch whose owner has given it up: what it sent before,
-	// and comes later, renews nothing.
+	// endedEpoch is the last epoch whose owner has given up the shard. Requests of that
+	// owner that arrive afterwards renew no lease.
 	endedEpoch uint64
-	// hint is the member that said, without having this one's vote, that it owns the
-	// shard; believed until hintUntil.
-	hint      string
-	hintUntil time.Duration
+	// ownerHint is the id of a member that claims to own the shard and did not get this
+	// member's vote. The claim is believed until ownerHintUntil.
+	ownerHint      string
+	ownerHintUntil time.Duration
 }
 
-// election is this member's candidacy for a shard, and the pre-vote that it gave.
+// election is this member's candidacy for a shard, and the last pre-vote that it
+// gave.
 type election struct {
-	// preVote tells that a candidate still asks whether it would get the votes.
+	// preVote is set while a candidate only asks whether it would get the votes.
 	preVote bool
-	// epoch is the highest that was asked for, or heard to be.
+	// epoch is the highest epoch that this member has requested votes for or heard of.
 	epoch uint64
-	// votes are the members that have granted theirs.
+	// votes are the ids of the members that have granted their vote.
 	votes map[string]bool
-	// best is the newest state that came with a vote, nil if none is newer than
-	// this member's; bestPosition is what it, or this member, holds.
-	best         *meshpb.ShardState
-	bestPosition position
-	// notBefore is when this member may be a candidate again.
+	// newestState is the newest content that came with a vote, nil if none is newer
+	// than this member's own. newestPosition is its position, or this member's own.
+	newestState    *meshpb.ShardState
+	newestPosition position
+	// notBefore is the earliest time at which this member may become a candidate
+	// again.
 	notBefore time.Duration
-	// preVotedFor was told, until preVotedUntil, that it would get the vote.
+	// preVotedFor is the id of the candidate that got the last pre-vote. Until
+	// preVotedUntil no other candidate gets one.
 	preVotedFor   string
 	preVotedUntil time.Duration
 }
 
-// ownership is the state of an owner, set anew with each election that is won. It
-// stays as it was when the owner steps down, but for serving and the lease.
+// ownership is the state of an owner. It is reset, except for the pending calls,
+// when this member wins an election. When the owner steps down, only serving and
+// the lease are cleared.
 type ownership struct {
-	began time.Duration
-	// leaseUntil is until when the leases of a majority last.
+	// startedAt is when the election was won.
+	startedAt time.Duration
+	// leaseUntil is when the leases of a majority end.
 	leaseUntil time.Duration
-	// serving tells that a majority holds what this epoch began with.
+	// serving is set once a majority holds the content at the start of the epoch.
 	serving bool
-	// startVersion is the version that the epoch began with.
+	// startVersion is the version at the start of the epoch.
 	startVersion uint64
-	// minimumCommit is the version that a majority must hold before anything counts
-	// as committed: startVersion, or the version at a change of the membership.
+	// minimumCommit is the version that a majority must hold before any version
+	// counts as committed: startVersion, or the version at the last change of the
+	// membership.
 	minimumCommit uint64
-	// commit is the version up to which all is committed.
+	// commit is the version up to which all entries are committed.
 	commit uint64
-	// uncommittedSince is when the first entry that isn't committed was proposed.
+	// uncommittedSince is when an entry was last proposed while all earlier ones were
+	// committed.
 	uncommittedSince time.Duration
-	// replicatedMembership is the membership whose majority holds all that the epoch
-	// began with, 0 while that isn't known.
+	// replicatedMembership is the version of the membership whose majority holds
+	// minimumCommit, 0 while no majority is known to.
 	replicatedMembership uint64
-	// pending are the calls whose outcome isn't known yet, in their order.
+	// pending are the calls whose outcome is not known yet, oldest first.
 	pending []pendingCall
-	// successor is the member that the shard is being transferred to.
+	// successor is the id of the member that the shard is being transferred to.
 	successor string
 }
 
-// catchUpState tells how far a follower is behind its owner.
+// catchUpState records how far a replica has caught up with the shard's owner.
 type catchUpState struct {
-	// watermark is the version that the owner last said to be committed.
+	// watermark is the version that the owner last reported as committed.
 	watermark uint64
-	// at is when the watermark before the last was found to be on disk here.
-	at time.Duration
+	// caughtUpAt is when this replica was last found to have synced the watermark of
+	// the previous heartbeat.
+	caughtUpAt time.Duration
 }
 
-// isOwned tells that this member is the shard's owner, maybe one that is
+// isOwned reports whether this member is the shard's owner, including one that is
 // transferring it.
 func (s *shard) isOwned() bool { return s.role == owner || s.role == transferring }
 
-// position is what the replica holds.
+// position returns the position of the replica.
 func (s *shard) position() position { return s.log.position }
 
-// append takes the next entry into the replica, in memory.
+// append applies the next entry to the replica, in memory only.
 func (s *shard) append(entry *meshpb.Entry, now time.Duration) {
 	s.stateMachine.Apply(entry.Change, now)
 	s.log.append(entry)
 }
 
-// changeEpoch takes the replica on to the epoch of change, whose entries bring it
-// to what that epoch began with.
+// changeEpoch moves the replica to the epoch of change, in memory only. The entries
+// of change bring its content up to the start of that epoch.
 func (s *shard) changeEpoch(change *meshpb.EpochChange, now time.Duration) {
 	s.log.beginEpoch(change.Epoch)
 	for _, entry := range change.Entries {
@@ -143,9 +153,10 @@
 	}
 }
 
-// epochChangeFrom makes what takes a replica at from on to this owner's epoch. It
-// holds all entries up to the epoch's beginning, since a replica of a new epoch
-// must hold all that came before it. It is nil if the log doesn't reach back.
+// epochChangeFrom returns the epoch change that moves a replica at from to this
+// owner's epoch. It contains all entries up to the start of the epoch, since a
+// replica at an epoch must hold everything that came before it. It returns nil if
+// the log does not reach back to from.
 func (s *shard) epochChangeFrom(from position) *meshpb.EpochChange {
 	entries, ok := s.log.entriesAfter(from)
 	if !ok {
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -6,57 +6,59 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// DiskHealthy tells that the disk took the last record.
+// DiskHealthy reports whether the disk accepts writes: none has failed since the last
+// successful checkpoint.
 func (r *Replica) DiskHealthy() bool { return !r.disk.failed }
 
-// Membership is the membership that this process goes by; the caller must not
-// change it.
+// Membership returns the membership that is in use at this process. The caller must
+// not modify it.
 func (r *Replica) Membership() *meshpb.Membership { return r.membership }
 
-// Self is this process as the membership names it; the caller must not change it.
+// Self returns this process as a member, with its id. The caller must not modify it.
 func (r *Replica) Self() *meshpb.Member { return r.self }
 
-// StateMachine is the content of a shard as far as this member has it, which may
-// be behind, or not committed.
+// StateMachine returns the content of this member's replica of the shard. It may lag
+// behind the owner's, and may include changes that are not committed.
 func (r *Replica) StateMachine(shard int) StateMachine { return r.shards[shard].stateMachine }
 
-// IsLearner tells that this process is outside the membership.
+// IsLearner reports whether this process is outside the membership.
 func (r *Replica) IsLearner() bool { return !r.isMember() }
 
-// CommittedVersion is the last version of the shard that its owner knows to be
-// committed.
+// CommittedVersion returns the version up to which the shard is committed, as known
+// at its owner. At other members it is out of date, or 0.
 func (r *Replica) CommittedVersion(shard int) uint64 { return r.shards[shard].ownership.commit }
 
-// Epoch is the epoch of this member's replica of the shard.
+// Epoch returns the epoch of this member's replica of the shard.
 func (r *Replica) Epoch(shard int) uint64 { return r.shards[shard].log.epoch }
 
-// PromisedEpoch is the epoch in which this member last voted for the shard.
+// PromisedEpoch returns the epoch of this member's last vote for the shard, 0 if it
+// has not voted.
 func (r *Replica) PromisedEpoch(shard int) uint64 { return r.shards[shard].vote.epoch }
 
-// LeaseGranted tells whether a lease that this member granted to the owner of the
-// shard under that epoch runs now.
+// LeaseGranted reports whether a lease that this member granted to the owner of the
+// shard at that epoch is valid now.
 func (r *Replica) LeaseGranted(shard int, epoch uint64) bool {
 	s := r.shards[shard]
 	return s.vote.epoch == epoch && r.now() < s.lease.grantedUntil
 }
 
 // OwnedEpoch returns the epoch of this member's replica of the shard, and whether
-// this member serves the shard under a lease now.
+// this member now serves the shard under a valid lease.
 func (r *Replica) OwnedEpoch(shard int) (epoch uint64, owned bool) {
 	s := r.shards[shard]
 	return s.log.epoch, s.role == owner && s.ownership.serving && r.now() < s.ownership.leaseUntil
 }
 
-// Owner returns the member that this one believes to own the shard, false if it
-// knows none.
+// Owner returns the member that this process believes to own the shard, which may be
+// itself. It returns false if none is known.
 func (r *Replica) Owner(shard int) (*meshpb.Member, bool) {
 	s := r.shards[shard]
 	if s.isOwned() {
 		return r.self, true
 	}
 	id := s.vote.candidate
-	if r.now() < s.lease.hintUntil {
-		id = s.lease.hint
+	if r.now() < s.lease.ownerHintUntil {
+		id = s.lease.ownerHint
 	} else if r.now() >= s.lease.grantedUntil {
 		return nil, false
 	}
@@ -71,23 +73,24 @@
 	return nil, false
 }
 
-// HoldsMasterLease tells whether this member serves the master shard under a
-// lease now. It may be called on any goroutine.
+// HoldsMasterLease reports whether this member now serves the master shard under a
+// valid lease. It may be called on any goroutine.
 func (r *Replica) HoldsMasterLease() bool {
 	return int64(r.now()) < r.published.masterLeaseUntil.Load()
 }
 
-// MasterEpoch is the epoch under which this member last served the master shard.
-// It may be called on any goroutine.
+// MasterEpoch returns the epoch at which this member last served the master shard, 0
+// if it never did. It may be called on any goroutine.
 func (r *Replica) MasterEpoch() uint64 { return r.published.masterEpoch.Load() }
 
-// InContact tells whether this member has heard the one at address of late. It
-// may be called on any goroutine.
+// InContact reports whether this member had recently heard from the member at address
+// (host:port) when it last sent heartbeats. It may be called on any goroutine.
 func (r *Replica) InContact(address string) bool {
 	contacts := r.published.contacts.Load()
 	return contacts != nil && (*contacts)[address]
 }
 
+// publishContacts stores the members that are in contact now for InContact.
 func (r *Replica) publishContacts() {
 	contacts := map[string]bool{}
 	for _, p := range r.voters {
@@ -98,9 +101,9 @@
 	r.published.contacts.Store(&contacts)
 }
 
-// ShardStatuses tells what this member knows of each shard; of those it owns, also
-// how far the replicas are, and how many members may be lost with the rest still
-// a majority that holds all that is committed.
+// ShardStatuses returns the status of each shard as known at this member. For the
+// shards that it owns, this includes the progress of the other replicas, and how many
+// members may be lost while the rest is a majority that holds every committed change.
 func (r *Replica) ShardStatuses() []*meshpb.ShardStatus {
 	var statuses []*meshpb.ShardStatus
 	for _, s := range r.shards {
@@ -116,22 +119,24 @@
 	return statuses
 }
 
+// addOwnerStatus sets the fields of status that only the shard's owner knows.
 func (r *Replica) addOwnerStatus(s *shard, status *meshpb.ShardStatus) {
 	status.Owned = true
 	status.Committed = s.ownership.commit
 	status.LeaseMs = int64(max(s.ownership.leaseUntil-r.now(), 0) / time.Millisecond)
-	complete := 1
+	caughtUp := 1 // this member
 	for _, p := range r.replicationTargets() {
 		replica := r.replicaStatus(s, p)
 		acked := p.progress[s.id].acked.version
 		if replica.Reached && replica.Known && acked >= s.ownership.commit && !replica.Learner {
-			complete++
+			caughtUp++
 		}
 		status.Copies = append(status.Copies, replica)
 	}
-	status.MayLose = int32(complete - r.quorum())
+	status.MayLose = int32(caughtUp - r.quorum())
 }
 
+// replicaStatus returns the status of the peer's replica of an owned shard.
 func (r *Replica) replicaStatus(s *shard, p *peer) *meshpb.ReplicaStatus {
 	acked := p.progress[s.id].acked
 	status := &meshpb.ReplicaStatus{
--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -34,10 +34,10 @@
 // short.
 func (r *Replica) recordTick() {
 	now := r.now()
-	if r.clock.lastTick > 0 && now-r.clock.lastTick > r.options.HeartbeatInterval {
-		r.clock.lastStarved = now
+	if r.tickState.lastTick > 0 && now-r.tickState.lastTick > r.options.HeartbeatInterval {
+		r.tickState.lastStarved = now
 	}
-	r.clock.lastTick = now
+	r.tickState.lastTick = now
 }
 
 func (r *Replica) tickHeartbeat() {
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -42,7 +42,7 @@
 }
 
 func (r *Replica) mustTransfer(s *shard) bool {
-	stalled := r.diskStalled() && r.now()-s.ownership.began > r.options.stalledOwnership()
+	stalled := r.diskStalled() && r.now()-s.ownership.startedAt > r.options.stalledOwnership()
 	return r.leaving || r.disk.failed || stalled
 }
 
