--- a/internal/replication/recovery_test.go
+++ b/internal/replication/recovery_test.go
@@ -12,19 +12,23 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-var seedCount = flag.Int64("seeds", 60, "how many orders of events to try")
+var seedCount = flag.Int64("seeds", 60, "number of random event orders to test")
 
+// TestHealthyClusterServes requires that clusters of several sizes serve calls, nearly
+// all of them, while nothing fails.
 func TestHealthyClusterServes(t *testing.T) {
-	for _, n := range []int{1, 3, 5} {
-		cluster := newSimCluster(t, 1, n)
+	for _, members := range []int{1, 3, 5} {
+		cluster := newSimCluster(t, 1, members)
 		load := newWorkload(cluster)
 		load.start(5 * time.Second)
 		cluster.runUntil(6 * time.Second)
 		requireServing(t, cluster, load, 200)
-		qt.Assert(t, load.failed < 10, qt.IsTrue, qt.Commentf("%d members: %d calls failed", n, load.failed))
+		qt.Assert(t, load.failed < 10, qt.IsTrue, qt.Commentf("%d members: %d calls failed", members, load.failed))
 	}
 }
 
+// TestInvariantsHoldUnderFaults injects three random faults, one after the other, while a
+// workload checks every result. Afterwards all shards must be owned and calls served.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for seed := int64(1); seed <= *seedCount; seed++ {
 		cluster := newSimCluster(t, seed, 3)
@@ -42,7 +46,7 @@
 				cluster.runUntil(cluster.now + time.Duration(cluster.rng.Intn(3000))*time.Millisecond)
 				target.start()
 			case 1:
-				cluster.logf("cut %s", address)
+				cluster.logf("isolate %s", address)
 				cluster.setIsolated(address, true)
 				cluster.runUntil(cluster.now + time.Duration(500+cluster.rng.Intn(3000))*time.Millisecond)
 				cluster.setIsolated(address, false)
@@ -62,12 +66,12 @@
 					cluster.nodes[fmt.Sprintf("m%d", i)].start()
 				}
 			case 4:
-				cluster.logf("full %s", address)
+				cluster.logf("fill the disk of %s", address)
 				target.diskFull = true
 				cluster.runUntil(cluster.now + 2*time.Second)
 				target.diskFull = false
 			case 5:
-				cluster.logf("one way %s", address)
+				cluster.logf("lose messages from %s", address)
 				for _, other := range cluster.addresses {
 					if other != address {
 						cluster.partitioned[[2]string{address, other}] = true
@@ -76,7 +80,7 @@
 				cluster.runUntil(cluster.now + 2*time.Second)
 				cluster.setIsolated(address, false)
 			case 6:
-				cluster.logf("stall %s", address)
+				cluster.logf("stall the disk of %s", address)
 				target.diskStuck = true
 				cluster.runUntil(cluster.now + 3*time.Second)
 				target.diskStuck = false
@@ -84,13 +88,15 @@
 			cluster.lossRate = 0
 			cluster.runUntil(cluster.now + 4*time.Second)
 		}
-		before := load.served
+		servedBefore := load.served
 		load.start(cluster.now + 4*time.Second)
 		cluster.runUntil(cluster.now + 5*time.Second)
-		requireServing(t, cluster, load, before+50)
+		requireServing(t, cluster, load, servedBefore+50)
 	}
 }
 
+// TestMinorityNeverServes guards against a member that, cut off from the others, still
+// serves a shard after its leases must have ended.
 func TestMinorityNeverServes(t *testing.T) {
 	cluster := newSimCluster(t, 3, 3)
 	cluster.runUntil(2 * time.Second)
@@ -105,13 +111,14 @@
 	}
 }
 
-// TestClusterRecoversWithinCatchUpTime measures from a loss to the moment at which
-// the next one may come: the successor, or the member itself, is in the membership
-// and its replicas are complete.
+// TestClusterRecoversWithinCatchUpTime measures the time from the moment at which a lost
+// member restarts, or is replaced, until the next member may be lost: all running nodes
+// are members again and their replicas have caught up. At most three quarters of
+// catchUpTime may pass.
 func TestClusterRecoversWithinCatchUpTime(t *testing.T) {
 	for _, size := range []struct{ members, losses int }{{3, 1}, {5, 1}, {11, 2}, {19, 2}} {
 		for _, fault := range []fault{replace, wipe, crash, plannedReplacement} {
-			worst, sum := time.Duration(0), time.Duration(0)
+			var worst, sum time.Duration
 			const seeds = 6
 			for seed := int64(1); seed <= seeds; seed++ {
 				run := &scenarioRun{simCluster: newSimCluster(t, seed, size.members), scenario: scenario{Members: size.members}, faulty: map[string]bool{}}
@@ -121,34 +128,34 @@
 				run.workload.start(run.now + time.Minute)
 				run.runUntil(run.now + time.Second)
 				target := run.allNodes()[run.rng.Intn(size.members)]
-				since := run.now
+				recoveryStart := run.now
 				switch fault {
 				case replace:
 					target.kill()
 					run.runUntil(run.now + time.Second)
-					since = run.now
+					recoveryStart = run.now
 					run.addSuccessor()
 				case wipe:
 					target.kill()
 					target.records = nil
 					run.runUntil(run.now + time.Second)
-					since = run.now
+					recoveryStart = run.now
 					target.start()
 				case crash:
 					target.kill()
 					run.runUntil(run.now + time.Second)
-					since = run.now
+					recoveryStart = run.now
 					target.start()
 				case plannedReplacement:
 					run.addSuccessor()
 					run.runUntil(run.now + time.Second)
-					since = run.now
+					recoveryStart = run.now
 					run.terminate(target, func() {})
 				}
-				for run.runUntil(run.now + 20*time.Millisecond); run.notRecovered() != "" && run.now < since+10*time.Second; {
+				for run.runUntil(run.now + 20*time.Millisecond); run.notRecovered() != "" && run.now < recoveryStart+10*time.Second; {
 					run.runUntil(run.now + 20*time.Millisecond)
 				}
-				worst, sum = max(worst, run.now-since), sum+run.now-since
+				worst, sum = max(worst, run.now-recoveryStart), sum+run.now-recoveryStart
 			}
 			t.Logf("%2d members, %-8v mean %v, worst %v", size.members, fault, (sum / seeds).Round(10*time.Millisecond), worst)
 			if worst > catchUpTime*3/4 {
--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -20,20 +20,22 @@
 	"corkcove/internal/wal"
 )
 
-// update writes the fixtures of this package that are missing. The committed
-// files are the reference: they were written by the code of commit 242832a and
-// must never be regenerated, so a directory that exists is refused.
+// update makes the tests write fixture directories that are missing. The committed
+// directories are the reference: the code of commit 242832a wrote them, and they must
+// never be regenerated. An existing directory is therefore an error.
 var update = flag.Bool("update", false, "write missing fixture directories")
 
 const (
 	fixtureDirectory = "testdata/242832a"
-	// tornBytes are cut from the end of a file to tear its last record.
+	// tornBytes is how many bytes are cut off the end of a file to tear its last
+	// record.
 	tornBytes = 3
-	// fixtureStart is the clock of a replica that reads or writes a directory.
+	// fixtureStart is the initial time of a replica that reads or writes a fixture.
 	fixtureStart = time.Hour
 )
 
-// fixture is a data directory as a member leaves it.
+// fixture is a data directory as left behind by the member at address. write writes
+// it anew with the present code.
 type fixture struct {
 	name    string
 	address string
@@ -49,40 +51,41 @@
 	{"pending-membership", "m0", writePendingMembership},
 }
 
-// TestLogsOf242832aAreRead compares all records that are read from each directory,
-// and all that a replica makes of them, to the text beside the directory.
+// TestLogsOf242832aAreRead guards against a release that misreads the logs of an
+// earlier one. It compares the records read from each directory, and the snapshot that
+// a replica makes of them, with the text file next to the directory.
 func TestLogsOf242832aAreRead(t *testing.T) {
-	for _, folder := range fixtures {
-		t.Run(folder.name, func(t *testing.T) {
-			dir := filepath.Join(fixtureDirectory, folder.name)
+	for _, f := range fixtures {
+		t.Run(f.name, func(t *testing.T) {
+			dir := filepath.Join(fixtureDirectory, f.name)
 			golden := dir + ".txt"
 			if *update {
 				qt.Assert(t, os.MkdirAll(fixtureDirectory, 0o755), qt.IsNil)
 				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
-				folder.write(t, dir)
-				qt.Assert(t, os.WriteFile(golden, []byte(describeFixture(t, folder)), 0o644), qt.IsNil)
+				f.write(t, dir)
+				qt.Assert(t, os.WriteFile(golden, []byte(describeFixture(t, f)), 0o644), qt.IsNil)
 			}
 			want, err := os.ReadFile(golden)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, describeFixture(t, folder), qt.Equals, string(want))
+			qt.Assert(t, describeFixture(t, f), qt.Equals, string(want))
 		})
 	}
 }
 
-// TestWrittenLogsMatch242832a does by present code what wrote the directories: an
-// earlier release must be able to read what this one leaves.
+// TestWrittenLogsMatch242832a guards against a release whose logs an earlier one can't
+// read. It requires the present code to write the same bytes as the directories hold.
 func TestWrittenLogsMatch242832a(t *testing.T) {
-	for _, folder := range fixtures {
-		t.Run(folder.name, func(t *testing.T) {
+	for _, f := range fixtures {
+		t.Run(f.name, func(t *testing.T) {
 			dir := t.TempDir()
-			folder.write(t, dir)
-			qt.Assert(t, filesIn(t, dir), qt.DeepEquals, filesIn(t, filepath.Join(fixtureDirectory, folder.name)))
+			f.write(t, dir)
+			qt.Assert(t, readFiles(t, dir), qt.DeepEquals, readFiles(t, filepath.Join(fixtureDirectory, f.name)))
 		})
 	}
 }
 
-// TestStateOf242832aIsServed asks a replica that has read the log for what was
-// stored, so that each field is read for what it meant.
+// TestStateOf242832aIsServed guards against stored fields that are read with another
+// meaning. It queries a replica restored from the log for everything that was stored.
 func TestStateOf242832aIsServed(t *testing.T) {
 	for _, name := range []string{"member", "torn-snapshot"} {
 		t.Run(name, func(t *testing.T) {
@@ -111,6 +114,8 @@
 	}
 }
 
+// checkStoredContent checks the content of fullState after the changes of
+// writeSecondProcess.
 func checkStoredContent(t *testing.T, table *coordination.Table) {
 	t.Helper()
 	acquired := table.AcquireLock("lock", "other", time.Second, fixtureStart)
@@ -134,7 +139,7 @@
 	qt.Check(t, string(table.Blob("blob").Data), qt.Equals, "\x00\xffdata 2")
 	qt.Check(t, table.Blob("blob").Version, qt.Equals, uint64(42))
 	for version, want := range map[uint64]bool{50: true, 51: true, 60: true, 61: true, 62: false} {
-		qt.Check(t, table.HasAccepted(digestOf(version)), qt.Equals, want, qt.Commentf("order %d", version))
+		qt.Check(t, table.HasAccepted(digestOf(version)), qt.Equals, want, qt.Commentf("version %d", version))
 	}
 	qt.Check(t, table.AcceptedFloor(), qt.Equals, uint64(49))
 	pinned := table.PinSession(&meshpb.PinRequest{Key: "session", Allowed: []string{"service"}, Service: "service", Want: "another", Config: 1}, fixtureStart)
@@ -143,8 +148,8 @@
 	qt.Check(t, pinned.Result.Endpoint, qt.Equals, "later endpoint")
 }
 
-// checkEpochChanges asks for what epoch changes brought, and for the accepted
-// changes that an earlier release kept inside the configuration.
+// checkEpochChanges checks the entries that came with epoch changes, and the accepted
+// changes that an earlier release stored inside the configuration.
 func checkEpochChanges(t *testing.T, table *coordination.Table) {
 	t.Helper()
 	qt.Check(t, table.Get("raised-first.cell").Result.Payload, qt.Equals, "by the first raise")
@@ -155,9 +160,9 @@
 	qt.Check(t, table.HasAccepted(digestOf(72)), qt.IsFalse)
 }
 
-// TestPendingMembershipOf242832aIsAdopted starts a member that stopped after a
-// new membership was agreed upon and before it was adopted. The membership, and
-// the number of members, are found in blobs by their stored names.
+// TestPendingMembershipOf242832aIsAdopted starts a member that stopped after a new
+// membership was decided and before it was adopted. It guards against a change of the
+// names of the blobs that store the membership and the number of members.
 func TestPendingMembershipOf242832aIsAdopted(t *testing.T) {
 	replica, clock := startFixture(t, fixture{name: "pending-membership", address: "m0"})
 	qt.Assert(t, replica.Membership().Version, qt.Equals, uint64(1))
@@ -166,17 +171,18 @@
 	qt.Check(t, prototest.Text(replica.Membership()), qt.Equals, prototest.Text(want))
 }
 
-// describeFixture writes the records of a directory, and then those of the snapshot
-// that a replica makes at its start, which hold all that it has read.
-func describeFixture(t *testing.T, folder fixture) string {
+// describeFixture returns a text with the records of a directory, followed by those of
+// the snapshot that a replica makes at startup, which hold everything it has read.
+func describeFixture(t *testing.T, f fixture) string {
 	t.Helper()
 	var out strings.Builder
-	describeRecords(t, &out, "read", readRecords(t, folder.name))
-	_, storage := newFixtureReplica(t, folder.address, nil, false, readRecords(t, folder.name), new(time.Duration))
+	describeRecords(t, &out, "read", readRecords(t, f.name))
+	_, storage := newFixtureReplica(t, f.address, nil, false, readRecords(t, f.name), new(time.Duration))
 	describeRecords(t, &out, "kept", storage.snapshot)
 	return out.String()
 }
 
+// describeRecords appends the text of each record to out.
 func describeRecords(t *testing.T, out *strings.Builder, title string, records [][]byte) {
 	t.Helper()
 	for i, data := range records {
@@ -186,11 +192,12 @@
 	}
 }
 
-// readRecords reads a copy of a directory, so that nothing can change it.
+// readRecords returns the records of a fixture. It reads a copy of the directory, so
+// that the original can't be modified.
 func readRecords(t *testing.T, name string) [][]byte {
 	t.Helper()
 	dir := t.TempDir()
-	writeFiles(t, dir, filesIn(t, filepath.Join(fixtureDirectory, name)))
+	writeFiles(t, dir, readFiles(t, filepath.Join(fixtureDirectory, name)))
 	log, records := openFixture(t, dir)
 	log.Close()
 	return records
@@ -205,7 +212,8 @@
 	return log, records
 }
 
-func filesIn(t *testing.T, dir string) map[string]string {
+// readFiles returns the contents of the files in a directory by name.
+func readFiles(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	qt.Assert(t, err, qt.IsNil)
@@ -225,23 +233,23 @@
 	}
 }
 
-// memoryStorage passes on what a replica keeps, one record at a time, and remembers
-// the last snapshot. Without a log beneath it takes all.
-type memoryStorage struct {
+// recordingStorage is a Storage that writes to a log, waits for each write, and keeps
+// the last snapshot. Without a log every write succeeds.
+type recordingStorage struct {
 	log      *wal.Log
 	snapshot [][]byte
 }
 
-func (s *memoryStorage) Append(record []byte, done func(error)) {
-	s.wait(done, func(done func(error)) { s.log.Append(record, done) })
+func (s *recordingStorage) Append(record []byte, done func(error)) {
+	s.writeAndWait(done, func(done func(error)) { s.log.Append(record, done) })
 }
 
-func (s *memoryStorage) Checkpoint(snapshot [][]byte, done func(error)) {
+func (s *recordingStorage) Checkpoint(snapshot [][]byte, done func(error)) {
 	s.snapshot = snapshot
-	s.wait(done, func(done func(error)) { s.log.Checkpoint(snapshot, done) })
+	s.writeAndWait(done, func(done func(error)) { s.log.Checkpoint(snapshot, done) })
 }
 
-func (s *memoryStorage) wait(done func(error), write func(done func(error))) {
+func (s *recordingStorage) writeAndWait(done func(error), write func(done func(error))) {
 	if s.log == nil {
 		done(nil)
 		return
@@ -251,20 +259,20 @@
 	done(<-result)
 }
 
-// silentTransport sends nothing.
-type silentTransport struct{}
+// discardTransport is a Transport that sends nothing and never calls back.
+type discardTransport struct{}
 
-func (silentTransport) RenewLeases(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
+func (discardTransport) RenewLeases(*meshpb.Member, *meshpb.RenewLeasesRequest, func(*meshpb.RenewLeasesResponse)) {
 }
-func (silentTransport) Replicate(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {
+func (discardTransport) Replicate(*meshpb.Member, *meshpb.ReplicateRequest, func(*meshpb.ReplicateResponse)) {
 }
-func (silentTransport) RequestVotes(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
+func (discardTransport) RequestVotes(*meshpb.Member, *meshpb.RequestVotesRequest, func(*meshpb.RequestVotesResponse)) {
 }
-func (silentTransport) TransferOwnership(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
+func (discardTransport) TransferOwnership(*meshpb.Member, *meshpb.TransferOwnershipRequest, func(*meshpb.TransferOwnershipResponse)) {
 }
-func (silentTransport) AcceptMembership(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {
+func (discardTransport) AcceptMembership(*meshpb.Member, *meshpb.AcceptMembershipRequest, func(*meshpb.AcceptMembershipResponse)) {
 }
-func (silentTransport) Join(string, *meshpb.JoinRequest, func(*meshpb.JoinResponse)) {}
+func (discardTransport) Join(string, *meshpb.JoinRequest, func(*meshpb.JoinResponse)) {}
 
 func fixtureSeed(addr string) *meshpb.Member {
 	return &meshpb.Member{Addr: addr, Control: addr + "-control", Zone: "zone-" + addr}
@@ -284,14 +292,15 @@
 	return member
 }
 
-// newFixtureReplica starts a replica on a clock that the caller moves.
-func newFixtureReplica(t *testing.T, addr string, log *wal.Log, bootstrap bool, records [][]byte, clock *time.Duration, seeds ...string) (*replication.Replica, *memoryStorage) {
+// newFixtureReplica starts a replica that reads its time from clock, which the caller
+// advances. Without seeds it has the seeds m0, m1 and m2.
+func newFixtureReplica(t *testing.T, addr string, log *wal.Log, bootstrap bool, records [][]byte, clock *time.Duration, seeds ...string) (*replication.Replica, *recordingStorage) {
 	t.Helper()
 	if len(seeds) == 0 {
 		seeds = []string{"m0", "m1", "m2"}
 	}
 	*clock = fixtureStart
-	storage := &memoryStorage{log: log}
+	storage := &recordingStorage{log: log}
 	replica, err := replication.New(replication.Options{
 		Self: fixtureSeed(addr), Seeds: fixtureSeeds(seeds...), Bootstrap: bootstrap, Shards: simShards,
 		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 1 << 20,
@@ -299,19 +308,20 @@
 		NewID:           func() string { return "new-id" },
 		Now:             func() time.Duration { return *clock },
 		Rand:            func(int) int { return 0 },
-	}, silentTransport{}, storage, records)
+	}, discardTransport{}, storage, records)
 	qt.Assert(t, err, qt.IsNil)
 	return replica, storage
 }
 
-// startFixture starts a replica from a committed directory.
-func startFixture(t *testing.T, started fixture) (*replication.Replica, *time.Duration) {
+// startFixture starts a replica from the records of a fixture, and returns its clock.
+func startFixture(t *testing.T, f fixture) (*replication.Replica, *time.Duration) {
 	t.Helper()
 	clock := new(time.Duration)
-	replica, _ := newFixtureReplica(t, started.address, nil, false, readRecords(t, started.name), clock)
+	replica, _ := newFixtureReplica(t, f.address, nil, false, readRecords(t, f.name), clock)
 	return replica, clock
 }
 
+// tickUntil ticks the replica every 50 ms of its time until reached returns true.
 func tickUntil(t *testing.T, replica *replication.Replica, clock *time.Duration, reached func() bool) {
 	t.Helper()
 	for range 200 {
@@ -324,7 +334,7 @@
 	t.Fatal("not reached within 200 ticks")
 }
 
-// runProcess runs a replica on a directory from one start to the next.
+// runProcess starts a replica on a directory, calls run, and closes the log.
 func runProcess(t *testing.T, dir, addr string, bootstrap bool, run func(replica *replication.Replica, clock *time.Duration), seeds ...string) {
 	t.Helper()
 	log, records := openFixture(t, dir)
@@ -338,7 +348,7 @@
 	return &meshpb.SenderHeader{From: fixtureMember(from), To: to, Membership: membership, Healthy: true}
 }
 
-// replicateTo replicates to a replica, which must take all that is in the request.
+// replicateTo sends request to a replica, which must accept everything in it.
 func replicateTo(t *testing.T, replica *replication.Replica, from string, request *meshpb.ReplicateRequest) {
 	t.Helper()
 	request.Header = fixtureHeader(from, replica.Self().Id, replica.Membership().Version)
@@ -351,6 +361,7 @@
 	}
 }
 
+// voteFor requests a vote for the candidate from, which the replica must grant.
 func voteFor(t *testing.T, replica *replication.Replica, from string, shard uint32, epoch uint64) {
 	t.Helper()
 	var response *meshpb.RequestVotesResponse
@@ -360,7 +371,8 @@
 	qt.Assert(t, response.Replies[0].Granted, qt.IsTrue)
 }
 
-func acceptMembership(t *testing.T, replica *replication.Replica, membership *meshpb.Membership) {
+// sendMembership sends a newer membership to a replica, which must accept it.
+func sendMembership(t *testing.T, replica *replication.Replica, membership *meshpb.Membership) {
 	t.Helper()
 	var response *meshpb.AcceptMembershipResponse
 	replica.HandleAcceptMembership(&meshpb.AcceptMembershipRequest{Membership: membership, From: membership.Members[1]}, func(r *meshpb.AcceptMembershipResponse) { response = r })
@@ -372,12 +384,13 @@
 		Members: []*meshpb.Member{fixtureMember("m0"), fixtureMember("m1"), fixtureMember("m2")}}
 }
 
-// digestOf is the digest of the change that made a version.
+// digestOf returns the digest of the configuration change with that version.
 func digestOf(version uint64) []byte {
 	return bytes.Repeat([]byte{byte(version)}, coordination.DigestSize)
 }
 
-// legacyAcceptedChanges is a configuration as an earlier release stored it.
+// legacyAcceptedChanges returns a configuration blob as an earlier release stored it,
+// with the accepted changes inside.
 func legacyAcceptedChanges(t *testing.T) []byte {
 	t.Helper()
 	data, err := proto.Marshal(&meshpb.LegacyAcceptedChanges{Accepted: []*meshpb.AcceptedChange{{Version: 70, Digest: digestOf(70)}, {Version: 71, Digest: digestOf(71)}}})
@@ -385,7 +398,7 @@
 	return data
 }
 
-// fullState has each kind of content.
+// fullState returns a state with every kind of content.
 func fullState(shard uint32, epoch, version uint64) *meshpb.ShardState {
 	return &meshpb.ShardState{Shard: shard, Epoch: epoch, Version: version, LastFencingToken: 32,
 		Locks:    []*meshpb.Lock{{Name: "lock", Owner: "holder", FencingToken: 31, TtlMs: 40000, AgeMs: 1500}, {Name: "freed", Owner: "holder", FencingToken: 32, TtlMs: 5000}},
@@ -399,6 +412,7 @@
 	}
 }
 
+// entriesOf returns one entry for each change, with the versions that follow after.
 func entriesOf(shard uint32, epoch, after uint64, changes ...*meshpb.Change) []*meshpb.Entry {
 	var out []*meshpb.Entry
 	for i, change := range changes {
@@ -407,22 +421,24 @@
 	return out
 }
 
-// putOf puts a cell. The fixtures have one cell in each group, since a snapshot gives
-// the cells of a group in no fixed order.
+// putOf returns a change that puts a cell. Each group in the fixtures has only one
+// cell, since a snapshot lists the cells of a group in no fixed order.
 func putOf(name, payload string, revision uint64) *meshpb.Change {
 	return &meshpb.Change{Put: &meshpb.Put{Name: name, Payload: payload, Revision: revision}}
 }
 
-// writeMember leaves a directory with all kinds of records, in the snapshot, which
-// the second start makes, and in the segment after it.
+// writeMember writes a directory with all kinds of records, both in the snapshot that
+// the second process makes at startup and in the segment after it.
 func writeMember(t *testing.T, dir string) {
 	writeFirstProcess(t, dir)
 	writeSecondProcess(t, dir)
 }
 
+// writeFirstProcess writes what the second process finds at startup: a membership,
+// states, an entry, an epoch change and a vote.
 func writeFirstProcess(t *testing.T, dir string) {
 	runProcess(t, dir, "m0", true, func(replica *replication.Replica, _ *time.Duration) {
-		acceptMembership(t, replica, fixtureMembership(2))
+		sendMembership(t, replica, fixtureMembership(2))
 		replicateTo(t, replica, "m1", &meshpb.ReplicateRequest{States: []*meshpb.ShardState{fullState(0, 5, 10), {Shard: 1, Epoch: 5, Version: 10}}})
 		replicateTo(t, replica, "m1", &meshpb.ReplicateRequest{Entries: entriesOf(1, 5, 10,
 			&meshpb.Change{Blob: &meshpb.Blob{Name: coordination.ConfigBlob, Data: legacyAcceptedChanges(t), Version: 71}})})
@@ -432,9 +448,11 @@
 	})
 }
 
+// writeSecondProcess continues in the directory of writeFirstProcess and writes every
+// kind of change.
 func writeSecondProcess(t *testing.T, dir string) {
 	runProcess(t, dir, "m0", false, func(replica *replication.Replica, _ *time.Duration) {
-		acceptMembership(t, replica, fixtureMembership(3))
+		sendMembership(t, replica, fixtureMembership(3))
 		replicateTo(t, replica, "m1", &meshpb.ReplicateRequest{Entries: entriesOf(0, 5, 10,
 			&meshpb.Change{Lock: &meshpb.Lock{Name: "later lock", Owner: "later holder", FencingToken: 33, TtlMs: 30000}},
 			&meshpb.Change{Lock: &meshpb.Lock{Name: "freed", Owner: "holder", FencingToken: 32, Free: true}},
@@ -452,43 +470,46 @@
 	})
 }
 
-// writeTornSegment tears the vote that ends the segment.
+// writeTornSegment tears the last record of the segment, a vote.
 func writeTornSegment(t *testing.T, dir string) {
 	writeMember(t, dir)
-	files := filesIn(t, dir)
+	files := readFiles(t, dir)
 	segment := files["segment-00000002"]
 	writeFiles(t, dir, map[string]string{"segment-00000002": segment[:len(segment)-tornBytes]})
 }
 
-// writeTornSnapshot leaves two segments behind the last whole snapshot.
+// writeTornSnapshot tears the second snapshot, so that the state must be read from the
+// first one and the two segments after it.
 func writeTornSnapshot(t *testing.T, dir string) {
 	writeFirstProcess(t, dir)
-	old := filesIn(t, dir)
+	before := readFiles(t, dir)
 	writeSecondProcess(t, dir)
-	snapshot := filesIn(t, dir)["snapshot-00000002"]
-	writeFiles(t, dir, old)
+	snapshot := readFiles(t, dir)["snapshot-00000002"]
+	writeFiles(t, dir, before)
 	writeFiles(t, dir, map[string]string{"snapshot-00000002": snapshot[:len(snapshot)-tornBytes]})
 }
 
-// writeEmptiedMember is a member whose directory was lost: it starts under another id,
-// outside the membership, and learns from the others.
+// writeEmptiedMember writes the directory of a member that lost its earlier one: it
+// starts with a new id as a learner, and the others replicate to it.
 func writeEmptiedMember(t *testing.T, dir string) {
 	runProcess(t, dir, "m0", false, func(replica *replication.Replica, _ *time.Duration) {
 		qt.Assert(t, replica.IsLearner(), qt.IsTrue)
-		acceptMembership(t, replica, fixtureMembership(3))
+		sendMembership(t, replica, fixtureMembership(3))
 		replicateTo(t, replica, "m1", &meshpb.ReplicateRequest{States: []*meshpb.ShardState{fullState(0, 5, 10)}, Entries: entriesOf(0, 5, 10, putOf("group.cell", "newer", 22))})
 		replicateTo(t, replica, "m2", &meshpb.ReplicateRequest{EpochChanges: []*meshpb.EpochChange{{Shard: 0, Epoch: 6, FromEpoch: 5, FromVersion: 11}}})
 	})
 }
 
-// writeFirstStart is a process of the first start that was no member yet.
+// writeFirstStart writes the directory of a process that takes part in the first start
+// of a cluster and is not a member yet.
 func writeFirstStart(t *testing.T, dir string) {
 	runProcess(t, dir, "m7", true, func(replica *replication.Replica, _ *time.Duration) {
 		qt.Assert(t, replica.IsLearner(), qt.IsTrue)
 	})
 }
 
-// writePendingMembership ends a lone member once it has agreed to a second one.
+// writePendingMembership stops a single member once it has decided to admit a second
+// one and before it adopts that membership.
 func writePendingMembership(t *testing.T, dir string) {
 	runProcess(t, dir, "m0", true, func(replica *replication.Replica, clock *time.Duration) {
 		sizeStored := false
