--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -61,7 +61,7 @@
 			golden := dir + ".txt"
 			if *update {
 				qt.Assert(t, os.MkdirAll(fixtureDirectory, 0o755), qt.IsNil)
-				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
+				qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("an existing fixture must not be written again"))
 				f.write(t, dir)
 				qt.Assert(t, os.WriteFile(golden, []byte(describeFixture(t, f)), 0o644), qt.IsNil)
 			}
