--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -130,7 +130,7 @@
 		response.Granted = append(response.Granted, watermark.Shard)
 		r.membershipChange.recordReplicated(s, watermark.Committed)
 	case watermark.Epoch > s.vote.epoch:
-		s.lease.hint, s.lease.hintUntil = senderID, r.now()+r.options.ownerHintDuration()
+		s.lease.ownerHint, s.lease.ownerHintUntil = senderID, r.now()+r.options.ownerHintDuration()
 		s.election.epoch = max(s.election.epoch, watermark.Epoch)
 	case watermark.Epoch < s.vote.epoch:
 		response.Superseded = append(response.Superseded, &meshpb.Watermark{Shard: watermark.Shard, Epoch: s.vote.epoch})
@@ -142,7 +142,7 @@
 // synced here, the replica is caught up.
 func (c *catchUpState) advance(version, synced uint64, now time.Duration) {
 	if synced >= min(c.watermark, version) {
-		c.at = now
+		c.caughtUpAt = now
 	}
 	c.watermark = version
 }
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -48,7 +48,7 @@
 // disk failed, or its disk is stalled. A stalled disk doesn't count until the ownership
 // is older than stalledOwnership, because a new owner writes a lot at first.
 func (r *Replica) mustTransfer(s *shard) bool {
-	stalled := r.diskStalled() && r.now()-s.ownership.began > r.options.minimumStalledOwnership()
+	stalled := r.diskStalled() && r.now()-s.ownership.startedAt > r.options.minimumStalledOwnership()
 	return r.leaving || r.disk.failed || stalled
 }
 
