--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -43,7 +43,7 @@
 func (r *Replica) HandleReplicate(request *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
 	header := request.Header
 	response := &meshpb.ReplicateResponse{Membership: r.membership.Version, Member: (r.isMember() || !r.leaving) && header.To == r.self.Id}
-	if !r.admits(header, response.Member) {
+	if !r.acceptsCall(header, response.Member) {
 		reply(response)
 		return
 	}
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -8,61 +8,67 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// The blobs of the master shard that the membership is decided by. The names are
-// stored.
+// Blobs of the master shard that control the membership. Their names are part of
+// the stored state.
 const (
-	// membershipBlob holds the membership that was decided upon last.
+	// membershipBlob contains the most recently proposed membership.
 	membershipBlob = "roll"
-	// sizeBlob has the wanted number of members as its version.
-	sizeBlob = "places"
+	// targetSizeBlob carries the target number of members in its version.
+	targetSizeBlob = "places"
 )
 
-// A membership is decided upon as a change of the master shard. It is in force
-// once majorities of the one before and of the new one have it on disk.
-
-// membershipChange is the state of a change of the membership, which matters at
-// the owner of the master shard.
+// membershipChange tracks how far the current membership has been accepted and
+// replicated. Only the owner of the master shard acts on it. That owner proposes
+// each new membership as a change of the shard; the new membership is in force once
+// a majority of the previous one and a majority of the new one have it on disk.
 type membershipChange struct {
-	// previous is the membership before this one, and accepted the members of both
-	// that have this one on disk. Both are nil while nothing is known of that.
+	// previous is the membership before the current one. It is nil if this member
+	// hasn't tracked acceptance since it became owner of the master shard.
 	previous *meshpb.Membership
+	// accepted holds the ids of the members of both memberships that have the
+	// current one on disk. It is nil whenever previous is.
 	accepted map[string]bool
-	// replicatedUnder is, for each shard, the highest version of a membership whose
-	// majority is known to hold the shard's content. It is kept at every member.
-	replicatedUnder []uint64
+	// replicatedVersions holds, for each shard, the highest version of a membership
+	// known to have the shard's content on a majority of its members. All members
+	// maintain it.
+	replicatedVersions []uint64
 }
 
-// reset forgets who has accepted the membership.
+// reset discards what is known about who accepted the membership.
 func (c *membershipChange) reset() { c.previous, c.accepted = nil, nil }
 
-// begin starts to collect who accepts the membership that follows previous.
+// begin starts to track which members accept the membership that follows previous.
 func (c *membershipChange) begin(previous *meshpb.Membership) {
 	c.previous, c.accepted = previous, map[string]bool{}
 }
 
-func (c *membershipChange) recordReplicated(s *shard, membership uint64) {
-	c.replicatedUnder[s.id] = max(c.replicatedUnder[s.id], membership)
+// recordReplicated notes that a majority of the membership of that version holds
+// the shard's content.
+func (c *membershipChange) recordReplicated(s *shard, version uint64) {
+	c.replicatedVersions[s.id] = max(c.replicatedVersions[s.id], version)
 }
 
-// admits tells whether a call may have an effect: it is for this process, and its
-// sender is in the membership that this process goes by, and goes by it too. To
-// others it offers the membership.
-func (r *Replica) admits(header *meshpb.SenderHeader, addressed bool) bool {
-	if addressed && header.Membership == r.membership.Version && contains(r.membership, header.From.Id) {
+// acceptsCall reports whether a call may take effect: it must be addressed to this
+// process, and its sender must use the same membership and be a member of it.
+// Senders that use an older membership are sent the current one.
+func (r *Replica) acceptsCall(header *meshpb.SenderHeader, addressedToSelf bool) bool {
+	if addressedToSelf && header.Membership == r.membership.Version && contains(r.membership, header.From.Id) {
 		return true
 	}
 	r.offerMembership(header.From, header.Membership)
 	return false
 }
 
-// offerMembership sends this member's membership to one that goes by an older
-// one.
+// offerMembership sends the current membership to a process that uses an older one,
+// given by its version.
 func (r *Replica) offerMembership(m *meshpb.Member, version uint64) {
 	if m != nil && version < r.membership.Version && r.membership.Version > 1 {
 		r.sendMembership(m)
 	}
 }
 
+// sendMembership sends the current membership to a process and records its
+// acceptance.
 func (r *Replica) sendMembership(m *meshpb.Member) {
 	request := &meshpb.AcceptMembershipRequest{Membership: r.membership, From: r.self}
 	r.transport.AcceptMembership(m, request, func(response *meshpb.AcceptMembershipResponse) {
@@ -72,14 +78,16 @@
 	})
 }
 
+// recordMembershipAccepted notes that a process has the current membership on disk.
 func (r *Replica) recordMembershipAccepted(id string) {
 	if r.membershipChange.accepted != nil {
 		r.membershipChange.accepted[id] = true
 	}
 }
 
-// HandleAcceptMembership adopts a newer membership. reply is called once this
-// member has it, or a newer one, on disk, or with nil if that failed.
+// HandleAcceptMembership adopts the membership in the request if it is newer than
+// the current one. reply is called once that membership or a newer one is on disk,
+// or with nil if the disk write failed.
 func (r *Replica) HandleAcceptMembership(request *meshpb.AcceptMembershipRequest, reply func(*meshpb.AcceptMembershipResponse)) {
 	if r.disk.failed {
 		reply(nil)
@@ -100,8 +108,8 @@
 	r.adoptMembership(request.Membership, done)
 }
 
-// adoptMembership goes by another membership from now on. done is called once that
-// is synced, or has failed.
+// adoptMembership makes membership the current one. done is called once the write
+// is synced or has failed.
 func (r *Replica) adoptMembership(membership *meshpb.Membership, done func(error)) {
 	r.options.Log.Info("adopted membership", "version", membership.Version, "members", len(membership.Members))
 	r.membership = proto.Clone(membership).(*meshpb.Membership)
@@ -123,6 +131,7 @@
 	}
 }
 
+// becomeMember ends the learner state and the first start of this process.
 func (r *Replica) becomeMember() {
 	r.bootstrap = false
 	if r.learner {
@@ -131,6 +140,8 @@
 	}
 }
 
+// becomeLearner gives up all roles of a member that was removed and lets it ask to
+// join with the next tick.
 func (r *Replica) becomeLearner() {
 	if !r.learner {
 		r.learner = true
@@ -141,8 +152,10 @@
 	r.join.next = 0
 }
 
-// applyMembership has a candidate ask again under the new membership, and an
-// owner wait for the new majority.
+// applyMembership adapts the role in a shard to a new membership. A candidate steps
+// down and may start an election under the new membership after a heartbeat
+// interval. An owner commits nothing more until a majority of the new membership
+// holds all entries so far.
 func (r *Replica) applyMembership(s *shard) {
 	switch s.role {
 	case candidate:
@@ -155,8 +168,8 @@
 	}
 }
 
-// membershipAccepted tells that majorities of the previous membership and of this
-// one have this one on disk.
+// membershipAccepted reports whether a majority of the previous membership and a
+// majority of the current one have the current one on disk.
 func (r *Replica) membershipAccepted() bool {
 	change := &r.membershipChange
 	if change.previous == nil {
@@ -170,9 +183,10 @@
 	return true
 }
 
-// membershipReplicated tells that a majority of this membership holds all shards.
+// membershipReplicated reports whether a majority of the current membership holds
+// the content of each shard.
 func (r *Replica) membershipReplicated() bool {
-	for _, version := range r.membershipChange.replicatedUnder {
+	for _, version := range r.membershipChange.replicatedVersions {
 		if version < r.membership.Version {
 			return false
 		}
@@ -180,8 +194,8 @@
 	return true
 }
 
-// manageMembership is the work of the master shard's owner on the membership:
-// finish the change that was decided upon, then decide upon the next.
+// manageMembership runs with each tick and acts only at the owner of the master
+// shard: it completes the pending membership change, then proposes the next one.
 func (r *Replica) manageMembership() {
 	s := r.shards[masterShard]
 	if _, served := r.OwnedEpoch(masterShard); !served || s.ownership.commit < s.log.version {
@@ -191,45 +205,48 @@
 	blob := s.stateMachine.Blob(membershipBlob)
 	switch {
 	case blob != nil && blob.Version > r.membership.Version:
-		r.adoptDecidedMembership(blob)
+		r.adoptCommittedMembership(blob)
 	case change.previous == nil && change.accepted == nil && r.membership.Version > 1:
-		// A new owner doesn't know who has accepted what its predecessor decided.
-		r.confirmMembership()
+		// A new owner doesn't know who accepted the membership of its predecessor.
+		r.reconfirmMembership()
 	case !r.membershipAccepted():
-		r.spreadMembership()
+		r.broadcastMembership()
 	case r.membershipReplicated():
-		r.decideMembership()
+		r.proposeNextMembership()
 	}
 }
 
-func (r *Replica) adoptDecidedMembership(blob *meshpb.Blob) {
-	var decided meshpb.Membership
-	if proto.Unmarshal(blob.Data, &decided) != nil {
+// adoptCommittedMembership adopts the membership that was committed to the master
+// shard, and starts to collect acceptances of it.
+func (r *Replica) adoptCommittedMembership(blob *meshpb.Blob) {
+	var committed meshpb.Membership
+	if proto.Unmarshal(blob.Data, &committed) != nil {
 		return
 	}
 	r.membershipChange.begin(r.membership)
-	r.adoptMembership(&decided, func(err error) {
-		if err == nil && r.membership.Version == decided.Version {
+	r.adoptMembership(&committed, func(err error) {
+		if err == nil && r.membership.Version == committed.Version {
 			r.recordMembershipAccepted(r.self.Id)
 		}
 	})
-	r.spreadMembership()
+	r.broadcastMembership()
 }
 
-// confirmMembership writes the present membership once more, and asks all for it.
-func (r *Replica) confirmMembership() {
+// reconfirmMembership persists the current membership again and asks all members to
+// accept it again.
+func (r *Replica) reconfirmMembership() {
 	r.membershipChange.begin(r.membership)
 	r.persist(&meshpb.Record{Membership: r.membership}, func(err error) {
 		if err == nil {
 			r.recordMembershipAccepted(r.self.Id)
 		}
 	})
-	r.spreadMembership()
+	r.broadcastMembership()
 }
 
-// spreadMembership sends the membership to all of the previous and of this one
-// that haven't accepted it.
-func (r *Replica) spreadMembership() {
+// broadcastMembership sends the current membership to all members of it and of the
+// previous one that haven't accepted it yet.
+func (r *Replica) broadcastMembership() {
 	sent := map[string]bool{r.self.Id: true}
 	for _, membership := range []*meshpb.Membership{r.membershipChange.previous, r.membership} {
 		for _, m := range membership.GetMembers() {
@@ -242,23 +259,24 @@
 	}
 }
 
-// decideMembership changes the membership by one step, such that no step lowers
-// how many may be lost. A member that is gone is removed before its successor
-// comes: with an odd number of members the majority of the rest is then smaller.
-// One that is about to leave is removed after its successor has come.
-func (r *Replica) decideMembership() {
-	if replaced := r.memberWithLearnersAddress(); replaced != nil {
-		r.removeMember(replaced, "its address has another id")
+// proposeNextMembership proposes to add or remove one member if that is needed. No
+// step lowers the number of members that may be lost. An unreachable member is
+// removed before its replacement is added: from an odd number of members, the
+// remaining ones then need a smaller quorum. A member that is leaving is removed
+// after its replacement was added.
+func (r *Replica) proposeNextMembership() {
+	if replaced := r.memberReplacedByLearner(); replaced != nil {
+		r.removeMember(replaced, "its address is used by a process with a different id")
 		return
 	}
 	members, size := len(r.membership.Members), r.targetSize()
-	lost, leaver := r.longestUnreachable(), r.leavingMember()
+	unreachable, leaving := r.longestUnreachable(), r.leavingMember()
 	if members > size {
 		switch {
-		case lost != nil:
-			r.removeMember(lost, "unreachable, and there is one too many")
-		case leaver != nil:
-			r.removeMember(leaver, "leaving")
+		case unreachable != nil:
+			r.removeMember(unreachable, "unreachable, and the membership exceeds its target size")
+		case leaving != nil:
+			r.removeMember(leaving, "leaving")
 		}
 		return
 	}
@@ -271,9 +289,9 @@
 			r.addMember(l, size)
 		case l.learner.bootstrap:
 			r.addMember(l, members+1)
-		case lost != nil:
-			r.removeMember(lost, "unreachable, and a learner waits")
-		case leaver != nil:
+		case unreachable != nil:
+			r.removeMember(unreachable, "unreachable, and a caught-up learner can replace it")
+		case leaving != nil:
 			r.addMember(l, size)
 		default:
 			continue
@@ -282,9 +300,10 @@
 	}
 }
 
-// memberWithLearnersAddress is a member whose process was started again without
-// its log, and is a learner under another id.
-func (r *Replica) memberWithLearnersAddress() *meshpb.Member {
+// memberReplacedByLearner returns a member whose address is now used by a learner:
+// its process was restarted without its log and got a new id. It returns nil if
+// there is none.
+func (r *Replica) memberReplacedByLearner() *meshpb.Member {
 	for _, l := range r.learners {
 		for _, m := range r.membership.Members {
 			if m.Addr == l.member.Addr && m.Id != r.self.Id {
@@ -295,17 +314,19 @@
 	return nil
 }
 
-// targetSize is how many members there are to be.
+// targetSize returns how many members the membership should have: the largest of the
+// number of seeds, the size recorded in the membership and the targetSizeBlob.
 func (r *Replica) targetSize() int {
 	size := max(len(r.options.Seeds), int(r.membership.Size))
-	if blob := r.shards[masterShard].stateMachine.Blob(sizeBlob); blob != nil {
+	if blob := r.shards[masterShard].stateMachine.Blob(targetSizeBlob); blob != nil {
 		size = max(size, int(blob.Version))
 	}
 	return size
 }
 
-// longestUnreachable is the member that has been silent longest, and for long
-// enough to be replaced; one that had said before that it leaves comes first.
+// longestUnreachable returns the member that has been unreachable longest, among
+// those unreachable for longer than EvictionTimeout. Members that had announced that
+// they were leaving come first. It returns nil if there is none.
 func (r *Replica) longestUnreachable() *meshpb.Member {
 	var longest *peer
 	for _, p := range r.voters {
@@ -322,7 +343,8 @@
 	return longest.member
 }
 
-// leavingMember is the first member that says that it is about to leave.
+// leavingMember returns the first member, in the order of the membership, that has
+// announced that it is leaving. It returns nil if there is none.
 func (r *Replica) leavingMember() *meshpb.Member {
 	for _, p := range r.voters {
 		if p.leaving {
@@ -332,9 +354,11 @@
 	return nil
 }
 
-// removeMember decides upon a membership without a member. Its place in the order
-// is kept for the next to come, or taken by the one that has come already, so that
-// shards need not move.
+// removeMember proposes the membership without a member. If the replacement has
+// already been added, it moves to the removed member's position in the order;
+// otherwise the position is recorded as a gap for the next member to be added.
+// Either way the other members keep their positions once the replacement is there,
+// so that their shards need not move.
 func (r *Replica) removeMember(removed *meshpb.Member, reason string) {
 	last := len(r.membership.Members) - 1
 	if last == 0 {
@@ -349,12 +373,12 @@
 		next.Members = slices.Delete(next.Members, i, i+1)
 		next.Gaps = append(next.Gaps, uint32(i))
 	}
-	r.options.Log.Warn("proposing membership without a member", "version", next.Version, "peer", removed.Addr, "reason", reason)
+	r.options.Log.Warn("proposing to remove a member", "version", next.Version, "peer", removed.Addr, "reason", reason)
 	r.proposeMembership(next)
 }
 
-// addMember decides upon a membership in which the learner has a place: that which
-// was vacated last, if any.
+// addMember proposes the membership with the learner as a member, at the position
+// that was vacated last, or else at the end. size is the target size to record.
 func (r *Replica) addMember(l *peer, size int) {
 	next := r.nextMembership(size)
 	index := len(next.Members)
@@ -363,11 +387,12 @@
 		next.Gaps = next.Gaps[:n-1]
 	}
 	next.Members = slices.Insert(next.Members, index, l.member)
-	r.options.Log.Info("proposing membership with a new member", "version", next.Version, "peer", l.member.Addr)
+	r.options.Log.Info("proposing to add a member", "version", next.Version, "peer", l.member.Addr)
 	r.proposeMembership(next)
 }
 
-// nextMembership is the present membership under the next version.
+// nextMembership returns a copy of the current membership with the next version and
+// the given target size.
 func (r *Replica) nextMembership(size int) *meshpb.Membership {
 	return &meshpb.Membership{
 		Version: r.membership.Version + 1,
@@ -377,6 +402,7 @@
 	}
 }
 
+// proposeMembership writes the membership to the master shard.
 func (r *Replica) proposeMembership(membership *meshpb.Membership) {
 	data, err := proto.Marshal(membership)
 	if err != nil {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -86,7 +86,7 @@
 		startedAt: options.Now(),
 		clock:     tickState{lastStarved: never},
 	}
-	r.membershipChange.replicatedUnder = make([]uint64, options.Shards)
+	r.membershipChange.replicatedVersions = make([]uint64, options.Shards)
 	for id := range options.Shards {
 		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpState{at: never}})
 	}
--- a/internal/replication/voting.go
+++ b/internal/replication/voting.go
@@ -7,7 +7,7 @@
 func (r *Replica) HandleRequestVotes(request *meshpb.RequestVotesRequest, reply func(*meshpb.RequestVotesResponse)) {
 	header := request.Header
 	response := &meshpb.RequestVotesResponse{Membership: r.membership.Version, Member: r.isMember() && header.To == r.self.Id}
-	if !r.admits(header, response.Member) {
+	if !r.acceptsCall(header, response.Member) {
 		reply(response)
 		return
 	}
