--- a/internal/replication/learner.go
+++ b/internal/replication/learner.go
@@ -7,29 +7,29 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// joinState is the state of a process that asks for a place in the membership.
+// joinState is the state of a learner that asks to join the membership.
 type joinState struct {
-	// next is when it asks again.
-	next time.Duration
-	// extraSeeds are further members to ask.
+	// nextRequest is when the next join requests are due.
+	nextRequest time.Duration
+	// extraSeeds are members to ask in addition to the membership and the seeds.
 	extraSeeds []*meshpb.Member
-	// leaveConfirmed tells that a member that leaves has been removed, and that the
-	// others hold all without it.
+	// leaveConfirmed means that this process is leaving, was removed from the
+	// membership, and that a majority of the remaining members holds all shards.
 	leaveConfirmed bool
 }
 
-// SetExtraSeeds gives a learner further members to ask for a place: those of its
-// start may all be gone.
+// SetExtraSeeds sets members that a learner asks to join in addition to its seeds and
+// the membership that it knows, all of which may be gone by now.
 func (r *Replica) SetExtraSeeds(seeds []*meshpb.Member) { r.join.extraSeeds = seeds }
 
-// sendJoin is the work of a process outside the membership: it tells all
-// members that it is there, and what it has caught up with.
-func (r *Replica) sendJoin() {
+// sendJoinRequests announces a learner to all members that it knows, once per
+// joinInterval, and tells them whether it has caught up.
+func (r *Replica) sendJoinRequests() {
 	now := r.now()
-	if now < r.join.next || r.disk.failed || r.join.leaveConfirmed {
+	if now < r.join.nextRequest || r.disk.failed || r.join.leaveConfirmed {
 		return
 	}
-	r.join.next = now + joinInterval
+	r.join.nextRequest = now + joinInterval
 	request := &meshpb.JoinRequest{From: r.self, Bootstrap: r.bootstrap, Leaving: r.leaving}
 	if r.caughtUp() {
 		request.CaughtUp = r.membership.Version
@@ -44,6 +44,8 @@
 	}
 }
 
+// handleJoinResponse adopts a newer membership, and notes when a process that is
+// leaving is no longer needed.
 func (r *Replica) handleJoinResponse(response *meshpb.JoinResponse) {
 	if response == nil || !r.learner {
 		return
@@ -57,8 +59,8 @@
 	}
 }
 
-// caughtUp tells that this learner holds what each shard's owner had committed a
-// moment ago.
+// caughtUp reports whether, for every shard, this learner was found within the last
+// learnerFreshness to hold what the owner had committed one heartbeat earlier.
 func (r *Replica) caughtUp() bool {
 	for _, s := range r.shards {
 		if r.now()-s.catchUp.at > learnerFreshness {
@@ -68,9 +70,11 @@
 	return true
 }
 
-// HandleJoin takes the word of a learner: who owns a shard replicates to it from
-// now on, and the owner of the master shard gives it a place when there is one. To
-// a process that has left it tells whether the others hold all without it.
+// HandleJoin registers a learner: this member replicates the shards that it owns to
+// the learner, and may add it to the membership if it owns the master shard. A
+// process that is leaving isn't registered. The response of the master shard's owner
+// says whether a majority of the membership holds all shards, which tells a process
+// that is leaving that it is no longer needed.
 func (r *Replica) HandleJoin(request *meshpb.JoinRequest) *meshpb.JoinResponse {
 	response := &meshpb.JoinResponse{Ok: contains(r.membership, request.From.Id), Membership: r.membership}
 	if _, owned := r.OwnedEpoch(masterShard); owned {
@@ -89,7 +93,7 @@
 	return response
 }
 
-// expireLearners forgets the learners that haven't been heard for a while.
+// expireLearners drops learners that haven't sent a join request for learnerTimeout.
 func (r *Replica) expireLearners() {
 	now := r.now()
 	r.learners = slices.DeleteFunc(r.learners, func(p *peer) bool { return now-p.learner.lastJoin > learnerTimeout })
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -149,7 +149,7 @@
 			r.stepDown(s, s.log.epoch, "no longer a member")
 		}
 	}
-	r.join.next = 0
+	r.join.nextRequest = 0
 }
 
 // applyMembership adapts the role in a shard to a new membership. A candidate steps
--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -17,7 +17,7 @@
 	r.retryDisk()
 	r.expireLearners()
 	if r.learner {
-		r.sendJoin()
+		r.sendJoinRequests()
 		return
 	}
 	r.tickHeartbeat()
