--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -188,7 +188,7 @@
 		return
 	}
 	have := position{reply.HaveEpoch, reply.HaveVersion}
-	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, have
+	p.progress[s.id].reportedInEpoch, p.progress[s.id].reported = reply.Epoch, have
 	if reply.State != nil && have.newerThan(s.election.bestPosition) {
 		s.election.best, s.election.bestPosition = reply.State, have
 	}
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -77,7 +77,7 @@
 	for _, s := range r.shards {
 		if s.role == owner && s.ownership.serving {
 			served++
-			if now-p.progress[s.id].leaseFrom >= interval {
+			if now-p.progress[s.id].leaseStart >= interval {
 				return false
 			}
 		}
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -17,7 +17,7 @@
 // it answered a request that was sent at sentAt.
 func (r *Replica) recordLease(p *peer, s *shard, sentAt time.Duration) {
 	progress := &p.progress[s.id]
-	progress.leaseFrom = max(progress.leaseFrom, sentAt)
+	progress.leaseStart = max(progress.leaseStart, sentAt)
 	r.renewLease(s)
 }
 
@@ -29,7 +29,7 @@
 		if m.Id == r.self.Id {
 			from = append(from, r.now())
 		} else if p := r.peers[m.Id]; p != nil {
-			from = append(from, p.progress[s.id].leaseFrom)
+			from = append(from, p.progress[s.id].leaseStart)
 		}
 	}
 	if len(from) < r.quorum() {
--- a/internal/replication/peer.go
+++ b/internal/replication/peer.go
@@ -8,15 +8,16 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// peer is what is known of another member, or of a learner.
+// peer is this member's view of another member or of a learner.
 type peer struct {
 	member *meshpb.Member
 
-	// contacted tells that it has been heard at all, lastContact when it last was.
+	// contacted means that at least one message was received from the peer, the last
+	// one at lastContact.
 	contacted   bool
 	lastContact time.Duration
-	// healthy and leaving are what it last said; healthySince is when it began to
-	// say the first without a break.
+	// healthy and leaving are what the peer last reported. healthySince is when its
+	// current uninterrupted run of healthy reports began.
 	healthy      bool
 	healthySince time.Duration
 	leaving      bool
@@ -28,44 +29,49 @@
 	replicateInFlight  bool
 	lastReplicate      time.Duration
 	replicateNotBefore time.Duration
-	// progress is how far its replica of each shard is.
+	// progress is the progress of the peer's replicas, by shard.
 	progress []progress
 
+	// learner is used only while the peer is a learner.
 	learner learnerState
 }
 
-// progress is what an owner knows of a peer's replica of one shard.
+// progress is what this member knows, as the owner of a shard, about a peer's replica
+// of it.
 type progress struct {
-	// leaseFrom is when the last request was sent that renewed the peer's lease.
-	leaseFrom time.Duration
-	// acked is what the replica last said to have on disk; its epoch is 0 if that
-	// is not known.
+	// leaseStart is the send time of the last request that the peer answered by
+	// granting or renewing a lease. The owner counts the lease from then on.
+	leaseStart time.Duration
+	// acked is the position that the replica last reported to have on disk. Its epoch
+	// is 0 if that is unknown.
 	acked position
-	// reported is what the replica said to hold of an earlier epoch, when this member
-	// asked or replicated under reportedTo.
-	reported   position
-	reportedTo uint64
+	// reported is the position in an earlier epoch that the replica reported in
+	// response to a vote request or to replication in reportedInEpoch.
+	reported        position
+	reportedInEpoch uint64
 }
 
-// learnerState is what a learner said when it last asked for a place.
+// learnerState is the content of a learner's last join request.
 type learnerState struct {
 	lastJoin time.Duration
-	// caughtUpTo is the membership whose content the learner holds.
+	// caughtUpTo is the version of the membership under which the learner reported to
+	// be caught up, 0 if it isn't.
 	caughtUpTo uint64
-	// bootstrap tells that it takes part in the first start of the core.
+	// bootstrap means that the learner takes part in the first start of the core.
 	bootstrap bool
 }
 
+// newPeer returns a peer without any progress or leases. Its member isn't set.
 func (r *Replica) newPeer() *peer {
 	p := &peer{progress: make([]progress, len(r.shards))}
 	for i := range p.progress {
-		p.progress[i].leaseFrom = never
+		p.progress[i].leaseStart = never
 	}
 	return p
 }
 
-// updatePeers makes the peers those of the membership. A learner that is now a
-// member keeps its progress.
+// updatePeers brings the peers in line with the membership. A learner that has become
+// a member keeps its progress.
 func (r *Replica) updatePeers() {
 	peers := map[string]*peer{}
 	r.voters = nil
@@ -89,7 +95,7 @@
 	r.rankPeers()
 }
 
-// findLearner returns the learner of that id, nil if there is none.
+// findLearner returns the learner with that id, or nil if there is none.
 func (r *Replica) findLearner(id string) *peer {
 	for _, p := range r.learners {
 		if p.member.Id == id {
@@ -99,15 +105,16 @@
 	return nil
 }
 
-// isVoter tells a member from a learner.
+// isVoter reports whether the peer is a member and not a learner.
 func (r *Replica) isVoter(p *peer) bool { return r.peers[p.member.Id] != nil }
 
-// replicationTargets are all that get entries: members and learners.
+// replicationTargets returns all peers that receive entries: members and learners.
 func (r *Replica) replicationTargets() []*peer {
 	return append(slices.Clip(r.voters), r.learners...)
 }
 
-// recordContact notes a word of the peer.
+// recordContact notes a message from the peer, and the health and the intention to
+// leave that it reported.
 func (r *Replica) recordContact(p *peer, healthy, leaving bool) {
 	now := r.now()
 	if healthy && (!p.healthy || now-p.lastContact > r.options.contactTimeout()) {
@@ -117,11 +124,13 @@
 	p.healthy = healthy
 }
 
-// inContact tells that the peer has been heard of late.
+// inContact reports whether a message was received from the peer within the contact
+// timeout.
 func (r *Replica) inContact(p *peer) bool {
 	return p.contacted && r.now()-p.lastContact < r.options.contactTimeout()
 }
 
+// isReachable reports whether id is this process or a member that is in contact.
 func (r *Replica) isReachable(id string) bool {
 	if id == r.self.Id {
 		return true
@@ -130,7 +139,7 @@
 	return p != nil && r.inContact(p)
 }
 
-// isHealthy tells that a member can own shards.
+// isHealthy reports whether the member can own shards.
 func (r *Replica) isHealthy(id string) bool {
 	if id == r.self.Id {
 		return !r.disk.failed && !r.diskStalled() && !r.leaving && r.isMember() && r.reachesQuorum()
@@ -138,6 +147,8 @@
 	return r.isReachable(id) && r.peers[id].healthy
 }
 
+// reachesQuorum reports whether a majority of the membership is reachable, counting
+// this process.
 func (r *Replica) reachesQuorum() bool {
 	n := 0
 	for _, m := range r.membership.Members {
@@ -148,7 +159,7 @@
 	return n >= r.quorum()
 }
 
-// header is what each call to the peer says of this member.
+// header returns the header of a call to the peer.
 func (r *Replica) header(p *peer) *meshpb.SenderHeader {
 	return &meshpb.SenderHeader{
 		From:         r.self,
@@ -160,25 +171,29 @@
 	}
 }
 
-// The costs by which rankPeers orders peers: any of a kind outweighs all below.
+// Costs by which rankPeers orders peers. Each cost outweighs the sum of the lower
+// ones.
 const (
 	costUnhealthy = 4
 	costSlow      = 2
 	costOtherZone = 1
 )
 
-// minimumPreferredPeers is how many peers get entries at once, even where a
-// majority needs fewer: so one may be lost without a delay.
+// minimumPreferredPeers is the minimum number of peers that receive entries
+// immediately, even if a majority needs fewer, so that the loss of one of them
+// doesn't delay commits.
 const minimumPreferredPeers = 2
 
-// rankPeers chooses the peers that get entries at once, those whose replicas make
-// a majority: healthy ones, by preference of this zone.
+// rankPeers selects the peers that receive entries immediately: as many as a majority
+// needs, and at least minimumPreferredPeers. Healthy peers come first, then those
+// that respond in time, then those in this member's zone.
 func (r *Replica) rankPeers() {
 	ranked := append(r.preferredPeers[:0], r.voters...)
 	sort.SliceStable(ranked, func(i, j int) bool { return r.peerCost(ranked[i]) < r.peerCost(ranked[j]) })
 	r.preferredPeers = ranked[:min(len(ranked), max(r.quorum()-1, minimumPreferredPeers))]
 }
 
+// peerCost returns the cost of replicating to the peer first, for rankPeers.
 func (r *Replica) peerCost(p *peer) int {
 	cost := 0
 	if !r.isHealthy(p.member.Id) {
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -151,7 +151,7 @@
 // assumedPosition is what the replica reported to the owner of this epoch, or else
 // most probably holds: all of the epoch before.
 func (p *progress) assumedPosition(s *shard) position {
-	if p.reportedTo == s.log.epoch {
+	if p.reportedInEpoch == s.log.epoch {
 		return p.reported
 	}
 	return s.log.lastEpochEnd()
@@ -160,7 +160,7 @@
 // report notes what the replica holds, as reported to the owner of the shard's
 // epoch.
 func (p *progress) report(s *shard, have position) {
-	p.reported, p.reportedTo = have, s.log.epoch
+	p.reported, p.reportedInEpoch = have, s.log.epoch
 }
 
 // handleReplicateAck takes in what the peer says of one shard that was replicated
@@ -184,7 +184,7 @@
 		return ack.Promised == 0
 	}
 	replica.acked = position{ack.Epoch, ack.Version}
-	replica.leaseFrom = max(replica.leaseFrom, sentAt)
+	replica.leaseStart = max(replica.leaseStart, sentAt)
 	r.advanceCommit(s)
 	r.renewLease(s)
 	return false
