--- a/internal/replication/handler.go
+++ b/internal/replication/handler.go
@@ -7,24 +7,29 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Handler answers the calls of other members on any goroutine, by the replica in
-// its mailbox. It refuses what is malformed, so that such a call harms nobody.
+// Handler serves the Replication RPCs. Its methods may be called on any goroutine and
+// run the replica's handlers in its mailbox. Malformed requests are rejected before
+// they reach the replica.
 type Handler struct {
+	// Mailbox is the mailbox that Replica runs in.
 	Mailbox *mailbox.Mailbox
+	// Replica handles the requests.
 	Replica *Replica
 }
 
-// result is what a call answers: an error stands for a nil response, and for a
-// mailbox that was closed.
-func result[Response any](response *Response, ok bool) (*Response, error) {
+// responseOrError converts the result of a mailbox call to that of an RPC. It returns
+// errNoAnswer if the response is nil, or if there is none since the mailbox was
+// closed or the call was cancelled.
+func responseOrError[Response any](response *Response, ok bool) (*Response, error) {
 	if !ok || response == nil {
 		return nil, errNoAnswer
 	}
 	return response, nil
 }
 
-// withKnownShards drops the messages that name no shard here.
-func withKnownShards[T interface{ GetShard() uint32 }](h Handler, messages []T) []T {
+// filterKnownShards removes the messages for shards that don't exist here. It reuses
+// the slice.
+func filterKnownShards[T interface{ GetShard() uint32 }](h Handler, messages []T) []T {
 	known := messages[:0]
 	for _, message := range messages {
 		if h.Replica.hasShard(message) {
@@ -34,72 +39,83 @@
 	return known
 }
 
-func hasSender(header *meshpb.SenderHeader) bool { return identifies(header.GetFrom()) }
+// hasSender reports whether the header identifies the process that sent it.
+func hasSender(header *meshpb.SenderHeader) bool { return hasIDAndAddress(header.GetFrom()) }
 
-func identifies(m *meshpb.Member) bool { return m.GetId() != "" && m.Addr != "" }
+// hasIDAndAddress reports whether both the id and the address of the member are set.
+func hasIDAndAddress(m *meshpb.Member) bool { return m.GetId() != "" && m.Addr != "" }
 
-// RenewLeases answers a heartbeat.
+// RenewLeases handles a heartbeat and grants or renews leases. It returns errMalformed
+// if the header has no sender.
 func (h Handler) RenewLeases(_ context.Context, request *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
 	}
-	request.Watermarks = withKnownShards(h, request.Watermarks)
-	return result(mailbox.Call(h.Mailbox, func() *meshpb.RenewLeasesResponse {
+	request.Watermarks = filterKnownShards(h, request.Watermarks)
+	return responseOrError(mailbox.Call(h.Mailbox, func() *meshpb.RenewLeasesResponse {
 		return h.Replica.HandleRenewLeases(request)
 	}))
 }
 
-// Replicate takes entries, epoch changes and states.
+// Replicate handles entries, epoch changes and full states from an owner. The response
+// comes once they are on disk. It returns errMalformed if the header has no sender,
+// and errNoAnswer if a write failed.
 func (h Handler) Replicate(ctx context.Context, request *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
 	}
-	request.States = withKnownShards(h, request.States)
-	request.Entries = withKnownShards(h, request.Entries)
-	request.EpochChanges = withKnownShards(h, request.EpochChanges)
-	return result(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.ReplicateResponse)) {
+	request.States = filterKnownShards(h, request.States)
+	request.Entries = filterKnownShards(h, request.Entries)
+	request.EpochChanges = filterKnownShards(h, request.EpochChanges)
+	return responseOrError(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.ReplicateResponse)) {
 		h.Replica.HandleReplicate(request, reply)
 	}))
 }
 
-// RequestVotes answers a candidate.
+// RequestVotes handles a candidate's requests for votes and pre-votes. The response
+// comes once the votes are on disk. It returns errMalformed if the header has no
+// sender, and errNoAnswer if a write failed.
 func (h Handler) RequestVotes(ctx context.Context, request *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
 	}
-	request.Votes = withKnownShards(h, request.Votes)
-	return result(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.RequestVotesResponse)) {
+	request.Votes = filterKnownShards(h, request.Votes)
+	return responseOrError(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.RequestVotesResponse)) {
 		h.Replica.HandleRequestVotes(request, reply)
 	}))
 }
 
-// TransferOwnership takes the word of an owner that gave up shards.
+// TransferOwnership handles the notice of an owner that has given up shards. It
+// returns errMalformed if the header has no sender.
 func (h Handler) TransferOwnership(_ context.Context, request *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
 	}
-	request.Watermarks = withKnownShards(h, request.Watermarks)
-	return result(mailbox.Call(h.Mailbox, func() *meshpb.TransferOwnershipResponse {
+	request.Watermarks = filterKnownShards(h, request.Watermarks)
+	return responseOrError(mailbox.Call(h.Mailbox, func() *meshpb.TransferOwnershipResponse {
 		return h.Replica.HandleTransferOwnership(request)
 	}))
 }
 
-// AcceptMembership adopts a newer membership.
+// AcceptMembership adopts a newer membership. The response comes once it is on disk.
+// It returns errMalformed if the membership is empty, and errNoAnswer if the write
+// failed.
 func (h Handler) AcceptMembership(ctx context.Context, request *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
 	if len(request.GetMembership().GetMembers()) == 0 {
 		return nil, errMalformed
 	}
-	return result(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.AcceptMembershipResponse)) {
+	return responseOrError(mailbox.CallAsync(ctx, h.Mailbox, func(reply func(*meshpb.AcceptMembershipResponse)) {
 		h.Replica.HandleAcceptMembership(request, reply)
 	}))
 }
 
-// Join answers a process outside the membership.
+// Join handles the join request of a learner, or of a process that is leaving. It
+// returns errMalformed if the request has no sender.
 func (h Handler) Join(_ context.Context, request *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
-	if !identifies(request.GetFrom()) {
+	if !hasIDAndAddress(request.GetFrom()) {
 		return nil, errMalformed
 	}
-	return result(mailbox.Call(h.Mailbox, func() *meshpb.JoinResponse {
+	return responseOrError(mailbox.Call(h.Mailbox, func() *meshpb.JoinResponse {
 		return h.Replica.HandleJoin(request)
 	}))
 }
--- a/internal/replication/handler_test.go
+++ b/internal/replication/handler_test.go
@@ -11,7 +11,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func TestMalformedCallsAreHarmless(t *testing.T) {
+// TestMalformedCallsHaveNoEffect guards against requests that make the replica panic
+// or change its state: ones without a sender, for unknown shards, or empty.
+func TestMalformedCallsHaveNoEffect(t *testing.T) {
 	cluster := newSimCluster(t, 7, 1)
 	cluster.runUntil(time.Second)
 	box := mailbox.New()
@@ -29,6 +31,6 @@
 	}
 	_, _ = handler.AcceptMembership(ctx, &meshpb.AcceptMembershipRequest{})
 	_, _ = handler.Join(ctx, &meshpb.JoinRequest{})
-	_, own := cluster.nodes["m0"].replica.OwnedEpoch(0)
-	qt.Assert(t, own, qt.IsTrue)
+	_, owned := cluster.nodes["m0"].replica.OwnedEpoch(0)
+	qt.Assert(t, owned, qt.IsTrue)
 }
--- a/internal/replication/peer_client.go
+++ b/internal/replication/peer_client.go
@@ -9,21 +9,25 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// PeerClient is the Transport that calls other processes. Each call has a
-// goroutine of its own until its timeout at the latest; its callback goes through
-// the replica's mailbox.
+// PeerClient implements Transport by RPCs to other processes. Each call runs on its
+// own goroutine, at most until its timeout, and posts its callback to the replica's
+// mailbox.
 type PeerClient struct {
+	// Mailbox is the mailbox of the replica, on whose goroutine callbacks run.
 	Mailbox *mailbox.Mailbox
+	// Clients provides the RPC clients by address.
 	Clients *rpc.Clients
-	// CallTimeout bounds all calls but Replicate. Above the lease, a lost heartbeat
-	// would keep the next one waiting until the lease is gone.
+	// CallTimeout limits all calls except Replicate. It must be below the lease
+	// duration: otherwise a lost heartbeat delays the next one until the lease has
+	// expired.
 	CallTimeout time.Duration
-	// ReplicateTimeout bounds Replicate, which may bring full states and waits for
-	// the other's disk.
+	// ReplicateTimeout limits Replicate, which may transfer full shard states and
+	// waits for the peer's disk.
 	ReplicateTimeout time.Duration
 }
 
-// send calls method and hands its response, nil for an error, to callback.
+// send calls method on a new goroutine and posts callback with the response, which is
+// nil if the call failed.
 func send[Request, Response any](c PeerClient, timeout time.Duration, method func(context.Context, *Request) (*Response, error), request *Request, callback func(*Response)) {
 	go func() {
 		response, err := rpc.Call(timeout, method, request)
