--- a/internal/replication/membership_test.go
+++ b/internal/replication/membership_test.go
@@ -10,6 +10,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// TestLearnerReplacesLostMember guards against a core that stops serving because a
+// learner that took the place of a killed member doesn't count towards the majority
+// when the next member is lost.
 func TestLearnerReplacesLostMember(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		cluster := newSimCluster(t, seed, 3)
@@ -23,7 +26,7 @@
 		cluster.runUntil(cluster.now + 6*time.Second)
 		qt.Assert(t, cluster.nodes["m7"].replica.IsLearner(), qt.IsFalse)
 		qt.Assert(t, len(cluster.nodes["m7"].replica.Membership().Members), qt.Equals, 3)
-		nextLost := cluster.otherFounder(lost)
+		nextLost := cluster.otherInitialMember(lost)
 		cluster.nodes[nextLost].kill()
 		before := load.served
 		cluster.runUntil(cluster.now + 5*time.Second)
@@ -31,16 +34,19 @@
 	}
 }
 
-func (c *simCluster) otherFounder(a string) string {
+// otherInitialMember returns the address of one of the first three nodes other than
+// address.
+func (c *simCluster) otherInitialMember(address string) string {
 	for i := 0; i < 3; i++ {
-		if b := fmt.Sprintf("m%d", i); b != a {
-			return b
+		if other := fmt.Sprintf("m%d", i); other != address {
+			return other
 		}
 	}
 	return ""
 }
 
-// TestLearnerJoinsThroughExtraSeeds: a learner's first seeds may all be gone.
+// TestLearnerJoinsThroughExtraSeeds guards against a learner that never joins because
+// all seeds it was started with are gone.
 func TestLearnerJoinsThroughExtraSeeds(t *testing.T) {
 	cluster := newSimCluster(t, 4, 5)
 	cluster.runUntil(6 * time.Second)
@@ -55,9 +61,10 @@
 	qt.Assert(t, len(learner.replica.Membership().Members), qt.Equals, 5)
 }
 
-// TestFounderThatRestartsEarlyBecomesMember: a process of the first start that ends
-// before it is a member still belongs to the first start.
-func TestFounderThatRestartsEarlyBecomesMember(t *testing.T) {
+// TestBootstrapLearnerRestartedEarlyBecomesMember guards against a membership that stays
+// too small: a process that takes part in the first start, and restarts before it
+// has become a member, must still count as part of the first start.
+func TestBootstrapLearnerRestartedEarlyBecomesMember(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		cluster := newSimCluster(t, seed, 5)
 		cluster.runUntil(time.Duration(100+20*seed) * time.Millisecond)
@@ -70,10 +77,10 @@
 	}
 }
 
-// TestEvictedFounderReturnsAsLearner: a founder that was evicted while it was
-// partitioned is a learner like any other, also after a restart, and doesn't make
-// the membership larger.
-func TestEvictedFounderReturnsAsLearner(t *testing.T) {
+// TestEvictedBootstrapMemberReturnsAsLearner guards against a membership that grows
+// beyond its size: a member of the first start that was evicted while partitioned
+// must stay an ordinary learner, also after a restart.
+func TestEvictedBootstrapMemberReturnsAsLearner(t *testing.T) {
 	cluster := newSimCluster(t, 6, 5)
 	cluster.runUntil(6 * time.Second)
 	cluster.setIsolated("m3", true)
@@ -87,6 +94,8 @@
 	qt.Assert(t, cluster.nodes["m3"].replica.IsLearner(), qt.IsTrue)
 }
 
+// TestCallsUnderOtherMembershipHaveNoEffect guards against acks, votes and leases
+// that are counted under one membership but were given under another one.
 func TestCallsUnderOtherMembershipHaveNoEffect(t *testing.T) {
 	cluster := newSimCluster(t, 6, 3)
 	cluster.runUntil(5 * time.Second)
@@ -110,8 +119,9 @@
 	qt.Assert(t, follower.ShardStatuses()[0].Epoch, qt.Equals, status.Epoch)
 }
 
-// TestLeavingMemberStaysUntilSuccessorJoined: the next loss may come the moment a
-// leaving member has ended; its successor counts by then.
+// TestLeavingMemberStaysUntilSuccessorJoined guards against a member that exits
+// before its successor counts towards the majority: the core then can't serve if
+// another member is lost right after the exit.
 func TestLeavingMemberStaysUntilSuccessorJoined(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		run := &scenarioRun{simCluster: newSimCluster(t, seed, 3), scenario: scenario{Members: 3}, faulty: map[string]bool{}}
@@ -120,17 +130,17 @@
 		run.workload.start(run.now + time.Minute)
 		run.addSuccessor()
 		run.runUntil(run.now + catchUpTime - 100*time.Millisecond)
-		nodes, leaver := run.allNodes(), run.rng.Intn(3)
+		nodes, leaving := run.allNodes(), run.rng.Intn(3)
 		terminated := false
-		run.terminate(nodes[leaver], func() { terminated = true })
+		run.terminate(nodes[leaving], func() { terminated = true })
 		for !terminated {
 			run.runUntil(run.now + 10*time.Millisecond)
 		}
-		nodes[(leaver+1)%3].kill()
+		nodes[(leaving+1)%3].kill()
 		before := run.workload.served
 		run.runUntil(run.now + 3*time.Second)
 		if run.ownedShards() != simShards || run.workload.served < before+20 {
-			run.workload.fail("%d shards are owned after the next loss, %d calls served", run.ownedShards(), run.workload.served-before)
+			run.workload.fail("after the next loss, %d shards have an owner and %d calls were served", run.ownedShards(), run.workload.served-before)
 		}
 	}
 }
