--- a/internal/replication/handler.go
+++ b/internal/replication/handler.go
@@ -8,8 +8,8 @@
 )
 
 // Handler serves the Replication RPCs. Its methods may be called on any goroutine and
-// run the replica's handlers in its mailbox. Malformed requests are rejected before
-// they reach the replica.
+// run the replica's handlers in its mailbox. Malformed requests are rejected, and
+// messages for unknown shards removed, before they reach the replica.
 type Handler struct {
 	// Mailbox is the mailbox that Replica runs in.
 	Mailbox *mailbox.Mailbox
