--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -194,7 +194,7 @@
 		return
 	}
 	voterPosition := position{reply.HaveEpoch, reply.HaveVersion}
-	p.progress[s.id].reportedTo, p.progress[s.id].reported = reply.Epoch, voterPosition
+	p.progress[s.id].reportedInEpoch, p.progress[s.id].reported = reply.Epoch, voterPosition
 	if reply.State != nil && voterPosition.newerThan(s.election.newestPosition) {
 		s.election.newestState, s.election.newestPosition = reply.State, voterPosition
 	}
--- a/internal/replication/heartbeat.go
+++ b/internal/replication/heartbeat.go
@@ -78,7 +78,7 @@
 	for _, s := range r.shards {
 		if s.role == owner && s.ownership.serving {
 			servedShards++
-			if now-p.progress[s.id].leaseFrom >= interval {
+			if now-p.progress[s.id].leaseStart >= interval {
 				return false
 			}
 		}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -90,7 +90,7 @@
 		startedAt: options.Now(),
 		tickState: tickState{lastLateTick: never},
 	}
-	r.membershipChange.replicatedUnder = make([]uint64, options.Shards)
+	r.membershipChange.replicatedVersions = make([]uint64, options.Shards)
 	for id := range options.Shards {
 		r.shards = append(r.shards, &shard{id: id, stateMachine: options.NewStateMachine(), catchUp: catchUpState{caughtUpAt: never}})
 	}
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -159,7 +159,7 @@
 // current epoch. Without a report it returns the end of the previous epoch, which is
 // what an up-to-date replica holds.
 func (p *progress) assumedPosition(s *shard) position {
-	if p.reportedTo == s.log.epoch {
+	if p.reportedInEpoch == s.log.epoch {
 		return p.reported
 	}
 	return s.log.lastEpochEnd()
@@ -168,7 +168,7 @@
 // setReported records the position that the replica reported to the owner of the
 // shard's current epoch.
 func (p *progress) setReported(s *shard, have position) {
-	p.reported, p.reportedTo = have, s.log.epoch
+	p.reported, p.reportedInEpoch = have, s.log.epoch
 }
 
 // handleReplicateAck processes the peer's acknowledgement for one shard. sentAt is when
@@ -193,7 +193,7 @@
 		return ack.Promised == 0
 	}
 	replica.acked = position{ack.Epoch, ack.Version}
-	replica.leaseFrom = max(replica.leaseFrom, sentAt)
+	replica.leaseStart = max(replica.leaseStart, sentAt)
 	r.advanceCommit(s)
 	r.renewLease(s)
 	return false
