--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -18,7 +18,7 @@
 // answer to a request sent at sentAt.
 func (r *Replica) recordLease(p *peer, s *shard, sentAt time.Duration) {
 	progress := &p.progress[s.id]
-	progress.leaseFrom = max(progress.leaseFrom, sentAt)
+	progress.leaseStart = max(progress.leaseStart, sentAt)
 	r.renewLease(s)
 }
 
@@ -30,7 +30,7 @@
 		if m.Id == r.self.Id {
 			leaseStarts = append(leaseStarts, r.now())
 		} else if p := r.peers[m.Id]; p != nil {
-			leaseStarts = append(leaseStarts, p.progress[s.id].leaseFrom)
+			leaseStarts = append(leaseStarts, p.progress[s.id].leaseStart)
 		}
 	}
 	if len(leaseStarts) < r.quorum() {
