--- a/cmd/corkcove/core_node.go
+++ b/cmd/corkcove/core_node.go
@@ -39,7 +39,7 @@
 // to serve a shard.
 func (c *coreNode) onOwnershipChange(shard int, owner bool, epoch uint64) {
 	if !owner {
-		c.service.OnOwnerChange(shard)
+		c.service.OnOwnershipLost(shard)
 	}
 	if shard != controllerShard {
 		return
--- a/internal/coordination/accepted.go
+++ b/internal/coordination/accepted.go
@@ -18,9 +18,9 @@
 	// DigestSize is how many bytes of a change's digest are kept.
 	DigestSize = 16
 
-	// legacyRecordLimit is how many changes a release before 242832a recorded
+	// maxLegacyAccepted is how many changes a release before 242832a recorded
 	// inside the configuration; a full record may have lost older ones.
-	legacyRecordLimit = 256
+	maxLegacyAccepted = 256
 )
 
 // acceptedChanges is the record of accepted configuration changes, by rising
@@ -90,7 +90,7 @@
 	if (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(b.Data, &legacy) != nil {
 		return
 	}
-	if len(legacy.Accepted) >= legacyRecordLimit && len(a.versions) == 0 {
+	if len(legacy.Accepted) >= maxLegacyAccepted && len(a.versions) == 0 {
 		a.floor = legacy.Accepted[0].Version - 1
 	}
 	for _, c := range legacy.Accepted {
--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -15,17 +15,17 @@
 
 // event is one put in a group's history.
 type event struct {
-	put *meshpb.Put
-	at  time.Duration
+	put       *meshpb.Put
+	appliedAt time.Duration
 }
 
 // keyGroup holds the keys that share a prefix, a sequence of revisions and a
 // history.
 type keyGroup struct {
 	revision uint64
-	// compacted is the highest revision whose event was discarded.
-	compacted uint64
-	cells     map[string]*meshpb.Put
+	// compactedRevision is the highest revision whose event was discarded.
+	compactedRevision uint64
+	cells             map[string]*meshpb.Put
 	// history holds the recent events, by rising revision.
 	history []event
 }
@@ -106,7 +106,7 @@
 		return Decision[EventList]{Result: EventList{CaughtUp: true}}
 	case after == 0:
 		return Decision[EventList]{Result: EventList{Revision: group.revision}}
-	case after < group.compacted:
+	case after < group.compactedRevision:
 		return Decision[EventList]{Err: ErrCompacted}
 	}
 	list := EventList{Revision: group.revision}
@@ -152,8 +152,8 @@
 // compact discards the events from before a time.
 func (g *keyGroup) compact(before time.Duration) {
 	n := 0
-	for n < len(g.history) && g.history[n].at < before {
-		g.compacted = g.history[n].put.Revision
+	for n < len(g.history) && g.history[n].appliedAt < before {
+		g.compactedRevision = g.history[n].put.Revision
 		n++
 	}
 	if n > 0 {
@@ -164,13 +164,13 @@
 func (k *cellTable) snapshot(now time.Duration) []*meshpb.KeyGroup {
 	var groups []*meshpb.KeyGroup
 	for name, g := range k.groups {
-		group := &meshpb.KeyGroup{Name: name, Revision: g.revision, Floor: g.compacted}
+		group := &meshpb.KeyGroup{Name: name, Revision: g.revision, Floor: g.compactedRevision}
 		for _, put := range g.cells {
 			group.Puts = append(group.Puts, put)
 		}
 		for _, e := range g.history {
 			group.History = append(group.History, &meshpb.Put{
-				Name: e.put.Name, Payload: e.put.Payload, Revision: e.put.Revision, AgeMs: milliseconds(now - e.at),
+				Name: e.put.Name, Payload: e.put.Payload, Revision: e.put.Revision, AgeMs: toMilliseconds(now - e.appliedAt),
 			})
 		}
 		groups = append(groups, group)
@@ -182,7 +182,7 @@
 // restore reads a group; at gives the time of an event from its age.
 func (k *cellTable) restore(from *meshpb.KeyGroup, at func(ageMs uint64) time.Duration) {
 	group := k.group(from.Name)
-	group.revision, group.compacted = from.Revision, from.Floor
+	group.revision, group.compactedRevision = from.Revision, from.Floor
 	for _, put := range from.Puts {
 		group.cells[put.Name] = put
 	}
--- a/internal/coordination/counters.go
+++ b/internal/coordination/counters.go
@@ -7,10 +7,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// reservedNumbers is how many numbers of a counter one replicated change
+// reservationSize is how many numbers of a counter one replicated change
 // reserves: the owner issues them without a round trip each, and the rest is
 // skipped when the owner changes.
-const reservedNumbers = 64
+const reservationSize = 64
 
 // counterTable holds a shard's counters.
 type counterTable struct {
@@ -40,7 +40,7 @@
 		return Decision[uint64]{Result: number}
 	}
 	return Decision[uint64]{
-		Change: &meshpb.Change{Counter: &meshpb.Counter{Name: name, High: number + reservedNumbers - 1}},
+		Change: &meshpb.Change{Counter: &meshpb.Counter{Name: name, High: number + reservationSize - 1}},
 		Result: number,
 	}
 }
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -13,7 +13,7 @@
 	owner        string
 	fencingToken uint64
 	ttl          time.Duration
-	expires      time.Duration
+	expiresAt    time.Duration
 }
 
 // lockTable holds a shard's locks. Expired ones stay until they are released or
@@ -35,7 +35,7 @@
 // who keeps the fencing token; otherwise the error is ErrLockHeld.
 func (t *Table) AcquireLock(name, owner string, ttl, now time.Duration) Decision[LockGrant] {
 	current, found := t.locks.byName[name]
-	held := found && now < current.expires
+	held := found && now < current.expiresAt
 	if held && current.owner != owner {
 		return Decision[LockGrant]{Err: ErrLockHeld}
 	}
@@ -50,7 +50,7 @@
 // otherwise the error is ErrLockLost.
 func (t *Table) RenewLock(name, owner string, fencingToken uint64, ttl, now time.Duration) Decision[LockGrant] {
 	current, found := t.locks.byName[name]
-	if !found || current.owner != owner || current.fencingToken != fencingToken || now >= current.expires {
+	if !found || current.owner != owner || current.fencingToken != fencingToken || now >= current.expiresAt {
 		return Decision[LockGrant]{Err: ErrLockLost}
 	}
 	return grantLock(name, owner, fencingToken, ttl)
@@ -58,7 +58,7 @@
 
 func grantLock(name, owner string, fencingToken uint64, ttl time.Duration) Decision[LockGrant] {
 	return Decision[LockGrant]{
-		Change: &meshpb.Change{Lock: &meshpb.Lock{Name: name, Owner: owner, FencingToken: fencingToken, TtlMs: milliseconds(ttl)}},
+		Change: &meshpb.Change{Lock: &meshpb.Lock{Name: name, Owner: owner, FencingToken: fencingToken, TtlMs: toMilliseconds(ttl)}},
 		Result: LockGrant{fencingToken},
 	}
 }
@@ -81,11 +81,11 @@
 		delete(k.byName, l.Name)
 		return
 	}
-	ttl := duration(l.TtlMs)
+	ttl := fromMilliseconds(l.TtlMs)
 	expires := now + ttl
 	// A renewal never shortens what its owner was granted before.
 	if current, found := k.byName[l.Name]; found && current.fencingToken == l.FencingToken {
-		expires = max(expires, current.expires)
+		expires = max(expires, current.expiresAt)
 	}
 	k.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, expires}
 }
@@ -95,12 +95,12 @@
 func (k *lockTable) snapshot(now time.Duration) []*meshpb.Lock {
 	var locks []*meshpb.Lock
 	for name, l := range k.byName {
-		left := max(l.expires-now, 0)
+		left := max(l.expiresAt-now, 0)
 		ttl := max(l.ttl, left)
 		locks = append(locks, &meshpb.Lock{
 			Name: name, Owner: l.owner, FencingToken: l.fencingToken,
-			TtlMs: milliseconds(ttl + time.Millisecond - 1),
-			AgeMs: milliseconds(ttl - left),
+			TtlMs: toMilliseconds(ttl + time.Millisecond - 1),
+			AgeMs: toMilliseconds(ttl - left),
 		})
 	}
 	slices.SortFunc(locks, func(a, b *meshpb.Lock) int { return cmp.Compare(a.Name, b.Name) })
@@ -109,6 +109,6 @@
 
 // restore reads a lock; age is how long ago it was granted.
 func (k *lockTable) restore(l *meshpb.Lock, now, age time.Duration) {
-	ttl := duration(l.TtlMs)
+	ttl := fromMilliseconds(l.TtlMs)
 	k.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, now + ttl - age}
 }
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -15,8 +15,8 @@
 // state; locks, counters, cells and sessions are spread over the others.
 const ConfigShard = 0
 
-// sessionPrefix sets the hash of session keys apart from that of other names.
-const sessionPrefix = "pin "
+// sessionKeyPrefix sets the hash of session keys apart from that of other names.
+const sessionKeyPrefix = "pin "
 
 // Service answers requests about the shards that this process owns. Its methods
 // may be called from any goroutine.
@@ -45,7 +45,7 @@
 }
 
 // SessionShard is the shard of a session's pins.
-func (s *Service) SessionShard(key string) int { return s.ShardOf(sessionPrefix + key) }
+func (s *Service) SessionShard(key string) int { return s.ShardOf(sessionKeyPrefix + key) }
 
 type result[R any] struct {
 	value R
--- a/internal/coordination/sessions.go
+++ b/internal/coordination/sessions.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// defaultPinIdleTime and defaultPinLimit hold until SetPinLimits.
-	defaultPinIdleTime = 10 * time.Minute
-	defaultPinLimit    = 8192
-	// pinRefreshFraction is the fraction (a quarter) of the idle time after which use of a session is
+	// defaultPinIdleTimeout and defaultPinLimit hold until SetPinLimits.
+	defaultPinIdleTimeout = 10 * time.Minute
+	defaultMaxPins        = 8192
+	// pinRefreshDivisor is the fraction (a quarter) of the idle time after which use of a session is
 	// recorded by a replicated change.
-	pinRefreshFraction = 4
+	pinRefreshDivisor = 4
 	// beforeAnyUse is earlier than any time at which a session was used.
 	beforeAnyUse = time.Duration(-1 << 62)
 )
@@ -33,19 +33,19 @@
 // sessionTable holds a shard's pinned sessions. Their number is bounded; one
 // that was not used for the idle time counts as ended.
 type sessionTable struct {
-	idleTime time.Duration
-	limit    int
-	pins     map[pinKey]pin
+	idleTimeout time.Duration
+	maxPins     int
+	pins        map[pinKey]pin
 }
 
 func newSessionTable() sessionTable {
-	return sessionTable{idleTime: defaultPinIdleTime, limit: defaultPinLimit, pins: map[pinKey]pin{}}
+	return sessionTable{idleTimeout: defaultPinIdleTimeout, maxPins: defaultMaxPins, pins: map[pinKey]pin{}}
 }
 
 // SetPinLimits sets how long an unused pin is kept, and how many pins the
 // shard keeps.
 func (t *Table) SetPinLimits(idleTime time.Duration, limit int) {
-	t.sessions.idleTime, t.sessions.limit = idleTime, limit
+	t.sessions.idleTimeout, t.sessions.maxPins = idleTime, limit
 }
 
 // PinResult answers a node that asked for a session's endpoint.
@@ -72,14 +72,14 @@
 // to leave the one named by From.
 func (t *Table) PinSession(request *meshpb.PinRequest, now time.Duration) Decision[PinResult] {
 	k := &t.sessions
-	key, current, found := k.lastUsed(request, now)
+	key, current, found := k.findLatest(request, now)
 	if found && (request.From == "" || current.endpoint != request.From) {
-		return k.keep(key, current, now)
+		return k.keepPin(key, current, now)
 	}
 	if request.Want == "" {
 		return Decision[PinResult]{}
 	}
-	if !found && !k.makeRoom(now) {
+	if !found && !k.ensureCapacity(now) {
 		return Decision[PinResult]{Result: PinResult{Full: true}}
 	}
 	wanted := &meshpb.Pin{Key: request.Key, Service: request.Service, Endpoint: request.Want, Why: request.Reason, Config: request.Config}
@@ -92,14 +92,14 @@
 	}
 }
 
-// lastUsed finds the session's pin, in the allowed service where it was used
+// findLatest finds the session's pin, in the allowed service where it was used
 // last.
-func (k *sessionTable) lastUsed(request *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
+func (k *sessionTable) findLatest(request *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
 	latest := beforeAnyUse
 	for _, service := range request.Allowed {
 		candidate := pinKey{request.Key, service}
 		p, ok := k.pins[candidate]
-		if ok && !k.ended(p, now) && p.lastUsed > latest {
+		if ok && !k.expired(p, now) && p.lastUsed > latest {
 			key, current, found = candidate, p, true
 			latest = p.lastUsed
 		}
@@ -107,11 +107,11 @@
 	return key, current, found
 }
 
-// keep leaves the session where it is, and records now and then that it is
+// keepPin leaves the session where it is, and records now and then that it is
 // still used.
-func (k *sessionTable) keep(key pinKey, current pin, now time.Duration) Decision[PinResult] {
+func (k *sessionTable) keepPin(key pinKey, current pin, now time.Duration) Decision[PinResult] {
 	kept := Decision[PinResult]{Result: PinResult{Service: key.service, Endpoint: current.endpoint, Reason: current.reason}}
-	if now-current.lastUsed > k.idleTime/pinRefreshFraction {
+	if now-current.lastUsed > k.idleTimeout/pinRefreshDivisor {
 		kept.Change = &meshpb.Change{Pin: &meshpb.Pin{
 			Key: key.sessionKey, Service: key.service, Endpoint: current.endpoint, Why: current.reason,
 			Config: current.configVersion, Moves: current.moves,
@@ -120,28 +120,28 @@
 	return kept
 }
 
-// makeRoom discards ended pins if there are too many, and reports whether one
+// ensureCapacity discards ended pins if there are too many, and reports whether one
 // more may be added.
-func (k *sessionTable) makeRoom(now time.Duration) bool {
-	if len(k.pins) >= k.limit {
-		k.discardEnded(now)
+func (k *sessionTable) ensureCapacity(now time.Duration) bool {
+	if len(k.pins) >= k.maxPins {
+		k.removeExpired(now)
 	}
-	return len(k.pins) < k.limit
+	return len(k.pins) < k.maxPins
 }
 
-func (k *sessionTable) ended(p pin, now time.Duration) bool { return now-p.lastUsed > k.idleTime }
+func (k *sessionTable) expired(p pin, now time.Duration) bool { return now-p.lastUsed > k.idleTimeout }
 
-func (k *sessionTable) discardEnded(now time.Duration) {
+func (k *sessionTable) removeExpired(now time.Duration) {
 	for key, p := range k.pins {
-		if k.ended(p, now) {
+		if k.expired(p, now) {
 			delete(k.pins, key)
 		}
 	}
 }
 
 func (k *sessionTable) apply(c *meshpb.Pin, now time.Duration) {
-	if len(k.pins) >= k.limit {
-		k.discardEnded(now)
+	if len(k.pins) >= k.maxPins {
+		k.removeExpired(now)
 	}
 	k.put(c, now)
 }
@@ -153,12 +153,12 @@
 func (k *sessionTable) snapshot(now time.Duration) []*meshpb.Pin {
 	var pins []*meshpb.Pin
 	for key, p := range k.pins {
-		if k.ended(p, now) {
+		if k.expired(p, now) {
 			continue
 		}
 		pins = append(pins, &meshpb.Pin{
 			Key: key.sessionKey, Service: key.service, Endpoint: p.endpoint, Why: p.reason,
-			Config: p.configVersion, Moves: p.moves, AgeMs: milliseconds(now - p.lastUsed),
+			Config: p.configVersion, Moves: p.moves, AgeMs: toMilliseconds(now - p.lastUsed),
 		})
 	}
 	slices.SortFunc(pins, func(a, b *meshpb.Pin) int {
--- a/internal/coordination/table.go
+++ b/internal/coordination/table.go
@@ -94,7 +94,7 @@
 // straight from another process; fresh restarts each lock's time to live and
 // each event's age, as after a read from disk.
 func (t *Table) Restore(state *meshpb.ShardState, now time.Duration, fresh bool) {
-	age := duration
+	age := fromMilliseconds
 	if fresh {
 		age = func(uint64) time.Duration { return 0 }
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-// milliseconds rounds down to whole milliseconds, 0 at least.
-func milliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
+// toMilliseconds rounds down to whole toMilliseconds, 0 at least.
+func toMilliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-func duration(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func fromMilliseconds(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// OnOwnerChange sends the shard's watchers to its next owner, once this process
+// OnOwnershipLost sends the shard's watchers to its next owner, once this process
 // ceased to own it. It is called on the mailbox's goroutine.
-func (s *Service) OnOwnerChange(shard int) {
+func (s *Service) OnOwnershipLost(shard int) {
 	watchers := s.watchers[shard]
 	delete(s.watchers, shard)
 	for _, w := range watchers {
