--- a/internal/coordination/decision.go
+++ b/internal/coordination/decision.go
@@ -2,18 +2,20 @@
 
 import "corkcove/internal/rpc/meshpb"
 
-// Decision is what a Table decided about one request. The result or the error
-// may be given to the caller only when the replica reports the decision as
-// committed.
+// Decision is the outcome that a Table computed for one request. The result or
+// error may be returned to the caller only after the replica has reported the
+// decision as committed.
 type Decision[R any] struct {
-	// Change leads to the result; nil if the table stays as it is.
+	// Change is the change that produces the result, or nil if the table is not
+	// modified.
 	Change *meshpb.Change
-	// Result answers the caller if Err is nil.
+	// Result is the response to the caller if Err is nil.
 	Result R
-	// Err refuses the request; there is no Change then.
+	// Err is the reason for which the request is refused, or nil. If it is set,
+	// Change is nil.
 	Err error
-	// AlreadyApplied says that an earlier sending of the same request was found
-	// applied. That change may still be uncommitted and take effect later, so a
-	// failure to commit the decision leaves its outcome unknown.
+	// AlreadyApplied reports that an earlier transmission of the same request has
+	// already been applied. Its change may still be uncommitted and take effect
+	// later, so if the decision cannot be committed, its outcome is unknown.
 	AlreadyApplied bool
 }
--- a/internal/coordination/errors.go
+++ b/internal/coordination/errors.go
@@ -6,31 +6,32 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this package's errors.
+// Error is the class of the errors in this package.
 var Error = errs.Class("coordination")
 
-// Results of requests that were decided and changed nothing.
+// Errors of requests that were decided and made no change.
 var (
-	// ErrLockHeld says that another owner's lock has not expired.
-	ErrLockHeld = Error.New("another owner holds the lock")
-	// ErrLockLost says that the lock expired, was released or was granted again,
-	// so that the caller's fencing token renews nothing.
+	// ErrLockHeld reports that another owner holds the lock and that its time to live
+	// has not elapsed.
+	ErrLockHeld = Error.New("the lock is held by another owner")
+	// ErrLockLost reports that the lock has expired, was released or was granted
+	// again, so that it cannot be renewed under the caller's fencing token.
 	ErrLockLost = Error.New("the lock is no longer held under this fencing token")
-	// ErrNotFound says that the key has no value.
+	// ErrNotFound reports that the key has no value.
 	ErrNotFound = Error.New("the key has no value")
-	// ErrCompacted says that events after the given revision were discarded: the
-	// caller has to read the keys again.
-	ErrCompacted = Error.New("the history after this revision was compacted")
+	// ErrCompacted reports that events after the requested revision have been
+	// discarded. The caller must read the keys again.
+	ErrCompacted = Error.New("events after the requested revision have been compacted")
 )
 
-// RevisionMismatchError refuses a conditional Put: the key was written since
-// the revision that the caller expected.
+// RevisionMismatchError reports that a conditional Put was refused because the key
+// is not at the revision that the caller expected.
 type RevisionMismatchError struct {
-	// Current is the key's revision now; 0 if it has no value.
+	// Current is the current revision of the key, or 0 if it has no value.
 	Current uint64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RevisionMismatchError) Error() string {
-	return fmt.Sprintf("coordination: the key stands at revision %d", e.Current)
+	return fmt.Sprintf("coordination: revision mismatch: the key is at revision %d", e.Current)
 }
