--- a/internal/coordination/accepted.go
+++ b/internal/coordination/accepted.go
@@ -10,36 +10,41 @@
 )
 
 const (
-	// ConfigBlob names the blob that holds the configuration in force.
+	// ConfigBlob is the name of the blob that holds the configuration in force.
 	ConfigBlob = "configuration"
-	// MaxAcceptedChanges is how many accepted configuration changes, the newest
-	// ones, are recognized when they are sent again.
+	// MaxAcceptedChanges is the number of accepted configuration changes, the newest
+	// ones, that are recognized when they are sent again.
 	MaxAcceptedChanges = 4096
-	// DigestSize is how many bytes of a change's digest are kept.
+	// DigestSize is the number of leading bytes of a change's digest that are
+	// recorded.
 	DigestSize = 16
 
-	// maxLegacyAccepted is how many changes a release before 242832a recorded
-	// inside the configuration; a full record may have lost older ones.
+	// maxLegacyAccepted is the number of changes that releases before 242832a
+	// recorded inside the configuration. A record of that length may have dropped
+	// older changes.
 	maxLegacyAccepted = 256
 )
 
-// acceptedChanges is the record of accepted configuration changes, by rising
-// version. Its slices only ever grow behind what a snapshot holds, so that
-// snapshots share them.
+// acceptedChanges is the record of accepted configuration changes, ordered by
+// ascending version. Snapshots share the arrays of its slices: their elements are
+// never overwritten, and both snapshot and restore clip the capacity, so that no
+// appended element shows up in another slice.
 type acceptedChanges struct {
 	versions []uint64
-	// digests holds DigestSize bytes for each version.
+	// digests holds DigestSize bytes for each element of versions.
 	digests []byte
-	// floor is the highest version that may have been forgotten.
+	// floor is the highest version whose change may have been dropped from the record.
 	floor uint64
 }
 
-// HasAccepted tells whether a configuration change of this digest was accepted,
-// as far back as the record goes.
+// HasAccepted reports whether the record contains an accepted configuration change
+// with this digest, of which the first DigestSize bytes are compared. digest must
+// not be shorter.
 func (t *Table) HasAccepted(digest []byte) bool { return t.accepted.has(digest[:DigestSize]) }
 
-// AcceptedFloor is the version up to which accepted changes may have been
-// forgotten.
+// AcceptedFloor returns the version up to which, inclusive, accepted changes may
+// have been dropped from the record, so that HasAccepted does not recognize them. It
+// is 0 if none was dropped.
 func (t *Table) AcceptedFloor() uint64 { return t.accepted.floor }
 
 func (a *acceptedChanges) has(digest []byte) bool {
@@ -51,7 +56,8 @@
 	return false
 }
 
-// add records a change unless its version is not above the newest one.
+// add records a change, and drops the oldest one if the record is full. It ignores
+// a change whose version is not above the newest recorded one.
 func (a *acceptedChanges) add(c *meshpb.AcceptedChange) {
 	n := len(a.versions)
 	if len(c.GetDigest()) < DigestSize || n > 0 && c.Version <= a.versions[n-1] {
@@ -66,22 +72,25 @@
 	}
 }
 
-func (a *acceptedChanges) snapshot(to *meshpb.ShardState) {
-	to.AcceptedFloor = a.floor
-	to.AcceptedVersions = slices.Clip(a.versions)
-	to.AcceptedDigests = slices.Clip(a.digests)
+// snapshot writes the record to state.
+func (a *acceptedChanges) snapshot(state *meshpb.ShardState) {
+	state.AcceptedFloor = a.floor
+	state.AcceptedVersions = slices.Clip(a.versions)
+	state.AcceptedDigests = slices.Clip(a.digests)
 }
 
-func (a *acceptedChanges) restore(from *meshpb.ShardState) {
-	a.floor = from.AcceptedFloor
-	if len(from.AcceptedVersions)*DigestSize == len(from.AcceptedDigests) {
-		a.versions = slices.Clip(from.AcceptedVersions)
-		a.digests = slices.Clip(from.AcceptedDigests)
+// restore reads the record from state. It ignores a list of digests whose length
+// does not match the versions.
+func (a *acceptedChanges) restore(state *meshpb.ShardState) {
+	a.floor = state.AcceptedFloor
+	if len(state.AcceptedVersions)*DigestSize == len(state.AcceptedDigests) {
+		a.versions = slices.Clip(state.AcceptedVersions)
+		a.digests = slices.Clip(state.AcceptedDigests)
 	}
 }
 
-// addLegacy takes over what an earlier release recorded inside the
-// configuration.
+// addLegacy adds the changes that a release before 242832a recorded inside the
+// configuration. It ignores blobs other than ConfigBlob.
 func (a *acceptedChanges) addLegacy(b *meshpb.Blob) {
 	if b.Name != ConfigBlob {
 		return
--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -9,39 +9,46 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// historyMargin is added to one and a half times the promised history, so that
-// a watcher at the edge of the promise still finds its events.
+// historyMargin is added to one and a half times the guaranteed history to give the
+// retention, so that a watcher at the very end of the guarantee still finds its
+// events.
 const historyMargin = 5 * time.Second
 
-// event is one put in a group's history.
+// event is a put in the history of a group.
 type event struct {
-	put       *meshpb.Put
+	put *meshpb.Put
+	// appliedAt is when this process applied the put, or an estimate of it from the
+	// age in a restored snapshot.
 	appliedAt time.Duration
 }
 
-// keyGroup holds the keys that share a prefix, a sequence of revisions and a
-// history.
+// keyGroup holds the keys that share a group name. They also share one sequence of
+// revisions and one history.
 type keyGroup struct {
+	// revision is the revision of the newest put in the group.
 	revision uint64
-	// compactedRevision is the highest revision whose event was discarded.
+	// compactedRevision is the highest revision whose event has been discarded, or 0.
 	compactedRevision uint64
-	cells             map[string]*meshpb.Put
-	// history holds the recent events, by rising revision.
+	// cells holds the last put of each key.
+	cells map[string]*meshpb.Put
+	// history holds the recent events in ascending order of revision.
 	history []event
 }
 
-// cellTable holds a shard's key groups.
+// cellTable holds the key groups of a shard.
 type cellTable struct {
+	// retention is how long an event is kept in the history of its group.
 	retention time.Duration
-	groups    map[string]*keyGroup
+	// groups holds the key groups by name.
+	groups map[string]*keyGroup
 }
 
 func newCellTable(retention time.Duration) cellTable {
 	return cellTable{retention: retention, groups: map[string]*keyGroup{}}
 }
 
-// GroupName is the group of a key: its name up to the first dot, dot included,
-// or the whole name.
+// GroupName returns the name of a key's group: the key up to and including its first
+// dot, or the whole key if it has none.
 func GroupName(key string) string {
 	if i := strings.IndexByte(key, '.'); i >= 0 {
 		return key[:i+1]
@@ -49,17 +56,21 @@
 	return key
 }
 
-// Cell is a key's value.
+// Cell is the value of a key together with its revision.
 type Cell struct {
+	// Payload is the value. Results of Put leave it empty.
 	Payload string
-	// Revision is that of the put that wrote the value.
+	// Revision is the revision of the put that wrote the value.
 	Revision uint64
 }
 
-// Put writes a key, on condition that it stands at the revision expected (0: has
-// no value) if that is given; otherwise the error is *RevisionMismatchError. A
-// value that the history shows under the key counts as an earlier sending of
-// the same put, and gets its revision.
+// Put writes a value to a key. If expected is not nil, the key must be at that
+// revision, where 0 means that it has no value; otherwise the error is a
+// *RevisionMismatchError.
+//
+// If the value is the key's current one, or the history contains a put of it to the
+// key, the request is taken for a repetition of that put, whatever expected is:
+// nothing is written, and the result is the revision of that put.
 func (t *Table) Put(name, payload string, expected *uint64, now time.Duration) Decision[Cell] {
 	group := t.cells.group(GroupName(name))
 	if revision, found := group.findPut(name, payload); found {
@@ -76,7 +87,8 @@
 	}
 }
 
-// Get reads a key; without a value the error is ErrNotFound.
+// Get returns the current value of a key. The error is ErrNotFound if the key has
+// none.
 func (t *Table) Get(name string) Decision[Cell] {
 	group := t.cells.groups[GroupName(name)]
 	if group == nil || group.cells[name] == nil {
@@ -86,19 +98,21 @@
 	return Decision[Cell]{Result: Cell{put.Payload, put.Revision}}
 }
 
-// EventList is what happened in a group of keys.
+// EventList lists events of a key group.
 type EventList struct {
-	// Revision is the group's newest.
+	// Revision is the newest revision of the group, or 0 if the group has none.
 	Revision uint64
-	// Events are the puts after the revision asked for, oldest first.
+	// Events are the puts after the requested revision, oldest first.
 	Events []*meshpb.Put
-	// CaughtUp says that there is nothing to tell yet: a watch goes on waiting.
+	// CaughtUp reports that there is nothing after the requested revision yet, so that
+	// a watch keeps waiting.
 	CaughtUp bool
 }
 
-// EventsSince lists the group's events after a revision; if some of them were
-// discarded the error is ErrCompacted. After 0 it tells the newest revision
-// only, for a caller that begins to watch.
+// EventsSince returns the events of a group after a revision. The error is
+// ErrCompacted if some of them have been discarded. If after is 0 and the group
+// exists, the result has only the newest revision, from which a caller can start to
+// watch.
 func (t *Table) EventsSince(name string, after uint64) Decision[EventList] {
 	group := t.cells.groups[name]
 	switch {
@@ -119,16 +133,18 @@
 	return Decision[EventList]{Result: list}
 }
 
-func (k *cellTable) group(name string) *keyGroup {
-	group := k.groups[name]
+// group returns the group with that name, which it creates if there is none.
+func (t *cellTable) group(name string) *keyGroup {
+	group := t.groups[name]
 	if group == nil {
 		group = &keyGroup{cells: map[string]*meshpb.Put{}}
-		k.groups[name] = group
+		t.groups[name] = group
 	}
 	return group
 }
 
-// findPut looks for the value as the key's present one and in the history.
+// findPut returns the revision under which the value was written to the key, if it
+// is the key's current value or the history contains the put.
 func (g *keyGroup) findPut(name, payload string) (revision uint64, found bool) {
 	if current := g.cells[name]; current != nil && current.Payload == payload {
 		return current.Revision, true
@@ -141,18 +157,19 @@
 	return 0, false
 }
 
-func (k *cellTable) apply(p *meshpb.Put, now time.Duration) {
-	group := k.group(GroupName(p.Name))
+// apply records a put and compacts the history of its group.
+func (t *cellTable) apply(p *meshpb.Put, now time.Duration) {
+	group := t.group(GroupName(p.Name))
 	group.revision = max(group.revision, p.Revision)
 	group.cells[p.Name] = p
 	group.history = append(group.history, event{p, now})
-	group.compact(now - k.retention)
+	group.compact(now - t.retention)
 }
 
-// compact discards the events from before a time.
-func (g *keyGroup) compact(before time.Duration) {
+// compact discards the events that were applied before cutoff.
+func (g *keyGroup) compact(cutoff time.Duration) {
 	n := 0
-	for n < len(g.history) && g.history[n].appliedAt < before {
+	for n < len(g.history) && g.history[n].appliedAt < cutoff {
 		g.compactedRevision = g.history[n].put.Revision
 		n++
 	}
@@ -161,9 +178,10 @@
 	}
 }
 
-func (k *cellTable) snapshot(now time.Duration) []*meshpb.KeyGroup {
+// snapshot returns the groups, sorted by name.
+func (t *cellTable) snapshot(now time.Duration) []*meshpb.KeyGroup {
 	var groups []*meshpb.KeyGroup
-	for name, g := range k.groups {
+	for name, g := range t.groups {
 		group := &meshpb.KeyGroup{Name: name, Revision: g.revision, Floor: g.compactedRevision}
 		for _, put := range g.cells {
 			group.Puts = append(group.Puts, put)
@@ -179,15 +197,16 @@
 	return groups
 }
 
-// restore reads a group; at gives the time of an event from its age.
-func (k *cellTable) restore(from *meshpb.KeyGroup, at func(ageMs uint64) time.Duration) {
-	group := k.group(from.Name)
-	group.revision, group.compactedRevision = from.Revision, from.Floor
-	for _, put := range from.Puts {
+// restore adds a group from a snapshot. timeOf converts the age of an event to the
+// time at which it was applied.
+func (t *cellTable) restore(state *meshpb.KeyGroup, timeOf func(ageMs uint64) time.Duration) {
+	group := t.group(state.Name)
+	group.revision, group.compactedRevision = state.Revision, state.Floor
+	for _, put := range state.Puts {
 		group.cells[put.Name] = put
 	}
-	for _, p := range from.History {
+	for _, p := range state.History {
 		put := &meshpb.Put{Name: p.Name, Payload: p.Payload, Revision: p.Revision}
-		group.history = append(group.history, event{put, at(p.AgeMs)})
+		group.history = append(group.history, event{put, timeOf(p.AgeMs)})
 	}
 }
--- a/internal/coordination/cells_test.go
+++ b/internal/coordination/cells_test.go
@@ -7,7 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRepeatedPutGetsItsFirstRevision(t *testing.T) {
+// A put that is sent again, because its response was lost, must return the revision
+// of its first transmission, also if the key has been written since: otherwise it
+// would overwrite the newer value or be refused although it was applied.
+func TestRepeatedPutReturnsFirstRevision(t *testing.T) {
 	table := NewTable(20 * time.Second)
 	put := func(name, payload string, expected *uint64, now time.Duration) Decision[Cell] {
 		return apply(table, table.Put(name, payload, expected, now), now)
@@ -16,14 +19,17 @@
 	qt.Assert(t, put("g.a", "v1", &zero, 0).Result.Revision, qt.Equals, uint64(1))
 	qt.Assert(t, put("g.b", "w1", nil, 0).Result.Revision, qt.Equals, uint64(2))
 	qt.Assert(t, put("g.a", "v2", &one, 0).Result.Revision, qt.Equals, uint64(3))
-	again := put("g.a", "v1", &zero, time.Second)
-	qt.Assert(t, again, qt.Equals, Decision[Cell]{Result: Cell{Revision: 1}, AlreadyApplied: true})
-	late := put("g.a", "v3", &one, time.Second)
-	qt.Assert(t, late, qt.DeepEquals, Decision[Cell]{Err: &RevisionMismatchError{Current: 3}})
+	repeated := put("g.a", "v1", &zero, time.Second)
+	qt.Assert(t, repeated, qt.Equals, Decision[Cell]{Result: Cell{Revision: 1}, AlreadyApplied: true})
+	stale := put("g.a", "v3", &one, time.Second)
+	qt.Assert(t, stale, qt.DeepEquals, Decision[Cell]{Err: &RevisionMismatchError{Current: 3}})
 	qt.Assert(t, put("h.a", "v1", nil, 0).Result.Revision, qt.Equals, uint64(1))
 }
 
-func TestHistoryIsKeptForItsTimeAndOverARestart(t *testing.T) {
+// Watchers must find every event of the guaranteed history, also after a restart from
+// a snapshot on disk. Older events are compacted, and a revision before them must be
+// refused: a list with a gap would look complete to the watcher.
+func TestHistoryIsRetainedForGuaranteedTimeAndAcrossRestart(t *testing.T) {
 	table := NewTable(20 * time.Second)
 	at := func(i int) time.Duration { return time.Duration(i) * time.Second }
 	for i := 1; i <= 60; i++ {
@@ -35,9 +41,9 @@
 		qt.Assert(t, p.Revision, qt.Equals, uint64(41+i))
 	}
 	qt.Assert(t, table.EventsSince("g.", 3).Err, qt.Equals, ErrCompacted)
-	last := table.EventsSince("g.", 60)
-	qt.Assert(t, last.Err, qt.IsNil)
-	qt.Assert(t, last.Result.CaughtUp, qt.IsTrue)
+	newest := table.EventsSince("g.", 60)
+	qt.Assert(t, newest.Err, qt.IsNil)
+	qt.Assert(t, newest.Result.CaughtUp, qt.IsTrue)
 	restored := NewTable(20 * time.Second)
 	restored.Restore(table.Snapshot(at(60)), 0, true)
 	qt.Assert(t, len(restored.EventsSince("g.", 40).Result.Events), qt.Equals, 20)
--- a/internal/coordination/table.go
+++ b/internal/coordination/table.go
@@ -11,26 +11,28 @@
 
 var _ replication.StateMachine = (*Table)(nil)
 
-// Table is the replicated state of one shard. Only the goroutine of the shard's
-// replica calls its methods.
+// Table is the replicated state of one shard. Its methods are not safe for
+// concurrent use: only the goroutine of the shard's replica calls them. Their now
+// arguments are readings of the replica's monotonic clock.
 type Table struct {
 	locks    lockTable
 	counters counterTable
 	cells    cellTable
 	sessions sessionTable
 	accepted acceptedChanges
-	// blobs are opaque values that are replaced whole, by name.
+	// blobs holds opaque values by name. They are only replaced as a whole.
 	blobs map[string]*meshpb.Blob
 }
 
-// NewTable returns an empty table that keeps the events of the last history.
-func NewTable(history time.Duration) *Table {
-	t := &Table{sessions: newSessionTable(), cells: newCellTable(history*3/2 + historyMargin)}
+// NewTable returns an empty table. It retains the events of the last minHistory at
+// least (see historyMargin).
+func NewTable(minHistory time.Duration) *Table {
+	t := &Table{sessions: newSessionTable(), cells: newCellTable(minHistory*3/2 + historyMargin)}
 	t.clear()
 	return t
 }
 
-// clear empties the table; its limits stay.
+// clear removes the content and keeps the configured limits.
 func (t *Table) clear() {
 	t.locks = newLockTable()
 	t.counters = newCounterTable()
@@ -40,40 +42,44 @@
 	t.blobs = map[string]*meshpb.Blob{}
 }
 
-// Apply carries out a change of the shard's log.
-func (t *Table) Apply(c *meshpb.Change, now time.Duration) {
-	if l := c.GetLock(); l != nil {
+// Apply applies a change from the shard's log.
+func (t *Table) Apply(change *meshpb.Change, now time.Duration) {
+	if l := change.GetLock(); l != nil {
 		t.locks.apply(l, now)
 	}
-	if n := c.GetCounter(); n != nil {
-		t.counters.apply(n)
+	if c := change.GetCounter(); c != nil {
+		t.counters.apply(c)
 	}
-	if p := c.GetPut(); p != nil {
+	if p := change.GetPut(); p != nil {
 		t.cells.apply(p, now)
 	}
-	if b := c.GetBlob(); b != nil {
+	if b := change.GetBlob(); b != nil {
 		t.putBlob(b)
 	}
-	if a := c.GetAccepted(); a != nil {
+	if a := change.GetAccepted(); a != nil {
 		t.accepted.add(a)
 	}
-	if p := c.GetPin(); p != nil {
+	if p := change.GetPin(); p != nil {
 		t.sessions.apply(p, now)
 	}
 }
 
-// Blob returns a blob's value; nil if there is none.
+// Blob returns the blob with that name, or nil if there is none.
 func (t *Table) Blob(name string) *meshpb.Blob { return t.blobs[name] }
 
+// putBlob stores a blob, and the accepted changes that it contains if an earlier
+// release wrote it.
 func (t *Table) putBlob(b *meshpb.Blob) {
 	t.blobs[b.Name] = b
 	t.accepted.addLegacy(b)
 }
 
-// BecomeOwner is called when this process becomes the shard's owner.
+// BecomeOwner is called when this process becomes the shard's owner. Numbers that
+// an earlier owner reserved are not issued from then on.
 func (t *Table) BecomeOwner() { t.counters.skipReserved() }
 
-// Snapshot writes the table as a snapshot, each list in a fixed order.
+// Snapshot returns the whole content of the table. Each list has a deterministic
+// order.
 func (t *Table) Snapshot(now time.Duration) *meshpb.ShardState {
 	state := &meshpb.ShardState{
 		LastFencingToken: t.locks.lastFencingToken,
@@ -90,15 +96,16 @@
 	return state
 }
 
-// Restore replaces the table by a snapshot. The ages in it count if it came
-// straight from another process; fresh restarts each lock's time to live and
-// each event's age, as after a read from disk.
-func (t *Table) Restore(state *meshpb.ShardState, now time.Duration, fresh bool) {
+// Restore replaces the content of the table with a snapshot. If fromDisk is false,
+// the snapshot has just been received from another process, and the ages in it are
+// valid. If fromDisk is true, the time since the snapshot was taken is unknown: each
+// lock gets its full time to live again, and events and pins count as new.
+func (t *Table) Restore(state *meshpb.ShardState, now time.Duration, fromDisk bool) {
 	age := fromMilliseconds
-	if fresh {
+	if fromDisk {
 		age = func(uint64) time.Duration { return 0 }
 	}
-	at := func(ageMs uint64) time.Duration { return now - age(ageMs) }
+	timeOf := func(ageMs uint64) time.Duration { return now - age(ageMs) }
 	t.clear()
 	t.locks.lastFencingToken = state.LastFencingToken
 	for _, l := range state.Locks {
@@ -108,18 +115,18 @@
 		t.counters.restore(c)
 	}
 	for _, g := range state.Groups {
-		t.cells.restore(g, at)
+		t.cells.restore(g, timeOf)
 	}
 	t.accepted.restore(state)
 	for _, b := range state.Blobs {
 		t.putBlob(b)
 	}
 	for _, p := range state.Pins {
-		t.sessions.put(p, at(p.AgeMs))
+		t.sessions.put(p, timeOf(p.AgeMs))
 	}
 }
 
-// toMilliseconds rounds down to whole toMilliseconds, 0 at least.
+// toMilliseconds rounds down to whole milliseconds. Negative durations become 0.
 func toMilliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
 func fromMilliseconds(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
