--- a/internal/coordination/counters_test.go
+++ b/internal/coordination/counters_test.go
@@ -7,6 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// The numbers that an owner issues within a reservation are not replicated, so that
+// its successor would issue them a second time if it did not skip the reservation.
 func TestNewOwnerSkipsReservedNumbers(t *testing.T) {
 	owner, successor := NewTable(20*time.Second), NewTable(20*time.Second)
 	next := func() uint64 {
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -8,31 +8,35 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// lock is one granted lock.
+// lock is a granted lock.
 type lock struct {
 	owner        string
 	fencingToken uint64
 	ttl          time.Duration
-	expiresAt    time.Duration
+	// expiresAt is a reading of the replica's monotonic clock.
+	expiresAt time.Duration
 }
 
-// lockTable holds a shard's locks. Expired ones stay until they are released or
-// granted again.
+// lockTable holds the locks of a shard. An expired lock stays in the table until it
+// is released or granted again.
 type lockTable struct {
+	// lastFencingToken is the highest fencing token granted in the shard.
 	lastFencingToken uint64
 	byName           map[string]lock
 }
 
 func newLockTable() lockTable { return lockTable{byName: map[string]lock{}} }
 
-// LockGrant is a lock that the caller holds.
+// LockGrant describes a lock that the caller has acquired or renewed. It is the zero
+// value for a lock that was released.
 type LockGrant struct {
-	// FencingToken rises with each new owner in the shard; a renewal keeps it.
+	// FencingToken is higher than that of every earlier grant in the shard. Renewals,
+	// and acquisitions by an owner that still holds the lock, keep it.
 	FencingToken uint64
 }
 
-// AcquireLock grants a lock that is free, expired, or held by the same owner,
-// who keeps the fencing token; otherwise the error is ErrLockHeld.
+// AcquireLock grants a lock for ttl if it is free, has expired, or is held by the
+// same owner, who keeps the fencing token. Otherwise the error is ErrLockHeld.
 func (t *Table) AcquireLock(name, owner string, ttl, now time.Duration) Decision[LockGrant] {
 	current, found := t.locks.byName[name]
 	held := found && now < current.expiresAt
@@ -46,8 +50,8 @@
 	return grantLock(name, owner, token, ttl)
 }
 
-// RenewLock prolongs a lock that is still held under the fencing token;
-// otherwise the error is ErrLockLost.
+// RenewLock extends a lock to ttl from now if the owner still holds it under the
+// fencing token. It never shortens the lock. Otherwise the error is ErrLockLost.
 func (t *Table) RenewLock(name, owner string, fencingToken uint64, ttl, now time.Duration) Decision[LockGrant] {
 	current, found := t.locks.byName[name]
 	if !found || current.owner != owner || current.fencingToken != fencingToken || now >= current.expiresAt {
@@ -63,8 +67,8 @@
 	}
 }
 
-// ReleaseLock frees a lock. One that is no longer held under the fencing token
-// counts as released before.
+// ReleaseLock releases a lock. If the lock is not held under the fencing token, it
+// counts as released by an earlier transmission of the request.
 func (t *Table) ReleaseLock(name, owner string, fencingToken uint64) Decision[LockGrant] {
 	current, found := t.locks.byName[name]
 	if !found || current.owner != owner || current.fencingToken != fencingToken {
@@ -75,40 +79,42 @@
 	}
 }
 
-func (k *lockTable) apply(l *meshpb.Lock, now time.Duration) {
-	k.lastFencingToken = max(k.lastFencingToken, l.FencingToken)
+// apply grants, renews or releases a lock. The time to live runs from now.
+func (t *lockTable) apply(l *meshpb.Lock, now time.Duration) {
+	t.lastFencingToken = max(t.lastFencingToken, l.FencingToken)
 	if l.Free {
-		delete(k.byName, l.Name)
+		delete(t.byName, l.Name)
 		return
 	}
 	ttl := fromMilliseconds(l.TtlMs)
 	expires := now + ttl
-	// A renewal never shortens what its owner was granted before.
-	if current, found := k.byName[l.Name]; found && current.fencingToken == l.FencingToken {
+	// A renewal never moves the expiry that the owner was granted to an earlier time.
+	if current, found := t.byName[l.Name]; found && current.fencingToken == l.FencingToken {
 		expires = max(expires, current.expiresAt)
 	}
-	k.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, expires}
+	t.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, expires}
 }
 
-// snapshot writes the locks by name. Milliseconds are rounded so that a
-// restored lock never expires early.
-func (k *lockTable) snapshot(now time.Duration) []*meshpb.Lock {
+// snapshot returns the locks, sorted by name. It rounds the time to live up and the
+// age down to milliseconds, so that a restored lock never expires early.
+func (t *lockTable) snapshot(now time.Duration) []*meshpb.Lock {
 	var locks []*meshpb.Lock
-	for name, l := range k.byName {
-		left := max(l.expiresAt-now, 0)
-		ttl := max(l.ttl, left)
+	for name, l := range t.byName {
+		remaining := max(l.expiresAt-now, 0)
+		ttl := max(l.ttl, remaining)
 		locks = append(locks, &meshpb.Lock{
 			Name: name, Owner: l.owner, FencingToken: l.fencingToken,
 			TtlMs: toMilliseconds(ttl + time.Millisecond - 1),
-			AgeMs: toMilliseconds(ttl - left),
+			AgeMs: toMilliseconds(ttl - remaining),
 		})
 	}
 	slices.SortFunc(locks, func(a, b *meshpb.Lock) int { return cmp.Compare(a.Name, b.Name) })
 	return locks
 }
 
-// restore reads a lock; age is how long ago it was granted.
-func (k *lockTable) restore(l *meshpb.Lock, now, age time.Duration) {
+// restore adds a lock from a snapshot. age is the part of its time to live that has
+// elapsed.
+func (t *lockTable) restore(l *meshpb.Lock, now, age time.Duration) {
 	ttl := fromMilliseconds(l.TtlMs)
-	k.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, now + ttl - age}
+	t.byName[l.Name] = lock{l.Owner, l.FencingToken, ttl, now + ttl - age}
 }
--- a/internal/coordination/locks_test.go
+++ b/internal/coordination/locks_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// apply carries out a decision's change, as a replica does.
+// apply applies the change of a decision, as a replica does.
 func apply[R any](t *Table, d Decision[R], now time.Duration) Decision[R] {
 	if d.Change != nil {
 		t.Apply(d.Change, now)
@@ -15,6 +15,9 @@
 	return d
 }
 
+// After a renewal with a shorter time to live, the lock must be held until the end of
+// the time that was granted first, also on a member that restores the snapshot with
+// the ages in it. Otherwise another owner could acquire a lock that is still in use.
 func TestShorterRenewalDoesNotShortenTheLock(t *testing.T) {
 	owner, restored := NewTable(20*time.Second), NewTable(20*time.Second)
 	granted := apply(owner, owner.AcquireLock("l", "x", 3*time.Second, 0), 0)
@@ -28,10 +31,12 @@
 	qt.Assert(t, late.Result.FencingToken > granted.Result.FencingToken, qt.IsTrue)
 }
 
-func TestLockRunsItsFullTimeAfterARestart(t *testing.T) {
-	before, after := NewTable(20*time.Second), NewTable(20*time.Second)
-	apply(before, before.AcquireLock("l", "x", 3*time.Second, 0), 0)
-	after.Restore(before.Snapshot(2*time.Second), 0, true)
-	d := after.AcquireLock("l", "y", time.Second, 2900*time.Millisecond)
+// After a restart from disk nothing is known of the time since the snapshot, so a lock
+// must get its full time to live again: it must not expire before its owner expects.
+func TestLockGetsFullTimeToLiveAfterRestart(t *testing.T) {
+	table, restored := NewTable(20*time.Second), NewTable(20*time.Second)
+	apply(table, table.AcquireLock("l", "x", 3*time.Second, 0), 0)
+	restored.Restore(table.Snapshot(2*time.Second), 0, true)
+	d := restored.AcquireLock("l", "y", time.Second, 2900*time.Millisecond)
 	qt.Assert(t, d.Err, qt.Equals, ErrLockHeld)
 }
