--- a/internal/coordination/sessions.go
+++ b/internal/coordination/sessions.go
@@ -9,29 +9,37 @@
 )
 
 const (
-	// defaultPinIdleTimeout and defaultPinLimit hold until SetPinLimits.
+	// defaultPinIdleTimeout and defaultMaxPins apply until SetPinLimits is called.
 	defaultPinIdleTimeout = 10 * time.Minute
 	defaultMaxPins        = 8192
-	// pinRefreshDivisor is the fraction (a quarter) of the idle time after which use of a session is
-	// recorded by a replicated change.
+	// pinRefreshDivisor divides the idle timeout: the use of a session is recorded by
+	// a replicated change only if a quarter of the timeout has passed since the last
+	// recorded use.
 	pinRefreshDivisor = 4
-	// beforeAnyUse is earlier than any time at which a session was used.
+	// beforeAnyUse is earlier than any time at which a session can have been used.
 	beforeAnyUse = time.Duration(-1 << 62)
 )
 
+// pinKey identifies a pin: a session has at most one pin in each service.
 type pinKey struct{ sessionKey, service string }
 
-// pin is the endpoint that a session is kept at.
+// pin is the assignment of a session to an endpoint.
 type pin struct {
-	endpoint      string
-	reason        string
+	endpoint string
+	// reason is why the session was assigned to the endpoint.
+	reason string
+	// configVersion is the version of the configuration under which it was assigned.
 	configVersion uint64
-	moves         uint32
-	lastUsed      time.Duration
+	// moves is how many times the session has moved to another endpoint.
+	moves uint32
+	// lastUsed is the last recorded use, as a reading of the replica's monotonic
+	// clock.
+	lastUsed time.Duration
 }
 
-// sessionTable holds a shard's pinned sessions. Their number is bounded; one
-// that was not used for the idle time counts as ended.
+// sessionTable holds the pinned sessions of a shard. A session without a pin is
+// refused while the table holds maxPins pins or more. A pin whose last recorded use
+// is longer ago than idleTimeout has expired.
 type sessionTable struct {
 	idleTimeout time.Duration
 	maxPins     int
@@ -42,64 +50,68 @@
 	return sessionTable{idleTimeout: defaultPinIdleTimeout, maxPins: defaultMaxPins, pins: map[pinKey]pin{}}
 }
 
-// SetPinLimits sets how long an unused pin is kept, and how many pins the
-// shard keeps.
-func (t *Table) SetPinLimits(idleTime time.Duration, limit int) {
-	t.sessions.idleTimeout, t.sessions.maxPins = idleTime, limit
+// SetPinLimits sets how long an unused pin is kept, and how many pins the shard may
+// hold before it refuses sessions without one.
+func (t *Table) SetPinLimits(idleTimeout time.Duration, maxPins int) {
+	t.sessions.idleTimeout, t.sessions.maxPins = idleTimeout, maxPins
 }
 
-// PinResult answers a node that asked for a session's endpoint.
+// PinResult is the result of PinSession.
 type PinResult struct {
-	// Service and Endpoint are empty if the session has no endpoint and the node
-	// wanted none for it.
-	Service  string
+	// Service is the service of Endpoint, or empty if Endpoint is.
+	Service string
+	// Endpoint is the id of the endpoint that the session is pinned to. It is empty
+	// if Full is set, or if the request named no endpoint and the session is not
+	// pinned or was to move.
 	Endpoint string
-	// Reason is why the session came to this endpoint.
+	// Reason is why the session was assigned to the endpoint.
 	Reason string
-	// Moved says that the session was at another endpoint before.
+	// Moved reports that this request moved the session from another endpoint.
 	Moved bool
-	// Full says that there is no room for another session.
+	// Full reports that the session was not pinned because the shard holds the
+	// maximum number of pins.
 	Full bool
 }
 
-// Response is the result as it goes to the node.
+// Response returns the result as a message to the node that sent the request.
 func (r PinResult) Response() *meshpb.PinResponse {
 	return &meshpb.PinResponse{Ok: true, Service: r.Service, Endpoint: r.Endpoint, Moved: r.Moved, Full: r.Full, Reason: r.Reason}
 }
 
-// PinSession gives a session's endpoint: the one that it has in one of the
-// allowed services, or the one that the node wants for it if it has none or is
-// to leave the one named by From.
+// PinSession returns the endpoint that a session is pinned to in one of the
+// request's Allowed services. If there is none, or if it is the endpoint From that
+// the session is to leave, PinSession pins the session to the endpoint Want of
+// request.Service.
 func (t *Table) PinSession(request *meshpb.PinRequest, now time.Duration) Decision[PinResult] {
-	k := &t.sessions
-	key, current, found := k.findLatest(request, now)
+	sessions := &t.sessions
+	key, current, found := sessions.findLatest(request, now)
 	if found && (request.From == "" || current.endpoint != request.From) {
-		return k.keepPin(key, current, now)
+		return sessions.keepPin(key, current, now)
 	}
 	if request.Want == "" {
 		return Decision[PinResult]{}
 	}
-	if !found && !k.ensureCapacity(now) {
+	if !found && !sessions.ensureCapacity(now) {
 		return Decision[PinResult]{Result: PinResult{Full: true}}
 	}
-	wanted := &meshpb.Pin{Key: request.Key, Service: request.Service, Endpoint: request.Want, Why: request.Reason, Config: request.Config}
+	next := &meshpb.Pin{Key: request.Key, Service: request.Service, Endpoint: request.Want, Why: request.Reason, Config: request.Config}
 	if found {
-		wanted.From, wanted.Moves = current.endpoint, current.moves+1
+		next.From, next.Moves = current.endpoint, current.moves+1
 	}
 	return Decision[PinResult]{
-		Change: &meshpb.Change{Pin: wanted},
+		Change: &meshpb.Change{Pin: next},
 		Result: PinResult{Service: request.Service, Endpoint: request.Want, Reason: request.Reason, Moved: found},
 	}
 }
 
-// findLatest finds the session's pin, in the allowed service where it was used
-// last.
-func (k *sessionTable) findLatest(request *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
+// findLatest returns the pin of the session in the allowed services that was used
+// last and has not expired.
+func (t *sessionTable) findLatest(request *meshpb.PinRequest, now time.Duration) (key pinKey, current pin, found bool) {
 	latest := beforeAnyUse
 	for _, service := range request.Allowed {
 		candidate := pinKey{request.Key, service}
-		p, ok := k.pins[candidate]
-		if ok && !k.expired(p, now) && p.lastUsed > latest {
+		p, ok := t.pins[candidate]
+		if ok && !t.expired(p, now) && p.lastUsed > latest {
 			key, current, found = candidate, p, true
 			latest = p.lastUsed
 		}
@@ -107,53 +119,55 @@
 	return key, current, found
 }
 
-// keepPin leaves the session where it is, and records now and then that it is
-// still used.
-func (k *sessionTable) keepPin(key pinKey, current pin, now time.Duration) Decision[PinResult] {
-	kept := Decision[PinResult]{Result: PinResult{Service: key.service, Endpoint: current.endpoint, Reason: current.reason}}
-	if now-current.lastUsed > k.idleTimeout/pinRefreshDivisor {
-		kept.Change = &meshpb.Change{Pin: &meshpb.Pin{
+// keepPin returns the session's current endpoint. It records the use of the session
+// if the last recorded use is old enough (see pinRefreshDivisor).
+func (t *sessionTable) keepPin(key pinKey, current pin, now time.Duration) Decision[PinResult] {
+	decision := Decision[PinResult]{Result: PinResult{Service: key.service, Endpoint: current.endpoint, Reason: current.reason}}
+	if now-current.lastUsed > t.idleTimeout/pinRefreshDivisor {
+		decision.Change = &meshpb.Change{Pin: &meshpb.Pin{
 			Key: key.sessionKey, Service: key.service, Endpoint: current.endpoint, Why: current.reason,
 			Config: current.configVersion, Moves: current.moves,
 		}}
 	}
-	return kept
+	return decision
 }
 
-// ensureCapacity discards ended pins if there are too many, and reports whether one
-// more may be added.
-func (k *sessionTable) ensureCapacity(now time.Duration) bool {
-	if len(k.pins) >= k.maxPins {
-		k.removeExpired(now)
+// ensureCapacity removes expired pins if the table is full, and reports whether
+// another pin may be added.
+func (t *sessionTable) ensureCapacity(now time.Duration) bool {
+	if len(t.pins) >= t.maxPins {
+		t.removeExpired(now)
 	}
-	return len(k.pins) < k.maxPins
+	return len(t.pins) < t.maxPins
 }
 
-func (k *sessionTable) expired(p pin, now time.Duration) bool { return now-p.lastUsed > k.idleTimeout }
+func (t *sessionTable) expired(p pin, now time.Duration) bool { return now-p.lastUsed > t.idleTimeout }
 
-func (k *sessionTable) removeExpired(now time.Duration) {
-	for key, p := range k.pins {
-		if k.expired(p, now) {
-			delete(k.pins, key)
+func (t *sessionTable) removeExpired(now time.Duration) {
+	for key, p := range t.pins {
+		if t.expired(p, now) {
+			delete(t.pins, key)
 		}
 	}
 }
 
-func (k *sessionTable) apply(c *meshpb.Pin, now time.Duration) {
-	if len(k.pins) >= k.maxPins {
-		k.removeExpired(now)
+// apply adds, moves or refreshes a pin. It removes expired pins if the table is full.
+func (t *sessionTable) apply(c *meshpb.Pin, now time.Duration) {
+	if len(t.pins) >= t.maxPins {
+		t.removeExpired(now)
 	}
-	k.put(c, now)
+	t.put(c, now)
 }
 
-func (k *sessionTable) put(c *meshpb.Pin, lastUsed time.Duration) {
-	k.pins[pinKey{c.Key, c.Service}] = pin{c.Endpoint, c.Why, c.Config, c.Moves, lastUsed}
+func (t *sessionTable) put(c *meshpb.Pin, lastUsed time.Duration) {
+	t.pins[pinKey{c.Key, c.Service}] = pin{c.Endpoint, c.Why, c.Config, c.Moves, lastUsed}
 }
 
-func (k *sessionTable) snapshot(now time.Duration) []*meshpb.Pin {
+// snapshot returns the pins that have not expired, sorted by session key and service.
+func (t *sessionTable) snapshot(now time.Duration) []*meshpb.Pin {
 	var pins []*meshpb.Pin
-	for key, p := range k.pins {
-		if k.expired(p, now) {
+	for key, p := range t.pins {
+		if t.expired(p, now) {
 			continue
 		}
 		pins = append(pins, &meshpb.Pin{
--- a/internal/coordination/sessions_test.go
+++ b/internal/coordination/sessions_test.go
@@ -10,7 +10,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func TestPinsAreBoundedAndIdleOnesEnd(t *testing.T) {
+// A full table must refuse a new session rather than drop a pin in use, and accept it
+// once idle pins have expired. A pin that was used meanwhile must survive.
+func TestPinsAreBoundedAndIdlePinsExpire(t *testing.T) {
 	table := NewTable(time.Minute)
 	table.SetPinLimits(10*time.Second, 3)
 	pin := func(key string, now time.Duration) PinResult {
