--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -11,68 +11,77 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// ConfigShard is the shard of the configuration and the cluster controller's
-// state; locks, counters, cells and sessions are spread over the others.
+// ConfigShard is the shard that holds the configuration and the state of the cluster
+// controller. Locks, counters, cells and sessions are distributed over the others.
 const ConfigShard = 0
 
-// sessionKeyPrefix sets the hash of session keys apart from that of other names.
+// sessionKeyPrefix is prepended to session keys before hashing, so that a session and
+// another object of the same name are hashed independently. Changing it would move
+// the stored sessions to other shards.
 const sessionKeyPrefix = "pin "
 
-// Service answers requests about the shards that this process owns. Its methods
-// may be called from any goroutine.
+// Service serves requests for the shards that this process owns. Its methods are
+// safe for concurrent use, except OnCommit and OnOwnershipLost.
 type Service struct {
-	// Mailbox runs all that touches Replica.
+	// Mailbox runs the service's calls to Replica, on the goroutine that owns it.
 	Mailbox *mailbox.Mailbox
-	// Replica is set once, before the first request.
+	// Replica must be set before the first request and not changed afterwards.
 	Replica *replication.Replica
-	// ShardCount is the number of shards, ConfigShard included; 2 at least.
+	// ShardCount is the number of shards, including ConfigShard. It is at least 2.
 	ShardCount int
 
-	// watchers wait for events, by shard; only the mailbox's goroutine touches them.
+	// watchers holds the waiting watchers by shard. It is accessed only on the
+	// mailbox's goroutine.
 	watchers map[int][]*watcher
 }
 
-// NewService returns a service whose Replica is still to be set.
+// NewService returns a service. The caller must set its Replica before the first
+// request.
 func NewService(mailbox *mailbox.Mailbox, shardCount int) *Service {
 	return &Service{Mailbox: mailbox, ShardCount: shardCount, watchers: map[int][]*watcher{}}
 }
 
-// ShardOf is the shard of a lock, a counter or a group of keys.
+// ShardOf returns the shard of the lock, counter or key group with that name.
 func (s *Service) ShardOf(name string) int {
-	h := fnv.New32a()
-	h.Write([]byte(name)) // never fails
-	return 1 + int(h.Sum32())%(s.ShardCount-1)
+	hash := fnv.New32a()
+	hash.Write([]byte(name)) // never returns an error
+	return 1 + int(hash.Sum32())%(s.ShardCount-1)
 }
 
-// SessionShard is the shard of a session's pins.
+// SessionShard returns the shard that holds the pins of a session.
 func (s *Service) SessionShard(key string) int { return s.ShardOf(sessionKeyPrefix + key) }
 
+// result is a value or an error.
 type result[R any] struct {
 	value R
 	err   error
 }
 
-// Transact lets the shard's table decide a request, and returns its result once
-// that is committed. Other errors than the decision's own are
-// replication.ErrNotOwner and replication.ErrUnavailable (nothing was done) and
-// replication.ErrOutcomeUnknown (the change may still be applied).
+// Transact runs decide on the shard's table and returns the result of the decision
+// once it is committed. Besides the error of the decision, it returns
+// replication.ErrNotOwner or replication.ErrUnavailable if no change was made, and
+// replication.ErrOutcomeUnknown if a change may have been made and may still take
+// effect, also if ctx ends or the mailbox is closed first.
 func Transact[R any](ctx context.Context, s *Service, shard int, decide func(t *Table, now time.Duration) Decision[R]) (R, error) {
-	answer, ok := mailbox.CallAsync(ctx, s.Mailbox, func(reply func(result[R])) {
+	response, ok := mailbox.CallAsync(ctx, s.Mailbox, func(reply func(result[R])) {
 		transactOnMailbox(s, shard, decide, func(value R, err error) { reply(result[R]{value, err}) })
 	})
 	if !ok {
-		return answer.value, replication.ErrOutcomeUnknown
+		return response.value, replication.ErrOutcomeUnknown
 	}
-	return answer.value, answer.err
+	return response.value, response.err
 }
 
-// transactOnMailbox is Transact on the mailbox's goroutine; reply runs there too.
+// transactOnMailbox is Transact for callers on the mailbox's goroutine. It does not
+// block, and reply is called on the same goroutine.
 func transactOnMailbox[R any](s *Service, shard int, decide func(*Table, time.Duration) Decision[R], reply func(R, error)) {
 	var d Decision[R]
 	s.Replica.Execute(shard, func(t replication.StateMachine, now time.Duration) *meshpb.Change {
 		d = decide(t.(*Table), now)
 		return d.Change
 	}, func(err error) {
+		// ErrUnavailable reports that no change was made, but the change of the earlier
+		// transmission may still take effect.
 		if d.AlreadyApplied && errors.Is(err, replication.ErrUnavailable) {
 			err = replication.ErrOutcomeUnknown
 		}
@@ -83,49 +92,56 @@
 	})
 }
 
-// AcquireLock is Table.AcquireLock in the lock's shard.
+// AcquireLock runs Table.AcquireLock on the shard of the lock. See Transact for
+// further errors.
 func (s *Service) AcquireLock(ctx context.Context, name, owner string, ttl time.Duration) (LockGrant, error) {
 	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) Decision[LockGrant] {
 		return t.AcquireLock(name, owner, ttl, now)
 	})
 }
 
-// RenewLock is Table.RenewLock in the lock's shard.
+// RenewLock runs Table.RenewLock on the shard of the lock. See Transact for further
+// errors.
 func (s *Service) RenewLock(ctx context.Context, name, owner string, fencingToken uint64, ttl time.Duration) (LockGrant, error) {
 	return Transact(ctx, s, s.ShardOf(name), func(t *Table, now time.Duration) Decision[LockGrant] {
 		return t.RenewLock(name, owner, fencingToken, ttl, now)
 	})
 }
 
-// ReleaseLock is Table.ReleaseLock in the lock's shard.
+// ReleaseLock runs Table.ReleaseLock on the shard of the lock. See Transact for its
+// errors.
 func (s *Service) ReleaseLock(ctx context.Context, name, owner string, fencingToken uint64) (LockGrant, error) {
 	return Transact(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) Decision[LockGrant] {
 		return t.ReleaseLock(name, owner, fencingToken)
 	})
 }
 
-// NextNumber is Table.NextNumber in the counter's shard.
+// NextNumber runs Table.NextNumber on the shard of the counter. See Transact for its
+// errors.
 func (s *Service) NextNumber(ctx context.Context, name string) (uint64, error) {
 	return Transact(ctx, s, s.ShardOf(name), func(t *Table, _ time.Duration) Decision[uint64] {
 		return t.NextNumber(name)
 	})
 }
 
-// Put is Table.Put in the shard of the key's group.
+// Put runs Table.Put on the shard of the key's group. See Transact for further
+// errors.
 func (s *Service) Put(ctx context.Context, name, payload string, expected *uint64) (Cell, error) {
 	return Transact(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, now time.Duration) Decision[Cell] {
 		return t.Put(name, payload, expected, now)
 	})
 }
 
-// Get is Table.Get in the shard of the key's group.
+// Get runs Table.Get on the shard of the key's group. See Transact for further
+// errors.
 func (s *Service) Get(ctx context.Context, name string) (Cell, error) {
 	return Transact(ctx, s, s.ShardOf(GroupName(name)), func(t *Table, _ time.Duration) Decision[Cell] {
 		return t.Get(name)
 	})
 }
 
-// PinSession is Table.PinSession in the session's shard.
+// PinSession runs Table.PinSession on the shard of the session. See Transact for its
+// errors.
 func (s *Service) PinSession(ctx context.Context, request *meshpb.PinRequest) (PinResult, error) {
 	return Transact(ctx, s, s.SessionShard(request.Key), func(t *Table, now time.Duration) Decision[PinResult] {
 		return t.PinSession(request, now)
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -9,18 +9,24 @@
 	"corkcove/internal/replication"
 )
 
-// watcher waits for a group's events. Only the mailbox's goroutine touches it.
+// watcher is a call of Watch that waits for events of a group. After its creation
+// it is accessed only on the mailbox's goroutine.
 type watcher struct {
 	group string
+	// after is the revision after which the caller waits for events.
 	after uint64
-	// done says that notify was called or that nobody waits any more.
-	done   bool
+	// done reports that a result is on its way to the caller, or that the caller has
+	// stopped waiting.
+	done bool
+	// notify passes the result to the caller. It is called at most once.
 	notify func(EventList, error)
 }
 
-// Watch returns as soon as the group has an event after the revision, or with
-// none once wait is over. Errors are ErrCompacted and those of Transact;
-// replication.ErrNotOwner also if this process ceases to own the shard.
+// Watch returns the events of a group after a revision as soon as there are any. It
+// returns an empty list once wait has elapsed. If after is 0 and the group exists, it
+// returns at once, with the newest revision only. The errors are ErrCompacted and
+// those of Transact, including replication.ErrNotOwner if this process loses the
+// ownership of the shard while Watch waits.
 func (s *Service) Watch(ctx context.Context, group string, after uint64, wait time.Duration) (EventList, error) {
 	list, err := s.eventsSince(ctx, group, after)
 	if err != nil || !list.CaughtUp || wait <= 0 {
@@ -30,24 +36,26 @@
 	w := &watcher{group: group, after: after}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	answer, ok := mailbox.CallAsync(waitCtx, s.Mailbox, func(reply func(result[EventList])) {
+	response, ok := mailbox.CallAsync(waitCtx, s.Mailbox, func(reply func(result[EventList])) {
 		w.notify = func(list EventList, err error) { reply(result[EventList]{list, err}) }
 		s.watchers[shard] = append(s.watchers[shard], w)
 		s.notifyIfReady(shard, w)
 	})
 	if ok {
-		return answer.value, answer.err
+		return response.value, response.err
 	}
 	s.Mailbox.Post(func() { s.removeWatcher(shard, w) })
 	return s.eventsSince(ctx, group, after)
 }
 
+// eventsSince runs Table.EventsSince on the shard of the group.
 func (s *Service) eventsSince(ctx context.Context, group string, after uint64) (EventList, error) {
 	return Transact(ctx, s, s.ShardOf(group), func(t *Table, _ time.Duration) Decision[EventList] {
 		return t.EventsSince(group, after)
 	})
 }
 
+// removeWatcher marks a watcher as done and stops tracking it.
 func (s *Service) removeWatcher(shard int, w *watcher) {
 	w.done = true
 	watchers := s.watchers[shard]
@@ -56,7 +64,9 @@
 	}
 }
 
-// notifyIfReady answers a watcher whose group has events after its revision.
+// notifyIfReady sends a watcher its result if the group has events after the
+// watcher's revision, or if such events have been compacted. The events may not be
+// committed yet: the result is sent once they are.
 func (s *Service) notifyIfReady(shard int, w *watcher) {
 	if w.done {
 		return
@@ -71,16 +81,17 @@
 	}, w.notify)
 }
 
-// OnCommit notifies the shard's watchers of what was committed. It is called on
-// the mailbox's goroutine.
+// OnCommit notifies the shard's watchers of newly committed events. It must be called
+// on the mailbox's goroutine.
 func (s *Service) OnCommit(shard int) {
 	for _, w := range slices.Clone(s.watchers[shard]) {
 		s.notifyIfReady(shard, w)
 	}
 }
 
-// OnOwnershipLost sends the shard's watchers to its next owner, once this process
-// ceased to own it. It is called on the mailbox's goroutine.
+// OnOwnershipLost ends the waiting Watch calls of a shard that this process no longer
+// owns, with replication.ErrNotOwner, so that their callers turn to the next owner.
+// It must be called on the mailbox's goroutine.
 func (s *Service) OnOwnershipLost(shard int) {
 	watchers := s.watchers[shard]
 	delete(s.watchers, shard)
