--- a/internal/clustercontroller/doc.go
+++ b/internal/clustercontroller/doc.go
@@ -1,20 +1,21 @@
-// Package clustercontroller is the master of the mesh, and the relays that help it
-// reach all nodes.
+// Package clustercontroller implements the master of the mesh and the relays that
+// fan its requests out to many nodes.
 //
 // The owner of shard 0 is the master (leadership.go). It polls every node for its
-// state (polling.go), remembers how each node did over time (history.go), and
-// merges the nodes' states, the platform's list, the operators' user states and
-// what the nodes say of each other's endpoints (outliers.go) into the endpoints of
-// the mesh (merge.go). From these it makes a view, saves it in shard 0 and then
-// publishes it to all nodes (views.go), as it delivers each committed configuration
-// (configs.go). What one node holds of both is its nodeProgress (progress.go).
-// Requests of the same kind to many nodes go out together, through other core
-// members as relays (batches.go, relay.go).
+// state (polling.go) and keeps a history of each node's crashes and failed polls
+// (history.go). From the nodes' states, the platform's endpoint list, the states
+// set by operators and the failures that nodes report about each other's endpoints
+// (outliers.go) it computes the endpoints of the mesh (merge.go). It builds a view
+// from them, saves the view in shard 0 and then publishes it to all nodes
+// (views.go). It also delivers each committed configuration (configs.go).
+// nodeProgress records which view and configuration a node holds (progress.go).
+// Requests of the same kind to many nodes are batched and sent through other core
+// members acting as relays (batches.go, relay.go).
 //
-// All state belongs to a Master and to the goroutine of its mailbox; other
-// goroutines only make calls and post what came of them. Nothing is kept on disk
-// here: a new master begins with the view, the user states and the configuration
-// of shard 0. A master whose lease on shard 0 is not certain sends nothing, and
-// nodes refuse what comes under an epoch lower than the highest they have seen.
-// Relays keep no state at all.
+// All state belongs to a Master and is accessed only on the goroutine of its
+// mailbox; other goroutines only make calls and post the results. The package
+// writes nothing to disk itself: a new master starts from the view, user states and
+// configuration stored in shard 0. A master that does not hold the lease on shard 0
+// sends nothing, and nodes refuse requests under an epoch lower than the highest
+// they have seen. Relays are stateless.
 package clustercontroller
--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -7,33 +7,34 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// rejoinTimeout is how long after a takeover a node that has lost its memory may
-// take to find its endpoint: a heartbeat and a little more.
+// rejoinTimeout is how long after a takeover a restarted node has to find its
+// endpoint again: slightly more than one endpoint heartbeat.
 const rejoinTimeout = 2 * time.Second
 
-// leadership is whether, and under which epoch, this member is the master.
+// leadership tells whether this member is the master, and under which epoch.
 type leadership struct {
 	active bool
-	// suspended while the lease on shard 0 is not certain: nothing is sent.
+	// suspended is set while the lease on shard 0 is not held; nothing is sent then.
 	suspended bool
 	epoch     uint64
-	since     time.Duration
-	// rejoining while endpoints that their nodes have not found again count as they
-	// were in the last view.
+	// since is when this member became the master.
+	since time.Duration
+	// rejoining is set while endpoints of the stored view that their nodes have not
+	// reported again keep the state that the view gave them.
 	rejoining bool
 }
 
-// is tells whether this member is still the master under an epoch.
-func (l leadership) is(epoch uint64) bool { return l.active && l.epoch == epoch }
+// activeInEpoch tells whether this member is still the master under an epoch.
+func (l leadership) activeInEpoch(epoch uint64) bool { return l.active && l.epoch == epoch }
 
-// BecomeMaster makes this member the master under the epoch of shard 0, with what
-// that shard keeps: the last view that was published, the user states by node, the
-// configuration and the membership.
+// BecomeMaster makes this member the master under the epoch of shard 0. It starts
+// from the state stored in that shard: the last view, the user states by node name
+// and the configuration, together with the current membership.
 func (m *Master) BecomeMaster(epoch uint64, stored *meshpb.View, userStates map[string]string, config *meshpb.Config, membership *meshpb.Membership) {
 	now := m.options.Now()
 	if stored.GetVersion() > m.views.current.Version {
 		if stored.Epoch != m.leadership.epoch {
-			m.forgetNodesWithout(stored)
+			m.forgetNodesNotIn(stored)
 		}
 		m.views.current = stored
 	}
@@ -52,28 +53,28 @@
 	m.SetConfig(config)
 }
 
-// forgetNodesWithout removes the nodes that a view of another master lacks: most
-// have ended since this member led last, and polls to them would hold up those to
-// the others. A node that runs and was not in that view registers by itself, once
-// that master's poll ends.
-func (m *Master) forgetNodesWithout(view *meshpb.View) {
-	named := make(map[string]bool, len(view.NodeAddresses)+len(view.Endpoints))
+// forgetNodesNotIn removes the nodes that are missing from a view of another
+// master. Most of them have ended since this member was last the master, and polls to
+// them would delay the polls to the others. A running node that was not in that view
+// registers by itself once that master's poll ends.
+func (m *Master) forgetNodesNotIn(view *meshpb.View) {
+	inView := make(map[string]bool, len(view.NodeAddresses)+len(view.Endpoints))
 	for _, a := range view.NodeAddresses {
 		name, _ := splitNodeAddress(a)
-		named[name] = true
+		inView[name] = true
 	}
 	for _, e := range view.Endpoints {
-		named[e.Node] = true
+		inView[e.Node] = true
 	}
 	for name := range m.histories {
-		if !named[name] {
+		if !inView[name] {
 			delete(m.histories, name)
 		}
 	}
 }
 
-// restoreEndpoints takes the endpoints of the last view as the nodes' state until
-// these have answered a poll.
+// restoreEndpoints uses the endpoints of the stored view as the nodes' state until
+// the nodes have answered a poll.
 func (m *Master) restoreEndpoints(view *meshpb.View, now time.Duration) {
 	m.listedEndpoints = nil
 	for _, e := range view.Endpoints {
@@ -83,14 +84,16 @@
 		}
 		history := m.histories[e.Node]
 		if history == nil {
-			history = restoredHistory(e)
+			history = historyFromEndpoint(e)
 			m.histories[e.Node] = history
 		}
 		history.lastContact, history.pollFailures, history.reachable, history.restoredFromView = now, 0, true, true
 	}
 }
 
-func restoredHistory(endpoint *meshpb.Endpoint) *nodeHistory {
+// historyFromEndpoint returns the history of a node that is known only from its
+// endpoint in the stored view.
+func historyFromEndpoint(endpoint *meshpb.Endpoint) *nodeHistory {
 	state := endpoint.State
 	if lifecycle.State(state) == lifecycle.Up {
 		state = string(lifecycle.Ready)
@@ -104,7 +107,8 @@
 	}
 }
 
-// restoreAddresses finds the nodes of the last view.
+// restoreAddresses restores the nodes' addresses from the stored view, so that they
+// can be polled before they register.
 func (m *Master) restoreAddresses(view *meshpb.View, now time.Duration) {
 	for _, a := range view.NodeAddresses {
 		name, addr := splitNodeAddress(a)
@@ -119,11 +123,12 @@
 	}
 }
 
-// SetStoredVersions names what shard 0 keeps; it is called before BecomeMaster.
+// SetStoredVersions sets the versions and digests of the view and configuration
+// stored in shard 0. It is called before BecomeMaster.
 func (m *Master) SetStoredVersions(versions *meshpb.StoredVersions) { m.storedVersions = versions }
 
-// StepDown ends what BecomeMaster began. What is known of the nodes stays for the
-// next time.
+// StepDown stops acting as the master and stops all polling. The node histories are
+// kept in case this member becomes the master again.
 func (m *Master) StepDown() {
 	if !m.leadership.active {
 		return
@@ -134,31 +139,33 @@
 	m.stopAllPolling()
 }
 
-// IsMaster tells whether this member is the master. That its lease is certain is
-// not said with it.
+// IsMaster tells whether this member is the master. It does not check whether the
+// lease is held.
 func (m *Master) IsMaster() bool { return m.leadership.active }
 
-// checkLease tells whether the lease on shard 0 is certain. It stops all polls while
-// it is not, so that the nodes look for another master, and takes them up again
-// after.
+// checkLease tells whether the lease on shard 0 is held. While it is not, all
+// polling stops, so that the nodes look for another master; polling resumes once the
+// lease is held again.
 func (m *Master) checkLease() bool {
-	certain := m.options.HoldsLease == nil || m.options.HoldsLease()
-	if m.leadership.active && certain == m.leadership.suspended {
-		if certain {
+	held := m.options.HoldsLease == nil || m.options.HoldsLease()
+	if m.leadership.active && held == m.leadership.suspended {
+		if held {
 			m.resume()
 		} else {
 			m.suspend()
 		}
 	}
-	return certain
+	return held
 }
 
 func (m *Master) suspend() {
-	m.options.Log.Warn("paused as master: lease not certain", "shard", 0, "epoch", m.leadership.epoch)
+	m.options.Log.Warn("paused as master: lease not held", "shard", 0, "epoch", m.leadership.epoch)
 	m.leadership.suspended = true
 	m.stopAllPolling()
 }
 
+// resume restarts polling. Every node counts as just heard from, so that the time
+// without the lease does not make nodes unreachable.
 func (m *Master) resume() {
 	m.leadership.suspended = false
 	for _, history := range m.histories {
@@ -167,8 +174,8 @@
 	m.pollAllOnce()
 }
 
-// endRejoining stops, a while after a takeover, to show endpoints that their nodes
-// have not found again.
+// endRejoining drops endpoints restored from the stored view that their nodes have
+// not reported again within rejoinTimeout of the takeover.
 func (m *Master) endRejoining(now time.Duration) {
 	if !m.leadership.rejoining || now-m.leadership.since <= rejoinTimeout {
 		return
--- a/internal/clustercontroller/polling.go
+++ b/internal/clustercontroller/polling.go
@@ -7,13 +7,13 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// forgetAfterLingers is after how many times Options.PollLinger without an answer
-// the master forgets a node.
-const forgetAfterLingers = 10
+// forgetLingerMultiple times Options.PollLinger after its last contact, an unreachable
+// node is forgotten.
+const forgetLingerMultiple = 10
 
-// RegisterNode makes a node known and begins to poll it. It returns the endpoint
-// that the node had last; false means that this member is not the master, or not
-// sure of it.
+// RegisterNode adds a node and starts to poll it. It returns the last endpoint that
+// the node reported, or nil. It returns false, and registers nothing, if this member is
+// not the master or does not hold the lease on shard 0.
 func (m *Master) RegisterNode(state *meshpb.NodeState) (last *meshpb.Endpoint, registered bool) {
 	if !m.leadership.active || !m.checkLease() {
 		return nil, false
@@ -34,8 +34,8 @@
 	return history.lastEndpoint, true
 }
 
-// pollAllOnce polls all nodes without lingering; the pollers, which linger, start
-// one after the other, as the answers come in.
+// pollAllOnce polls all nodes once, without lingering. As the responses come in, it
+// starts the nodes' pollers, which linger, one after the other.
 func (m *Master) pollAllOnce() {
 	epoch := m.leadership.epoch
 	nextPoll := min(m.directSendTime(), m.pollLinger())
@@ -52,11 +52,11 @@
 		}
 		target := &meshpb.RelayTarget{Name: name, Addr: history.state.Addr, LastEndpoint: history.lastEndpoint}
 		m.enqueue(batchKey{kind: pollBatch}, request, target, func(ack *meshpb.RelayAck) {
-			if !m.leadership.is(epoch) || m.histories[name] != history || m.pollCancels[name] != nil {
+			if !m.leadership.activeInEpoch(epoch) || m.histories[name] != history || m.pollCancels[name] != nil {
 				return
 			}
 			if response := ack.GetPoll(); response.GetNode() != nil && !response.Stale {
-				m.handlePollAnswer(name, history, response.Node)
+				m.handlePollResponse(name, history, response.Node)
 				m.startPollingAfter(name, history.state.GetAddr(), delay, response.Node)
 				return
 			}
@@ -67,8 +67,8 @@
 
 func milliseconds(d time.Duration) uint64 { return uint64(d / time.Millisecond) }
 
-// pollLinger is how long a poll stays at a node: with many nodes longer, so that a
-// quiet mesh costs the master little.
+// pollLinger is how long a node holds a poll while its state is unchanged. It grows
+// with the number of nodes, so that an idle mesh costs the master little.
 func (m *Master) pollLinger() time.Duration {
 	perNode := time.Duration(len(m.histories)) * m.options.PollLingerPerNode
 	return max(m.options.PollLinger, min(perNode, m.options.MaxPollLinger))
@@ -76,8 +76,8 @@
 
 func (m *Master) startPolling(name, addr string) { m.startPollingAfter(name, addr, 0, nil) }
 
-// startPollingAfter starts a node's poller unless it has one; state is what the
-// node said just now, or nil.
+// startPollingAfter starts a node's poller unless one is running. The first poll is
+// sent after delay. state is what the node has just reported, or nil.
 func (m *Master) startPollingAfter(name, addr string, delay time.Duration, state *meshpb.NodeState) {
 	if m.pollCancels[name] != nil || addr == "" || m.leadership.suspended {
 		return
@@ -114,24 +114,25 @@
 	}
 }
 
-// poller polls one node, again as soon as an answer has been handled, until its
-// context ends. Its goroutine and the master's take turns with the fields below
-// node: the former waits while the latter handles an answer.
+// poller polls one node until its context ends; each poll follows as soon as the
+// response to the one before has been handled. Its goroutine waits while the master's
+// goroutine handles a response, so the two share the fields below node without a lock.
 type poller struct {
 	master *Master
 	name   string
 	epoch  uint64
 	node   meshpb.Node
-	// grace is how much longer than it lingers a poll may take.
+	// grace is how much longer than its linger time a poll may take.
 	grace time.Duration
 
-	// incarnation and seq are the node's last report; a poll lingers until it has
-	// another. With seq 0 nothing was reported yet.
+	// incarnation and seq identify the node's last report; a poll lingers until the
+	// node has a newer one. seq is 0 until the first report.
 	incarnation string
 	seq         uint64
-	// lastEndpoint is told to a node that knows no endpoint.
+	// lastEndpoint tells a node that knows no endpoint which one it had last.
 	lastEndpoint *meshpb.Endpoint
-	linger       time.Duration
+	// linger is how long the node holds the next poll while its state is unchanged.
+	linger time.Duration
 }
 
 func (p *poller) run(ctx context.Context, delay time.Duration) {
@@ -147,8 +148,8 @@
 		handled := make(chan struct{})
 		p.master.Mailbox.Post(func() {
 			defer close(handled)
-			if ctx.Err() == nil && p.master.leadership.is(p.epoch) {
-				p.handle(response, err, failed)
+			if ctx.Err() == nil && p.master.leadership.activeInEpoch(p.epoch) {
+				p.handleResponse(response, err, failed)
 			}
 		})
 		select {
@@ -162,7 +163,7 @@
 	}
 }
 
-// sleep waits; false means that ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -175,6 +176,7 @@
 	}
 }
 
+// poll sends one poll. It does not linger before the node has reported once.
 func (p *poller) poll(ctx context.Context) (*meshpb.PollResponse, error) {
 	linger := p.linger
 	if p.seq == 0 {
@@ -192,23 +194,23 @@
 	})
 }
 
-// handle takes an answer on the master's goroutine.
-func (p *poller) handle(response *meshpb.PollResponse, err error, failed bool) {
+// handleResponse handles the outcome of a poll on the master's goroutine.
+func (p *poller) handleResponse(response *meshpb.PollResponse, err error, failed bool) {
 	m := p.master
 	history := m.histories[p.name]
 	if err == nil && response.Stale {
 		if response.Epoch > p.epoch {
-			m.options.Log.Warn("node follows a higher epoch", "node", p.name, "epoch", response.Epoch)
+			m.options.Log.Warn("node has seen a higher epoch", "node", p.name, "epoch", response.Epoch)
 			return
 		}
-		// Another node answers at that address.
+		// A different node answers at that address.
 		history.state.Addr = ""
 	}
 	if failed {
 		m.handlePollFailure(p.name, history)
 		return
 	}
-	m.handlePollAnswer(p.name, history, response.Node)
+	m.handlePollResponse(p.name, history, response.Node)
 	p.incarnation, p.seq, p.lastEndpoint = response.Node.Incarnation, response.Node.Seq, nil
 	p.linger = m.pollLinger()
 	if response.Node.Endpoint == nil {
@@ -216,7 +218,9 @@
 	}
 }
 
-func (m *Master) handlePollAnswer(name string, history *nodeHistory, state *meshpb.NodeState) {
+// handlePollResponse records the state that a node reports in response to a poll,
+// schedules a merge if it has changed, and sends the node the updates that it lacks.
+func (m *Master) handlePollResponse(name string, history *nodeHistory, state *meshpb.NodeState) {
 	before := m.officialState(name, history)
 	unchanged := history.reachable && history.state.GetIncarnation() == state.Incarnation && history.state.GetSeq() == state.Seq && history.state.GetAddr() == state.Addr
 	history.recordReport(state, m.options.Now(), m.options.historyRules())
@@ -231,6 +235,8 @@
 	m.sendUpdates(name, history)
 }
 
+// handlePollFailure records a failed poll. A node that has been unreachable for too
+// long is forgotten; it is known again once it registers.
 func (m *Master) handlePollFailure(name string, history *nodeHistory) {
 	wasReachable := history.reachable
 	history.recordPollFailure(m.options.Now(), m.options.historyRules())
@@ -238,7 +244,7 @@
 		m.options.Log.Warn("node unreachable", "node", name, "failedPolls", history.pollFailures)
 		delete(m.progress, name)
 	}
-	if !history.reachable && m.options.Now()-history.lastContact > forgetAfterLingers*m.options.PollLinger {
+	if !history.reachable && m.options.Now()-history.lastContact > forgetLingerMultiple*m.options.PollLinger {
 		m.stopPolling(name)
 		delete(m.histories, name)
 	}
--- a/internal/clustercontroller/views.go
+++ b/internal/clustercontroller/views.go
@@ -85,7 +85,7 @@
 		defer stop()
 		err := m.store.SaveView(ctx, view)
 		m.Mailbox.Post(func() {
-			if !m.leadership.is(epoch) {
+			if !m.leadership.activeInEpoch(epoch) {
 				return
 			}
 			m.views.saving = false
