--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -13,10 +13,10 @@
 )
 
 // Master polls the nodes and sends them views and configurations while this member
-// owns shard 0. All methods run on the goroutine of its mailbox.
+// owns shard 0. All methods must run on the goroutine of its mailbox.
 type Master struct {
-	// Mailbox is where calls from other goroutines are posted; the caller of
-	// NewMaster runs it, with Tick.
+	// Mailbox receives calls from other goroutines. The caller of NewMaster runs it,
+	// with Tick as its periodic callback.
 	Mailbox *mailbox.Mailbox
 
 	options Options
@@ -24,17 +24,21 @@
 	store   ViewStore
 
 	leadership leadership
-	// histories has the nodes by name.
+	// histories holds the history of each known node, by name.
 	histories map[string]*nodeHistory
-	// progress has what each node holds, of those that were heard or sent something.
+	// progress records by name what each node holds, for the nodes that this master
+	// has heard from or sent something to.
 	progress map[string]*nodeProgress
-	// pollCancels ends the poller of each node that has one.
+	// pollCancels holds the functions that stop the running pollers, by node name.
 	pollCancels map[string]context.CancelFunc
 
-	userStates      map[string]string
+	// userStates holds the states set by operators, by node name.
+	userStates map[string]string
+	// listedEndpoints holds the endpoints of the platform's list.
 	listedEndpoints []*meshpb.Endpoint
 	membership      *meshpb.Membership
-	// storedVersions names what shard 0 kept when this member became the master.
+	// storedVersions identifies the view and configuration that shard 0 held when this
+	// member became the master.
 	storedVersions *meshpb.StoredVersions
 
 	merge   endpointMerge
@@ -42,20 +46,22 @@
 	views   viewState
 	config  configState
 
-	// batches has the requests that go out together next; nil while there are none.
+	// batches holds the requests that wait for the next send; nil while there are none.
 	batches map[batchKey]*batch
-	// relayRetryAt is when a member that did not answer may be a relay again.
+	// relayRetryAt is the time at which a member that did not answer may be used as a
+	// relay again, by address.
 	relayRetryAt map[string]time.Duration
 }
 
-// hotKeyState is which keys' reads are spread now.
+// hotKeyState holds the keys whose reads are currently spread over several endpoints.
 type hotKeyState struct {
 	tracker   *hotkeys.Tracker
 	current   []*meshpb.HotKey
 	updatedAt time.Duration
 }
 
-// NewMaster creates the controller of a core member that is not the master yet.
+// NewMaster returns the controller of a core member. It does nothing until
+// BecomeMaster is called.
 func NewMaster(o Options, box *mailbox.Mailbox, clients *rpc.Clients, store ViewStore) *Master {
 	return &Master{
 		Mailbox:      box,
@@ -73,14 +79,15 @@
 	}
 }
 
-// Tick does what is due by time: it sends what nodes lack, and makes a new view
-// once enough time has passed since the last one and the endpoints have settled.
+// Tick runs the periodic work: it sends nodes the updates that they lack, and makes
+// a new view once enough time has passed since the last one and the endpoints have
+// stopped changing for Options.SettleTime.
 func (m *Master) Tick() {
 	now := m.options.Now()
 	if !m.leadership.active || !m.checkLease() {
 		return
 	}
-	if m.views.saving || now-m.leadership.since < m.takeoverTime() {
+	if m.views.saving || now-m.leadership.since < m.takeoverDelay() {
 		// Configurations do not wait for views.
 		for name, history := range m.histories {
 			m.sendConfig(name, history)
@@ -98,22 +105,24 @@
 	}
 }
 
-// SetMembership takes a change of the core's members.
+// SetMembership sets the current members of the core.
 func (m *Master) SetMembership(membership *meshpb.Membership) { m.membership = membership }
 
-// SetUserStates takes all user states, by node; the node whose state was just taken
-// back starts with a clean history.
-func (m *Master) SetUserStates(states map[string]string, node string) {
-	if history := m.histories[node]; history != nil && states[node] == "" {
+// SetUserStates replaces the user states of all nodes, by name. changedNode is the
+// node whose state an operator has just set; if that removed its user state, its
+// crash history is cleared.
+func (m *Master) SetUserStates(states map[string]string, changedNode string) {
+	if history := m.histories[changedNode]; history != nil && states[changedNode] == "" {
 		history.forgetCrashes()
 	}
-	m.options.Log.Info("set user state", "node", node, "state", states[node])
+	m.options.Log.Info("set user state", "node", changedNode, "state", states[changedNode])
 	m.userStates = states
 	m.scheduleMerge()
 }
 
-// SetListedEndpoints takes a complete reading of the platform's list; until the
-// next one it stays in force.
+// SetListedEndpoints replaces the endpoints of the platform's list with a newly read,
+// complete list, which stays in force until the next call. A member that is not the
+// master ignores it.
 func (m *Master) SetListedEndpoints(endpoints []*meshpb.Endpoint) {
 	if !m.leadership.active {
 		return
@@ -122,16 +131,18 @@
 	m.scheduleMerge()
 }
 
-// KnowsNode tells whether a node of that name has registered or was in the last
-// view.
+// KnowsNode tells whether a node of that name has registered or was in the stored
+// view, and has not been forgotten since.
 func (m *Master) KnowsNode(name string) bool { return m.histories[name] != nil }
 
-// HotKeys returns the hot keys, and how many widths were raised and lowered.
+// HotKeys returns the hot keys, and counts of how often widths were raised or lowered
+// and how often a key was refused because too many others were hot.
 func (m *Master) HotKeys() ([]*meshpb.HotKey, *meshpb.HotCounts) {
 	return m.hotKeys.current, m.hotKeys.tracker.Counts()
 }
 
-// updateHotKeys looks at the keys that nodes read most, once in a view interval.
+// updateHotKeys recomputes the hot keys from the read rates that the nodes report, at
+// most once per Options.ViewInterval.
 func (m *Master) updateHotKeys(now time.Duration) {
 	if now-m.hotKeys.updatedAt < m.options.ViewInterval {
 		return
@@ -147,7 +158,8 @@
 	m.hotKeys.current = keys
 }
 
-// keyRates goes through what each reachable node reads; it is an iter.Seq.
+// keyRates iterates over the key read rates reported by each reachable node. It is an
+// iter.Seq.
 func (m *Master) keyRates(yield func([]*meshpb.KeyRate) bool) {
 	for _, history := range m.histories {
 		if rates := history.state.GetKeyRates(); history.reachable && len(rates) > 0 && !yield(rates) {
@@ -156,12 +168,14 @@
 	}
 }
 
+// officialState returns the state that a node's endpoint has in the view, after
+// applying the node's history and its user state.
 func (m *Master) officialState(name string, history *nodeHistory) lifecycle.State {
 	return history.officialState(lifecycle.State(m.userStates[name]))
 }
 
-func (m *Master) trace(what string, version uint64) {
+func (m *Master) trace(action string, version uint64) {
 	if m.options.Trace != nil {
-		m.options.Trace(what, m.leadership.epoch, version)
+		m.options.Trace(action, m.leadership.epoch, version)
 	}
 }
--- a/internal/clustercontroller/node_status.go
+++ b/internal/clustercontroller/node_status.go
@@ -8,19 +8,29 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Why a node's official state is lower than what it reports, as status shows it.
+// The values of NodeStatus.Why: why a node's official state is lower than the state
+// that it reports. They are sent to the tools and are part of the output of
+// `corkcove status`, so their wording must not change.
 const (
-	reasonUnreachable    = "does not answer polls"
-	reasonCrashLooping   = "set out: ended too often"
+	reasonUnreachable = "does not answer polls"
+	// reasonCrashLooping: the endpoint crashed too often and stays down until an
+	// operator sets the node to up.
+	reasonCrashLooping = "set out: ended too often"
+	// reasonAwaitingWarmup: the endpoint crashed during its warm-up; the next one is
+	// down until it is warm.
 	reasonAwaitingWarmup = "died cold; down until warm"
-	reasonEdge           = "an edge: no endpoint beside it"
-	reasonNoEndpoint     = "no endpoint known"
-	reasonUnhealthy      = "endpoint unsound"
-	reasonFailing        = "failed %d%% of late"
+	// reasonEdge: the node is an edge, which has no endpoint of its own.
+	reasonEdge = "an edge: no endpoint beside it"
+	// reasonNoEndpoint: the sidecar has reported no endpoint.
+	reasonNoEndpoint = "no endpoint known"
+	reasonUnhealthy  = "endpoint unsound"
+	// reasonFailing takes the percentage of requests that failed recently. It does not
+	// lower the official state.
+	reasonFailing = "failed %d%% of late"
 )
 
-// NodeStatuses tells what the master knows of each node, ordered by name, and why a
-// state was lowered.
+// NodeStatuses returns what the master knows of each node, ordered by name,
+// including why its official state is lower than the one that it reports.
 func (m *Master) NodeStatuses() []*meshpb.NodeStatus {
 	var statuses []*meshpb.NodeStatus
 	for name, h := range m.histories {
@@ -44,7 +54,8 @@
 	return statuses
 }
 
-// reason says what lowers the official state, "" for nothing.
+// reason returns why the official state is lower than the reported one, or that
+// requests fail; "" if neither is so. The user state is not considered.
 func (h *nodeHistory) reason() string {
 	e := h.state.GetEndpoint()
 	switch {
--- a/internal/clustercontroller/options.go
+++ b/internal/clustercontroller/options.go
@@ -11,56 +11,67 @@
 
 // ViewStore saves views in shard 0.
 type ViewStore interface {
-	// SaveView returns once v is committed. After an error it may be or not.
+	// SaveView returns nil once v is committed. After an error the outcome is unknown:
+	// v may or may not have been committed.
 	SaveView(ctx context.Context, v *meshpb.View) error
 }
 
-// Options of a Master.
+// Options configures a Master.
 type Options struct {
 	// SelfAddr is this member's address for calls between processes.
 	SelfAddr string
-	// Now is the time since some fixed moment.
+	// Now returns the time since a fixed moment.
 	Now func() time.Duration
+	// Log receives state changes and warnings; the zero value discards them.
 	Log logring.Logger
-	// Trace, unless nil, notes a view that was published.
-	Trace func(what string, epoch, version uint64)
+	// Trace, unless nil, is called with the action "published" for each view that was
+	// published.
+	Trace func(action string, epoch, version uint64)
 
-	// ViewInterval is the shortest time between two views.
+	// ViewInterval is the minimum time between two views.
 	ViewInterval time.Duration
-	// SendTimePerNode is what a small core machine takes to call one node. It
-	// lengthens ViewInterval and the time after a takeover with the number of nodes.
+	// SendTimePerNode is how long a small core machine takes to call one node. With
+	// many nodes it extends ViewInterval, TakeoverDelay and the timeouts of polls.
 	SendTimePerNode time.Duration
-	// SettleTime is how long the endpoints must not have changed before a view is
-	// made, so that changes that come together make one view.
+	// SettleTime is how long the endpoints must have been unchanged before a view is
+	// made, so that changes that arrive together result in one view.
 	SettleTime time.Duration
-	// TakeoverDelay is how long a new master hears nodes before its first view.
+	// TakeoverDelay is how long a new master collects poll responses before it makes
+	// its first view.
 	TakeoverDelay time.Duration
 
-	// PollLinger is how long a poll stays at a node that has nothing new.
+	// PollLinger is how long a node holds a poll (a long poll) while its state is
+	// unchanged.
 	PollLinger time.Duration
-	// PollLingerPerNode lengthens that with the number of nodes, up to
-	// MaxPollLinger.
+	// PollLingerPerNode times the number of nodes replaces PollLinger where it is
+	// longer, up to MaxPollLinger.
 	PollLingerPerNode time.Duration
-	MaxPollLinger     time.Duration
-	// PollGrace is how much longer than it lingers a poll may take.
+	// MaxPollLinger bounds the linger time that PollLingerPerNode yields.
+	MaxPollLinger time.Duration
+	// PollGrace is how much longer than its linger time a poll may take.
 	PollGrace time.Duration
-	// PollFailureLimit polls in a row must fail, and UnreachableAfter pass without an
-	// answer, before a node counts as unreachable.
+	// PollFailureLimit is how many consecutive polls must fail, and UnreachableAfter
+	// how long the node must not have answered, before it counts as unreachable. Both
+	// conditions must hold.
 	PollFailureLimit int
+	// UnreachableAfter is described at PollFailureLimit.
 	UnreachableAfter time.Duration
-	// CrashLimit crashes of a node's endpoint within CrashWindow keep it down until
-	// an operator sets the node to up.
-	CrashLimit  int
+	// CrashLimit is how many crashes of a node's endpoint within CrashWindow keep the
+	// endpoint down until an operator sets the node to up.
+	CrashLimit int
+	// CrashWindow is the period over which CrashLimit counts crashes.
 	CrashWindow time.Duration
-	HotKeys     hotkeys.Options
+	// HotKeys configures the detection of hot keys.
+	HotKeys hotkeys.Options
 
-	// HoldsLease tells whether shard 0 is held right now; a master that is not sure
-	// of it sends nothing. Nil means always.
+	// HoldsLease tells whether this member holds the lease on shard 0 now; a master
+	// that does not hold it sends nothing. Nil means always.
 	HoldsLease func() bool
-	// InContact tells whether another member is in contact; one that is not is no
-	// relay. Nil means always.
+	// InContact tells whether this member has recently heard from the member at addr;
+	// only members in contact are used as relays. Nil means always.
 	InContact func(addr string) bool
-	// ReadStored returns what this member holds of the versions that it is given.
+	// ReadStored returns the view and configuration that this member has stored, as
+	// far as they are the given versions. Nil means that none are available.
 	ReadStored func(*meshpb.StoredVersions) StoredPayloads
 }
 
--- a/internal/clustercontroller/progress.go
+++ b/internal/clustercontroller/progress.go
@@ -6,33 +6,38 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// nodeProgress is what the master knows that one incarnation of a node holds, and
-// what is under way to it.
+// nodeProgress records which view and configuration one incarnation of a node is
+// known to hold, and which updates to it are in flight.
 type nodeProgress struct {
 	// incarnation is "" until the node has answered a poll of this master.
 	incarnation string
+	// viewVersion is the view version that the node is known to hold, 0 if unknown.
 	viewVersion uint64
 	// withoutView tells that the node has no view at all.
 	withoutView  bool
 	viewInFlight bool
 
+	// configVersion is the configuration version that the node is known to hold, 0 if
+	// unknown.
 	configVersion  uint64
 	configInFlight bool
-	// needsFullConfig tells that patches can't be applied there.
+	// needsFullConfig tells that the node cannot apply patches and needs a complete
+	// configuration.
 	needsFullConfig bool
-	// sentFullConfig tells that the last sending was a complete configuration.
+	// sentFullConfig tells that the last attempt sent a complete configuration.
 	sentFullConfig bool
 	// retryConfigAt is when a configuration may be sent again after a failure.
 	retryConfigAt time.Duration
 	configSentAt  time.Duration
-	// configAckedAt is when any configuration was last acknowledged.
+	// configAckedAt is when the node last acknowledged any configuration.
 	configAckedAt time.Duration
-	// configAttempt numbers all sendings; unansweredAttempts counts those since the
-	// last acknowledgement.
+	// configAttempt numbers all attempts to send a configuration; unansweredAttempts
+	// counts those since the last acknowledgement.
 	configAttempt      uint64
 	unansweredAttempts int
 }
 
+// progressOf returns the progress of a node; it creates one if there is none.
 func (m *Master) progressOf(name string) *nodeProgress {
 	progress := m.progress[name]
 	if progress == nil {
@@ -42,11 +47,11 @@
 	return progress
 }
 
-// updateProgress notes what a node says that it holds.
+// updateProgress records which view and configuration a node reports that it holds.
 func (m *Master) updateProgress(name string, state *meshpb.NodeState) {
 	progress := m.progress[name]
 	if progress != nil && progress.incarnation == "" {
-		// An earlier incarnation may have acknowledged before.
+		// The acknowledgements so far may have come from an earlier incarnation.
 		progress.incarnation, progress.viewVersion, progress.configVersion = state.Incarnation, 0, 0
 	}
 	if progress == nil || progress.incarnation != state.Incarnation {
@@ -54,7 +59,7 @@
 		m.progress[name] = progress
 	}
 	if m.options.Now()-progress.configAckedAt > relayCallTimeout {
-		// No acknowledgement is newer than this report.
+		// This report is newer than every acknowledgement, so it alone counts.
 		progress.configVersion = 0
 	}
 	progress.configVersion = max(progress.configVersion, state.ConfigVersion)
@@ -64,19 +69,22 @@
 	}
 }
 
-// sendUpdates sends a node what it has not yet acknowledged.
+// sendUpdates sends a node the configuration and the view that it has not yet
+// acknowledged.
 func (m *Master) sendUpdates(name string, history *nodeHistory) {
 	m.sendConfig(name, history)
 	m.sendView(name, history)
 }
 
-// directSendTime is how long a small core machine takes to call all nodes once.
-// After a takeover polls go first, then configurations, then the view.
+// directSendTime is how long a small core machine takes to call all nodes once
+// without relays. After a takeover, polls are sent first, then configurations, then
+// the view.
 func (m *Master) directSendTime() time.Duration {
 	return time.Duration(len(m.histories)) * m.options.SendTimePerNode
 }
 
-// relayedSendTime is how long it takes to send the same to all nodes through relays.
+// relayedSendTime is how long it takes to send one request to all nodes through
+// relays.
 func (m *Master) relayedSendTime() time.Duration {
 	if len(m.histories) <= maxDirectNodes {
 		return m.directSendTime()
@@ -84,7 +92,8 @@
 	return m.directSendTime() / time.Duration(len(m.availableRelays())+1)
 }
 
-// takeoverTime is how long a new master hears nodes before its first view.
-func (m *Master) takeoverTime() time.Duration {
+// takeoverDelay is how long a new master collects poll responses before it makes its
+// first view: Options.TakeoverDelay, or longer where there are many nodes.
+func (m *Master) takeoverDelay() time.Duration {
 	return max(m.options.TakeoverDelay, 2*m.relayedSendTime())
 }
