--- a/internal/clustercontroller/leadership_test.go
+++ b/internal/clustercontroller/leadership_test.go
@@ -12,20 +12,23 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func TestReelectedMasterPollsAfreshAndKeepsItsNodes(t *testing.T) {
+// A member that loses and regains shard 0 must poll its nodes again. It must not
+// publish the empty endpoint list that it computed while it could not reach them, and
+// must keep their addresses.
+func TestReelectedMasterPollsAgainAndKeepsItsNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(3)
 		defer cluster.stop()
 		cluster.becomeMaster(1, nil, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
 		cluster.registerAll()
 		advance(2 * time.Second)
-		for _, f := range cluster.nodes {
-			f.setPartitioned(true)
+		for _, node := range cluster.nodes {
+			node.setPartitioned(true)
 		}
 		advance(6 * time.Second)
 		cluster.run(cluster.master.StepDown)
-		for _, f := range cluster.nodes {
-			f.setPartitioned(false)
+		for _, node := range cluster.nodes {
+			node.setPartitioned(false)
 		}
 		stored := cluster.store.view
 		cluster.nodes[0].mu.Lock()
@@ -34,16 +37,18 @@
 		cluster.becomeMaster(2, stored, packedConfigOf(5, "d"), &meshpb.Membership{Version: 1})
 		cluster.registerAll()
 		advance(1500 * time.Millisecond)
-		for i, f := range cluster.nodes {
-			qt.Check(t, f.configVersions[len(f.configVersions)-1], qt.Equals, uint64(5))
+		for i, node := range cluster.nodes {
+			qt.Check(t, node.configVersions[len(node.configVersions)-1], qt.Equals, uint64(5))
 			qt.Check(t, cluster.endpointCount(i), qt.Equals, 3)
 		}
 		for _, n := range cluster.viewSizes {
-			qt.Check(t, n, qt.Equals, 3, qt.Commentf("a view without its endpoints was published"))
+			qt.Check(t, n, qt.Equals, 3, qt.Commentf("published a view with missing endpoints"))
 		}
 	})
 }
 
+// A new master polls the nodes whose addresses the stored view has, without waiting
+// for them to register.
 func TestNewMasterFindsNodesInStoredView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(3)
@@ -57,9 +62,9 @@
 	})
 }
 
-// A master that leads again after another one knows from its first time nodes that
-// have ended since. Its relays are not to wait for them: they would hold up the
-// configuration of the nodes that run.
+// A member that regains shard 0 from another master still has the histories of nodes
+// that have ended since. If it polled them, its relays would wait for their answers
+// and delay the configuration for the running nodes.
 func TestReelectedMasterForgetsNodesThatTheLastViewLacks(t *testing.T) {
 	const nodes, ended = 60, 24
 	synctest.Test(t, func(t *testing.T) {
@@ -87,13 +92,15 @@
 	})
 }
 
-func TestMasterWithoutLeaseReleasesItsNodes(t *testing.T) {
+// If a master without the lease kept polling, nodes would not look for the new master
+// and would keep an old configuration.
+func TestMasterWithoutLeaseStopsPollingAndSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(2)
 		defer cluster.stop()
-		leased := true
+		holdsLease := true
 		cluster.run(func() {
-			cluster.master.options.HoldsLease = func() bool { return leased }
+			cluster.master.options.HoldsLease = func() bool { return holdsLease }
 			cluster.master.BecomeMaster(1, nil, map[string]string{}, packedConfigOf(3, "c"), &meshpb.Membership{Version: 1})
 		})
 		cluster.registerAll()
@@ -102,7 +109,7 @@
 			return cluster.nodes[i].agent.PollOverdue()
 		}
 		qt.Assert(t, overdue(0), qt.IsFalse)
-		cluster.run(func() { leased = false })
+		cluster.run(func() { holdsLease = false })
 		advance(100 * time.Millisecond)
 		qt.Assert(t, overdue(0) && overdue(1), qt.IsTrue, qt.Commentf("nodes must look for another master at once"))
 		cluster.run(func() {
@@ -112,60 +119,61 @@
 		})
 		advance(time.Second)
 		qt.Assert(t, cluster.nodes[0].configVersions, qt.DeepEquals, []uint64{3})
-		cluster.run(func() { leased = true })
+		cluster.run(func() { holdsLease = true })
 		advance(500 * time.Millisecond)
 		qt.Assert(t, overdue(0) || overdue(1), qt.IsFalse)
 	})
 }
 
-// After all processes were killed nobody has a view: each node gets the last one
-// that was published as soon as it is heard, before the new master may make one.
-// A node that has a view keeps it till then.
+// After all processes have been killed and restarted, no node has a view. The new
+// master sends each of them the stored view as soon as it answers, before it makes a
+// view of its own. A node that does have a view keeps it until then.
 func TestNodesWithoutViewReceiveStoredViewAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, _, membership := newClusterWithRelays(60, 3)
 		defer cluster.stop()
 		v := storedViewOf(60)
 		v.Endpoints = []*meshpb.Endpoint{{Id: "e0", Service: "s", State: string(lifecycle.Up), Node: "n0", Inbound: "i0"}}
-		has := cluster.nodes[7].agent
-		qt.Assert(t, publish(has, &meshpb.View{Epoch: 1, Version: 8}, 1), qt.IsTrue)
+		agentWithView := cluster.nodes[7].agent
+		qt.Assert(t, publish(agentWithView, &meshpb.View{Epoch: 1, Version: 8}, 1), qt.IsTrue)
 		cluster.master.options.TakeoverDelay = 5 * time.Second
 		cluster.becomeMaster(2, v, packedConfigOf(5, "d"), membership)
 		advance(400 * time.Millisecond)
-		for i, f := range cluster.nodes {
+		for i, node := range cluster.nodes {
 			want := uint64(9)
 			if i == 7 {
 				want = 8
 			}
-			qt.Check(t, f.agent.View().GetVersion(), qt.Equals, want, qt.Commentf("node %d", i))
-			qt.Check(t, f.agent.ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
+			qt.Check(t, node.agent.View().GetVersion(), qt.Equals, want, qt.Commentf("node %d", i))
+			qt.Check(t, node.agent.ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", i))
 		}
 		advance(6 * time.Second)
-		for _, f := range cluster.nodes {
-			qt.Check(t, f.agent.View().GetEpoch(), qt.Equals, uint64(2))
+		for _, node := range cluster.nodes {
+			qt.Check(t, node.agent.View().GetEpoch(), qt.Equals, uint64(2))
 		}
-		late := cluster.nodes[3].agent
-		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 1), qt.IsFalse, qt.Commentf("from a master before"))
-		qt.Assert(t, publish(late, &meshpb.View{Epoch: 1, Version: 99}, 2), qt.IsFalse, qt.Commentf("older than what it has"))
+		agent := cluster.nodes[3].agent
+		qt.Assert(t, publish(agent, &meshpb.View{Epoch: 1, Version: 99}, 1), qt.IsFalse, qt.Commentf("sent by a previous master"))
+		qt.Assert(t, publish(agent, &meshpb.View{Epoch: 1, Version: 99}, 2), qt.IsFalse, qt.Commentf("view of an older epoch"))
 	})
 }
 
-// A node that was killed with all others says at first that it knows no endpoint:
-// that takes no endpoint out of the view, until it has had time to find it.
+// After all processes have been killed and restarted, nodes first report that they
+// know no endpoint. The endpoints must stay in the view until the nodes have had time
+// to find them.
 func TestEndpointsStayInViewWhileTheirNodesRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, _, membership := newClusterWithRelays(30, 3)
 		defer cluster.stop()
 		v := storedViewOf(30)
-		for i, f := range cluster.nodes {
+		for i, node := range cluster.nodes {
 			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Up), Node: fmt.Sprint("n", i), Inbound: fmt.Sprint("i", i)})
-			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint = nil })
+			node.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint = nil })
 		}
 		cluster.becomeMaster(2, v, packedConfigOf(5, "d"), membership)
 		advance(time.Second)
 		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 30)
-		for i, f := range cluster.nodes[:20] {
-			f.agent.UpdateState(func(n *meshpb.NodeState) {
+		for i, node := range cluster.nodes[:20] {
+			node.agent.UpdateState(func(n *meshpb.NodeState) {
 				n.Endpoint = &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: "ready", Healthy: true, Slots: 4}
 			})
 		}
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -60,7 +60,7 @@
 	updatedAt time.Duration
 }
 
-// NewMaster returns the controller of a core member. It does nothing until
+// NewMaster returns the controller of a core member. It sends nothing until
 // BecomeMaster is called.
 func NewMaster(o Options, box *mailbox.Mailbox, clients *rpc.Clients, store ViewStore) *Master {
 	return &Master{
--- a/internal/clustercontroller/polling.go
+++ b/internal/clustercontroller/polling.go
@@ -76,8 +76,9 @@
 
 func (m *Master) startPolling(name, addr string) { m.startPollingAfter(name, addr, 0, nil) }
 
-// startPollingAfter starts a node's poller unless one is running. The first poll is
-// sent after delay. state is what the node has just reported, or nil.
+// startPollingAfter starts a node's poller, unless one is running, the node's address
+// is unknown or the lease is not held. The first poll is sent after delay. state is
+// what the node has just reported, or nil.
 func (m *Master) startPollingAfter(name, addr string, delay time.Duration, state *meshpb.NodeState) {
 	if m.pollCancels[name] != nil || addr == "" || m.leadership.suspended {
 		return
@@ -114,9 +115,10 @@
 	}
 }
 
-// poller polls one node until its context ends; each poll follows as soon as the
-// response to the one before has been handled. Its goroutine waits while the master's
-// goroutine handles a response, so the two share the fields below node without a lock.
+// poller polls one node until its context ends. It sends the next poll once the
+// response to the previous one has been handled, or a while later if the poll failed.
+// Its goroutine waits while the master's goroutine handles a response, so the two
+// share the fields below node without a lock.
 type poller struct {
 	master *Master
 	name   string
