--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -74,7 +74,8 @@
 }
 
 // restoreEndpoints uses the endpoints of the stored view as the nodes' state until
-// the nodes have answered a poll.
+// the nodes have answered a poll. A node that this member knows from an earlier term
+// as the master keeps its history.
 func (m *Master) restoreEndpoints(view *meshpb.View, now time.Duration) {
 	m.listedEndpoints = nil
 	for _, e := range view.Endpoints {
--- a/internal/clustercontroller/options.go
+++ b/internal/clustercontroller/options.go
@@ -43,18 +43,18 @@
 	// PollLinger is how long a node holds a poll (a long poll) while its state is
 	// unchanged.
 	PollLinger time.Duration
-	// PollLingerPerNode times the number of nodes replaces PollLinger where it is
-	// longer, up to MaxPollLinger.
+	// PollLingerPerNode times the number of nodes replaces PollLinger if it is longer,
+	// up to MaxPollLinger.
 	PollLingerPerNode time.Duration
 	// MaxPollLinger bounds the linger time that PollLingerPerNode yields.
 	MaxPollLinger time.Duration
 	// PollGrace is how much longer than its linger time a poll may take.
 	PollGrace time.Duration
-	// PollFailureLimit is how many consecutive polls must fail, and UnreachableAfter
-	// how long the node must not have answered, before it counts as unreachable. Both
-	// conditions must hold.
+	// PollFailureLimit is how many consecutive polls to a node must fail before it
+	// counts as unreachable; UnreachableAfter must have passed as well.
 	PollFailureLimit int
-	// UnreachableAfter is described at PollFailureLimit.
+	// UnreachableAfter is how long a node must have left polls unanswered before it
+	// counts as unreachable.
 	UnreachableAfter time.Duration
 	// CrashLimit is how many crashes of a node's endpoint within CrashWindow keep the
 	// endpoint down until an operator sets the node to up.
