--- a/internal/clustercontroller/batches.go
+++ b/internal/clustercontroller/batches.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// maxDirectNodes is up to how many nodes the master calls itself; more go through
-	// relays.
+	// maxDirectNodes is the size up to which the master itself calls the nodes of a
+	// batch. Larger batches go through relays.
 	maxDirectNodes = 10
-	// batchWindow is how long requests wait for others of their kind, and changes of
-	// state for others to be merged with.
+	// batchWindow is how long requests are held back to be batched, and how long a
+	// merge of the nodes' states is held back to cover further changes.
 	batchWindow = 4 * time.Millisecond
-	// maxRelays bounds how many members the master sends through.
+	// maxRelays is the largest number of members that the master uses as relays.
 	maxRelays = 16
-	// relayRetryDelay is how long a member that did not answer is no relay.
+	// relayRetryDelay is how long a member that did not answer is not used as a relay.
 	relayRetryDelay = 1500 * time.Millisecond
-	// relayCallTimeout leaves a relay time to answer after its own timeout.
+	// relayCallTimeout is the timeout of a call to a relay. It leaves the relay time to
+	// respond after its own timeout.
 	relayCallTimeout = relayTimeout + 300*time.Millisecond
 )
 
-// batchKind says what the requests of a batch ask for.
+// batchKind is the type of the requests in a batch.
 type batchKind int
 
 const (
@@ -33,29 +34,31 @@
 	configBatch
 )
 
-// batchKey tells which requests are the same for all their nodes.
+// batchKey identifies requests with the same content, which are sent as one batch.
 type batchKey struct {
 	kind                        batchKind
 	baseVersion, epoch, version uint64
-	patches                     int
-	full                        bool
-	// relayOffset is by how many places the relays differ from the usual ones.
+	patchCount                  int
+	fullConfig                  bool
+	// relayOffset shifts each node's assignment by this many relays.
 	relayOffset int
 }
 
-// ackFunc takes what a node answered, on the master's goroutine; nil means that
-// nothing was heard and the request may or may not have reached the node.
+// ackFunc handles a node's acknowledgement on the master's goroutine. It gets nil if
+// none arrived; the request may or may not have reached the node then.
 type ackFunc func(*meshpb.RelayAck)
 
-// batch is the same request for several nodes. Each node's callback runs once.
+// batch is one request to several nodes.
 type batch struct {
-	request   *meshpb.RelayRequest
+	request *meshpb.RelayRequest
+	// callbacks holds the callback of each node by name. Each runs once.
 	callbacks map[string]ackFunc
 }
 
-// enqueue puts a node's request beside those of the same key, which go out together
-// after batchWindow.
-func (m *Master) enqueue(key batchKey, request *meshpb.RelayRequest, to *meshpb.RelayTarget, done ackFunc) {
+// enqueue adds a node's request to the batch of its key. All batches are sent
+// batchWindow after the first request was enqueued. For a node that is already in the
+// batch, only the callback is replaced.
+func (m *Master) enqueue(key batchKey, request *meshpb.RelayRequest, target *meshpb.RelayTarget, done ackFunc) {
 	if m.batches == nil {
 		m.batches = map[batchKey]*batch{}
 		time.AfterFunc(batchWindow, func() { m.Mailbox.Post(m.sendBatches) })
@@ -65,10 +68,10 @@
 		b = &batch{request: request, callbacks: map[string]ackFunc{}}
 		m.batches[key] = b
 	}
-	if b.callbacks[to.Name] == nil {
-		b.request.Targets = append(b.request.Targets, to)
+	if b.callbacks[target.Name] == nil {
+		b.request.Targets = append(b.request.Targets, target)
 	}
-	b.callbacks[to.Name] = done
+	b.callbacks[target.Name] = done
 }
 
 func (m *Master) sendBatches() {
@@ -85,8 +88,8 @@
 	relays := m.availableRelays()
 	for key, b := range batches {
 		if len(b.request.Targets) <= maxDirectNodes || len(relays) == 0 {
-			for _, to := range b.request.Targets {
-				m.callDirectly(b, to)
+			for _, target := range b.request.Targets {
+				m.callDirectly(b, target)
 			}
 			continue
 		}
@@ -94,8 +97,8 @@
 	}
 }
 
-// availableRelays returns the other members that answered when they were last
-// asked.
+// availableRelays returns the addresses of up to maxRelays other members that are in
+// contact and did not recently fail as a relay.
 func (m *Master) availableRelays() []string {
 	var relays []string
 	now := m.options.Now()
@@ -112,26 +115,27 @@
 		(m.options.InContact == nil || m.options.InContact(addr))
 }
 
-// sendThroughRelays parts a batch's nodes among the relays. A node keeps to one of
-// them, but for relayOffset, so that connections stay few.
+// sendThroughRelays distributes a batch's nodes among the relays. With the same
+// relayOffset a node is always assigned to the same one, which keeps the number of
+// connections low.
 func (m *Master) sendThroughRelays(b *batch, relays []string, relayOffset int) {
-	parts := make([][]*meshpb.RelayTarget, len(relays))
-	for _, to := range b.request.Targets {
-		i := (xxhash.Sum64String(to.Name) + uint64(relayOffset)) % uint64(len(relays))
-		parts[i] = append(parts[i], to)
+	targetsByRelay := make([][]*meshpb.RelayTarget, len(relays))
+	for _, target := range b.request.Targets {
+		i := (xxhash.Sum64String(target.Name) + uint64(relayOffset)) % uint64(len(relays))
+		targetsByRelay[i] = append(targetsByRelay[i], target)
 	}
-	for i, targets := range parts {
+	for i, targets := range targetsByRelay {
 		if len(targets) > 0 {
 			m.callThroughRelay(b, relays[i], targets)
 		}
 	}
 }
 
-func (m *Master) callDirectly(b *batch, to *meshpb.RelayTarget) {
-	node := m.clients.Node(to.Addr)
-	done := b.callbacks[to.Name]
+func (m *Master) callDirectly(b *batch, target *meshpb.RelayTarget) {
+	node := m.clients.Node(target.Addr)
+	done := b.callbacks[target.Name]
 	go func() {
-		ack := callTarget(node, to, b.request, func() StoredPayloads { return m.readStored(b.request.Stored) })
+		ack := callTarget(node, target, b.request, func() StoredPayloads { return m.readStored(b.request.Stored) })
 		m.Mailbox.Post(func() { done(ack) })
 	}()
 }
@@ -143,9 +147,9 @@
 	return m.options.ReadStored(versions)
 }
 
-// callThroughRelay sends a part of a batch through a member. What it does not bring
-// back is called directly, once; a member that brings back nothing is no relay for a
-// while.
+// callThroughRelay sends some of a batch's targets through a relay. Targets without an
+// acknowledgement are then called directly, once. A relay that fails or returns no
+// acknowledgement is not used again for relayRetryDelay.
 func (m *Master) callThroughRelay(b *batch, addr string, targets []*meshpb.RelayTarget) {
 	relay := m.clients.Control(addr)
 	request := &meshpb.RelayRequest{Targets: targets, View: b.request.View, Config: b.request.Config, Poll: b.request.Poll, Stored: b.request.Stored}
@@ -156,13 +160,13 @@
 			if err != nil || len(acked) == 0 {
 				m.relayRetryAt[addr] = m.options.Now() + relayRetryDelay
 			}
-			m.callUnanswered(b, targets, acked)
+			m.retryUnanswered(b, targets, acked)
 		})
 	}()
 }
 
-// runCallbacks gives each node's acknowledgement to its callback, and returns the names
-// of these nodes.
+// runCallbacks passes each node's acknowledgement to its callback and returns the
+// names of these nodes.
 func (b *batch) runCallbacks(acks []*meshpb.RelayAck) map[string]bool {
 	acked := map[string]bool{}
 	for _, ack := range acks {
@@ -174,14 +178,16 @@
 	return acked
 }
 
-func (m *Master) callUnanswered(b *batch, targets []*meshpb.RelayTarget, acked map[string]bool) {
-	for _, to := range targets {
+// retryUnanswered calls the targets without an acknowledgement directly, except for
+// those that have acknowledged the configuration over another path.
+func (m *Master) retryUnanswered(b *batch, targets []*meshpb.RelayTarget, acked map[string]bool) {
+	for _, target := range targets {
 		switch {
-		case acked[to.Name]:
-		case m.hasConfig(to.Name, b.request.Config):
-			b.callbacks[to.Name](nil)
+		case acked[target.Name]:
+		case m.hasConfig(target.Name, b.request.Config):
+			b.callbacks[target.Name](nil)
 		default:
-			m.callDirectly(b, to)
+			m.callDirectly(b, target)
 		}
 	}
 }
--- a/internal/clustercontroller/configs.go
+++ b/internal/clustercontroller/configs.go
@@ -6,34 +6,38 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// A configuration without an acknowledgement is sent again by another way while the
-// first sending still runs. Two waits and a call must fit into 2 s, the shortest
-// time that a deployment gives its nodes to apply a version.
+// A configuration that was not acknowledged is sent again over another path while the
+// first call is still running. Two waits and a call must fit into 2 s, the shortest
+// time that a deployment allows its nodes to apply a version.
 const (
-	// patchRetryAfter is twice what a relay waits for its next node.
+	// patchRetryAfter is how long patches may stay unacknowledged before they are sent
+	// again: twice the time that a relay waits for the next acknowledgement.
 	patchRetryAfter = 2 * relayIdleTimeout
-	// fullConfigRetryAfter leaves a large configuration time on a full link.
+	// fullConfigRetryAfter is the same for a complete configuration. It leaves time to
+	// transfer a large configuration over a saturated link.
 	fullConfigRetryAfter = 1500 * time.Millisecond
-	// relayChoices is how many relays take turns for one node, so that sendings to many
-	// nodes still go together.
-	relayChoices = 3
-	// configFailureBackoff and configRefusalBackoff are the waits after a sending that
-	// nothing was heard of, and one that the node could not apply.
+	// relaysPerNode is how many relays are tried in turn for one node. Each turn needs
+	// a separate batch, so a small number keeps requests to many nodes together.
+	relaysPerNode = 3
+	// configFailureBackoff is the wait after an attempt without a response.
 	configFailureBackoff = 100 * time.Millisecond
+	// configRefusalBackoff is the wait after a node failed to apply a configuration.
 	configRefusalBackoff = 50 * time.Millisecond
 )
 
-// configState is the configuration in force.
+// configState is the current configuration.
 type configState struct {
 	version uint64
 	// packed is the complete configuration, compressed.
 	packed []byte
-	// patches lead from some earlier versions to this one, in order.
+	// patches lead from an earlier version to this one, each from the version before
+	// it, oldest first.
 	patches []*meshpb.ConfigPatch
 }
 
-// SetConfig takes a newly committed configuration, and a master sends it to all
-// nodes at once.
+// SetConfig makes a newly committed configuration the current one, unless it is
+// older. If this member is the master, it starts sending the current configuration
+// to all nodes immediately.
 func (m *Master) SetConfig(config *meshpb.Config) {
 	if config.GetVersion() > m.config.version {
 		m.config = configState{version: config.Version, packed: config.Packed, patches: config.Patches}
@@ -46,11 +50,13 @@
 	}
 }
 
-// ConfigVersion returns the version of the configuration in force, 0 for none.
+// ConfigVersion returns the version of the current configuration, or 0 if there is
+// none.
 func (m *Master) ConfigVersion() uint64 { return m.config.version }
 
-// patchesFrom returns the patches from a version to the one in force. It is nil if
-// there are none, or if they are larger than the complete configuration.
+// patchesFrom returns the patches that lead from a version to the current one. It
+// returns nil if there are none, or if together they are larger than the complete
+// configuration.
 func (c *configState) patchesFrom(version uint64) [][]byte {
 	var patches [][]byte
 	size := 0
@@ -66,24 +72,25 @@
 	return patches
 }
 
-// sendConfig sends a node the patches from what it holds to the configuration in
-// force, or all of it, unless it holds that or it is under way.
+// sendConfig updates a node to the current configuration, with patches if possible.
+// It does nothing if the node has that configuration or an attempt to send it is in
+// flight and not overdue.
 func (m *Master) sendConfig(name string, history *nodeHistory) {
 	if !m.checkLease() {
 		return
 	}
 	progress := m.progressOf(name)
 	now := m.options.Now()
-	if !m.needsConfig(progress, history, now) || m.awaitsReport(progress, now) {
+	if !m.needsConfig(progress, history, now) || m.awaitingFirstReport(progress, now) {
 		return
 	}
-	request := m.configRequest(progress)
+	request := m.buildConfigRequest(progress)
 	progress.configInFlight, progress.configSentAt, progress.sentFullConfig = true, now, request.BaseVersion == 0
 	progress.configAttempt++
 	attempt := progress.configAttempt
-	relayOffset := progress.unansweredAttempts % relayChoices
+	relayOffset := progress.unansweredAttempts % relaysPerNode
 	progress.unansweredAttempts++
-	key := batchKey{kind: configBatch, baseVersion: request.BaseVersion, version: request.Version, patches: len(request.Patches), full: len(request.Data) > 0, relayOffset: relayOffset}
+	key := batchKey{kind: configBatch, baseVersion: request.BaseVersion, version: request.Version, patchCount: len(request.Patches), fullConfig: len(request.Data) > 0, relayOffset: relayOffset}
 	m.enqueue(key, &meshpb.RelayRequest{Config: request}, &meshpb.RelayTarget{Name: name, Addr: history.state.Addr}, func(ack *meshpb.RelayAck) {
 		now := m.options.Now()
 		progress.recordConfigAck(request, ack.GetConfig(), attempt == progress.configAttempt, now)
@@ -93,6 +100,8 @@
 	})
 }
 
+// needsConfig reports whether a node lacks the current configuration and may be sent
+// it now.
 func (m *Master) needsConfig(progress *nodeProgress, history *nodeHistory, now time.Duration) bool {
 	if m.config.version == 0 || progress.configVersion >= m.config.version || history.state.GetAddr() == "" {
 		return false
@@ -100,9 +109,10 @@
 	return now >= progress.retryConfigAt && (!progress.configInFlight || progress.configOverdue(history, now))
 }
 
-// awaitsReport tells that a node has not been heard under this epoch and may still
-// be soon: what it holds is guessed only after that.
-func (m *Master) awaitsReport(progress *nodeProgress, now time.Duration) bool {
+// awaitingFirstReport reports whether a node has not yet answered a poll in this
+// epoch but may still do so soon. Until then the master does not guess which
+// version the node holds.
+func (m *Master) awaitingFirstReport(progress *nodeProgress, now time.Duration) bool {
 	if progress.incarnation != "" {
 		return false
 	}
@@ -113,9 +123,9 @@
 	return now-m.leadership.since < wait
 }
 
-// configRequest holds the patches from what a node holds to the configuration in
-// force, or all of it where there are none.
-func (m *Master) configRequest(progress *nodeProgress) *meshpb.DeliverConfigRequest {
+// buildConfigRequest returns a request with the patches that lead from a node's
+// version to the current one, or with the complete configuration if there are none.
+func (m *Master) buildConfigRequest(progress *nodeProgress) *meshpb.DeliverConfigRequest {
 	request := &meshpb.DeliverConfigRequest{Epoch: m.leadership.epoch, Version: m.config.version}
 	patches := m.config.patches
 	switch {
@@ -125,7 +135,7 @@
 			request.BaseVersion = progress.configVersion
 		}
 	case progress.incarnation == "" && len(patches) > 0:
-		// Most likely the node has the one before.
+		// The node's version is unknown, but most likely it is the previous one.
 		last := patches[len(patches)-1]
 		request.BaseVersion, request.Patches = last.BaseVersion, [][]byte{last.Patch}
 	}
@@ -135,15 +145,14 @@
 	return request
 }
 
-// recordConfigAck notes what came of a sending; response is nil if nothing was
-// heard, and
-// newest tells that no other was begun since.
-func (p *nodeProgress) recordConfigAck(request *meshpb.DeliverConfigRequest, response *meshpb.DeliverConfigResponse, newest bool, now time.Duration) {
+// recordConfigAck records the result of an attempt to send a configuration. response
+// is nil if none arrived; latest is true if no other attempt was started since.
+func (p *nodeProgress) recordConfigAck(request *meshpb.DeliverConfigRequest, response *meshpb.DeliverConfigResponse, latest bool, now time.Duration) {
 	if response != nil {
 		p.configVersion = max(p.configVersion, response.Version)
 		p.configAckedAt = now
 	}
-	if !newest {
+	if !latest {
 		return
 	}
 	p.configInFlight = false
@@ -158,8 +167,8 @@
 	}
 }
 
-// configOverdue tells that a node which answers polls has left the last sending
-// unanswered for so long that it is to be sent by another way.
+// configOverdue reports whether a node answers polls but has not acknowledged the
+// last attempt for so long that the configuration must be sent over another path.
 func (p *nodeProgress) configOverdue(history *nodeHistory, now time.Duration) bool {
 	wait := patchRetryAfter
 	if p.sentFullConfig {
@@ -168,8 +177,8 @@
 	return history.reachable && now-p.configSentAt >= wait
 }
 
-// hasConfig tells that a node has acknowledged this configuration, or a newer one,
-// by another way meanwhile.
+// hasConfig reports whether a node has acknowledged the requested configuration or a
+// newer one, for example over another path. It is false if request is nil.
 func (m *Master) hasConfig(name string, request *meshpb.DeliverConfigRequest) bool {
 	progress := m.progress[name]
 	return request != nil && progress != nil && progress.configVersion >= request.Version
--- a/internal/clustercontroller/configs_test.go
+++ b/internal/clustercontroller/configs_test.go
@@ -14,15 +14,16 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// The bounds of docs/hardening.md on the time from a commit until the last node in
-// touch has the configuration: its relay is silent and one call to it is lost.
+// Bounds from docs/hardening.md on the time from a commit until the last reachable
+// node has the configuration, if its relay does not respond and one call to it is lost.
 const (
 	patchBound      = 1500 * time.Millisecond
 	fullConfigBound = 2 * time.Second
 )
 
-// lossyNode is a node whose next calls with a configuration get no answer and do not
-// reach it, as on a connection whose other end has lost power.
+// lossyNode loses the next callsToLose calls with a configuration: they neither reach
+// the node nor return before their deadline, as on a connection whose other end has
+// lost power.
 type lossyNode struct {
 	meshpb.Node
 	mu          sync.Mutex
@@ -31,18 +32,18 @@
 
 func (l *lossyNode) DeliverConfig(c context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	l.mu.Lock()
-	lost := l.callsToLose > 0
+	lose := l.callsToLose > 0
 	l.callsToLose--
 	l.mu.Unlock()
-	if lost {
+	if lose {
 		<-c.Done()
 		return nil, errPartitioned
 	}
 	return l.Node.DeliverConfig(c, q)
 }
 
-// slowLink brings calls with a configuration to a node after their caller has given
-// them up, as a link whose queue is full.
+// slowLink delivers calls with a configuration to a node after delay, like a link with
+// a full queue. It never returns the response: each call ends with its deadline.
 type slowLink struct {
 	meshpb.Node
 	delay time.Duration
@@ -57,10 +58,11 @@
 	return nil, ctx.Err()
 }
 
-// On the day of docs/incidents/bmato-large-trouble-1-config.md a node behind a full
-// link took the first of three changes and refused all later sendings, whose base
-// it had left by then.
-func TestNodeBehindSlowLinkCatchesUpThoughNoAnswerArrives(t *testing.T) {
+// Regression test for docs/incidents/bmato-large-trouble-1-config.md: a node behind a
+// saturated link applied the first of three changes, but the master got no
+// acknowledgement of it. The node refused all later patches, since their base version
+// was older than its own.
+func TestNodeBehindSlowLinkCatchesUpWithoutAcks(t *testing.T) {
 	const delay = 1800 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		cluster, members, membership := newClusterWithRelays(60, 3)
@@ -74,26 +76,27 @@
 		for _, m := range members {
 			m.clients.PutNode(addr, slow)
 		}
-		cluster.setConfig(patchedConfigOf(5, 6))
+		cluster.setConfig(configWithPatches(5, 6))
 		advance(600 * time.Millisecond)
-		cluster.setConfig(patchedConfigOf(5, 6, 7))
+		cluster.setConfig(configWithPatches(5, 6, 7))
 		advance(300 * time.Millisecond)
-		cluster.setConfig(patchedConfigOf(5, 6, 7, 8))
+		cluster.setConfig(configWithPatches(5, 6, 7, 8))
 		advance(delay + patchRetryAfter + 100*time.Millisecond)
 		qt.Assert(t, cluster.nodes[7].current().ConfigVersion(), qt.Equals, uint64(8))
 	})
 }
 
-// stuckStore saves no view: each attempt lasts as long as it may.
-type stuckStore struct{}
+// blockingStore saves no view: each attempt blocks until its context ends.
+type blockingStore struct{}
 
-func (stuckStore) SaveView(c context.Context, _ *meshpb.View) error {
+func (blockingStore) SaveView(c context.Context, _ *meshpb.View) error {
 	<-c.Done()
 	return errPartitioned
 }
 
-// patchedConfigOf is the last of these versions, with the patches that lead to it.
-func patchedConfigOf(versions ...uint64) *meshpb.Config {
+// configWithPatches returns a configuration of the last of these versions, with one
+// patch to each of them.
+func configWithPatches(versions ...uint64) *meshpb.Config {
 	c := packedConfigOf(versions[len(versions)-1], "d")
 	c.Packed = rpc.Pack(make([]byte, 64<<10))
 	for _, v := range versions {
@@ -102,12 +105,15 @@
 	return c
 }
 
-// A relay is cut off and nobody knows yet, a view can't be kept, calls to some
-// nodes are lost, one node has been restarted, and the configuration changes
-// again before the first change has come: all have the newest within the bound.
-func TestConfigurationReachesAllNodesInTouchWithinItsBound(t *testing.T) {
-	t.Run("patches", func(t *testing.T) { checkConfigReachesAll(t, patchedConfigOf(6), patchedConfigOf(6, 7), patchBound) })
-	t.Run("whole", func(t *testing.T) {
+// All reachable nodes must have the latest configuration within the bound, even if at
+// the same time a relay stops responding unnoticed, no view can be saved, calls to some
+// nodes are lost, one node restarts, and the configuration changes again before the
+// first change has arrived.
+func TestConfigReachesAllReachableNodesWithinBound(t *testing.T) {
+	t.Run("patches", func(t *testing.T) {
+		checkConfigReachesAll(t, configWithPatches(6), configWithPatches(6, 7), patchBound)
+	})
+	t.Run("full configuration", func(t *testing.T) {
 		checkConfigReachesAll(t, packedConfigOf(6, "d"), packedConfigOf(7, "d"), fullConfigBound)
 	})
 }
@@ -136,7 +142,7 @@
 			l.callsToLose = 1
 			l.mu.Unlock()
 		}
-		cluster.master.store = stuckStore{}
+		cluster.master.store = blockingStore{}
 		cluster.nodes[0].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = string(lifecycle.Draining) })
 		cluster.nodes[5].setPartitioned(true)
 		advance(150 * time.Millisecond)
@@ -146,30 +152,31 @@
 		cluster.run(func() { cluster.master.RegisterNode(cluster.nodes[5].current().State()) })
 		advance(100 * time.Millisecond)
 		cluster.setConfig(second)
-		took := time.Duration(0)
-		for ; cluster.nodesBehind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
+		elapsed := time.Duration(0)
+		for ; cluster.nodesBehind(7) > 0 && elapsed < 20*time.Second; elapsed += 50 * time.Millisecond {
 			advance(50 * time.Millisecond)
 		}
-		t.Logf("all have it after %v", took)
+		t.Logf("all nodes have the configuration after %v", elapsed)
 		for i, l := range lossyNodes {
 			l.mu.Lock()
 			qt.Check(t, l.callsToLose < 1, qt.IsTrue, qt.Commentf("no call to lossy node %d was lost", i))
 			l.mu.Unlock()
 		}
-		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", cluster.nodesBehind(7), took))
+		qt.Check(t, elapsed <= bound, qt.IsTrue, qt.Commentf("%d nodes have an older configuration after %v", cluster.nodesBehind(7), elapsed))
 	})
 }
 
-// A node that acknowledged before its first answer to a poll, and was restarted
-// since, holds nothing of it; nor does one whose earlier life's acknowledgement
-// comes after that answer, which the polls after it show.
-func TestAcknowledgementOfEarlierIncarnationIsForgotten(t *testing.T) {
+// A restarted node holds no configuration, whatever its earlier incarnation
+// acknowledged. The master must discard such an acknowledgement whether it arrives
+// before the new incarnation's first answer to a poll or, delayed, after it. In the
+// second case the following polls show that the node has no configuration.
+func TestAckOfEarlierIncarnationIsDiscarded(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		delay, within time.Duration
 	}{
-		{"before the answer", 0, 500 * time.Millisecond},
-		{"after the answer", time.Second, 3 * time.Second},
+		{"before the first poll answer", 0, 500 * time.Millisecond},
+		{"after the first poll answer", time.Second, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -177,13 +184,13 @@
 				defer cluster.stopAfterCalls()
 				slow := &slowNode{fakeNode: cluster.nodes[1], delay: c.delay}
 				cluster.master.clients.PutNode("a1", slow)
-				cluster.becomeMaster(2, storedViewOf(3), patchedConfigOf(5), membership)
+				cluster.becomeMaster(2, storedViewOf(3), configWithPatches(5), membership)
 				advance(600 * time.Millisecond)
 				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
 				cluster.restart(1, "l2")
 				slow.answerPolls()
 				advance(c.within)
-				qt.Check(t, slow.delayed(), qt.IsTrue, qt.Commentf("the acknowledgement came without delay"))
+				qt.Check(t, slow.hasApplied(), qt.IsTrue, qt.Commentf("no configuration was applied through the slow node"))
 				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
 				qt.Check(t, cluster.nodes[1].current().View().GetEpoch(), qt.Equals, uint64(2))
 			})
@@ -191,34 +198,35 @@
 	}
 }
 
-// slowNode is a node that answers no poll until it is told to, and acknowledges
-// the first configuration late.
+// slowNode answers no polls until answerPolls is called, and delays its first
+// successful acknowledgement of a configuration.
 type slowNode struct {
 	*fakeNode
-	mu     sync.Mutex
-	polled bool
-	// acked tells that a configuration was acknowledged through it.
-	acknowledged bool
-	delay        time.Duration
+	mu           sync.Mutex
+	answersPolls bool
+	// applied is true once the node has applied a configuration sent through this
+	// wrapper, even if the response is still delayed.
+	applied bool
+	delay   time.Duration
 }
 
-func (n *slowNode) delayed() bool {
+func (n *slowNode) hasApplied() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.acknowledged
+	return n.applied
 }
 
 func (n *slowNode) answerPolls() {
 	n.mu.Lock()
-	n.polled = true
+	n.answersPolls = true
 	n.mu.Unlock()
 }
 
 func (n *slowNode) Poll(c context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	n.mu.Lock()
-	polled := n.polled
+	answers := n.answersPolls
 	n.mu.Unlock()
-	if !polled {
+	if !answers {
 		return nil, errPartitioned
 	}
 	return n.fakeNode.Poll(c, q)
@@ -230,7 +238,7 @@
 	delay := n.delay
 	if r.GetOk() {
 		n.delay = 0
-		n.acknowledged = true
+		n.applied = true
 	}
 	n.mu.Unlock()
 	if r.GetOk() {
