--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -20,22 +20,23 @@
 		advance(600 * time.Millisecond)
 		cluster.checkAllNodes(t, 5)
 		total := 0
-		for _, r := range members {
-			total += r.targetCount
-			qt.Check(t, r.relayCalls <= 6, qt.IsTrue, qt.Commentf("%d calls", r.relayCalls))
-			qt.Check(t, r.targetCount >= 3*120/5*2/3, qt.IsTrue, qt.Commentf("%d nodes", r.targetCount))
+		for _, member := range members {
+			total += member.targetCount
+			qt.Check(t, member.relayCalls <= 6, qt.IsTrue, qt.Commentf("%d relay calls", member.relayCalls))
+			qt.Check(t, member.targetCount >= 3*120/5*2/3, qt.IsTrue, qt.Commentf("%d targets", member.targetCount))
 		}
-		qt.Check(t, total >= 3*120, qt.IsTrue, qt.Commentf("polls, configurations and the view go through relays: %d", total))
-		// A changed configuration is one call for each relay.
-		was := members[0].relayCalls
+		qt.Check(t, total >= 3*120, qt.IsTrue, qt.Commentf("%d targets relayed; want the polls, configurations and views of 120 nodes", total))
+		// A changed configuration takes one call to each relay.
+		before := members[0].relayCalls
 		cluster.setConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
 		advance(100 * time.Millisecond)
 		cluster.checkAllNodes(t, 6)
-		qt.Check(t, members[0].relayCalls-was, qt.Equals, 1)
+		qt.Check(t, members[0].relayCalls-before, qt.Equals, 1)
 	})
 }
 
-// A member that the replica has not heard of within a lease is asked for nothing.
+// A member from which this replica has not heard within a lease, as InContact reports,
+// gets no relay calls.
 func TestMemberNotInContactIsNotUsedAsRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, members, membership := newClusterWithRelays(60, 3)
@@ -61,40 +62,40 @@
 		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(4 * time.Second)
 		cluster.checkAllNodes(t, 5)
-		was := members[0].relayCalls
+		before := members[0].relayCalls
 		cluster.setConfig(packedConfigOf(6, "e"))
 		advance(1800 * time.Millisecond)
 		cluster.checkAllNodes(t, 6)
-		qt.Check(t, members[0].relayCalls-was <= 2, qt.IsTrue)
+		qt.Check(t, members[0].relayCalls-before <= 2, qt.IsTrue)
 	})
 }
 
-func TestNothingIsSentOrRelayedWithoutTheLease(t *testing.T) {
+func TestMasterWithoutLeaseSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, members, membership := newClusterWithRelays(40, 2)
 		defer cluster.stop()
-		leased := true
+		holdsLease := true
 		cluster.run(func() {
-			cluster.master.options.HoldsLease = func() bool { return leased }
+			cluster.master.options.HoldsLease = func() bool { return holdsLease }
 			cluster.master.BecomeMaster(2, storedViewOf(40), map[string]string{}, packedConfigOf(5, "d"), membership)
 		})
 		advance(time.Second)
 		cluster.checkAllNodes(t, 5)
-		was := members[0].relayCalls + members[1].relayCalls
+		before := members[0].relayCalls + members[1].relayCalls
 		cluster.run(func() {
 			cluster.master.SetConfig(packedConfigOf(6, "e"))
-			leased = false
+			holdsLease = false
 		})
 		advance(2 * time.Second)
-		qt.Assert(t, members[0].relayCalls+members[1].relayCalls, qt.Equals, was)
+		qt.Assert(t, members[0].relayCalls+members[1].relayCalls, qt.Equals, before)
 		cluster.checkAllNodes(t, 5)
-		cluster.run(func() { leased = true })
+		cluster.run(func() { holdsLease = true })
 		advance(time.Second)
 		cluster.checkAllNodes(t, 6)
 	})
 }
 
-func TestDeadNodesDoNotDelayOthersOfTheirRelay(t *testing.T) {
+func TestUnreachableNodesDoNotDelayOthersOfSameRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, _, membership := newClusterWithRelays(60, 2)
 		defer cluster.stop()
@@ -103,18 +104,18 @@
 		for i := range 12 {
 			cluster.nodes[5*i].setPartitioned(true)
 		}
-		for c := uint64(6); c < 9; c++ {
-			cluster.setConfig(packedConfigOf(c, "e"))
+		for version := uint64(6); version < 9; version++ {
+			cluster.setConfig(packedConfigOf(version, "e"))
 			advance(400 * time.Millisecond)
-			late := 0
-			for i, f := range cluster.nodes {
-				f.mu.Lock()
-				if i%5 != 0 && f.configVersions[len(f.configVersions)-1] != c {
-					late++
+			behind := 0
+			for i, node := range cluster.nodes {
+				node.mu.Lock()
+				if i%5 != 0 && node.configVersions[len(node.configVersions)-1] != version {
+					behind++
 				}
-				f.mu.Unlock()
+				node.mu.Unlock()
 			}
-			qt.Check(t, late, qt.Equals, 0, qt.Commentf("configuration %d", c))
+			qt.Check(t, behind, qt.Equals, 0, qt.Commentf("nodes without configuration %d", version))
 		}
 	})
 }
