--- a/internal/clustercontroller/history.go
+++ b/internal/clustercontroller/history.go
@@ -7,7 +7,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// stateRank orders states: a user state caps a higher one.
+// stateRank orders states from down through draining to up. A user state caps states
+// of a higher rank.
 var stateRank = map[lifecycle.State]int{
 	lifecycle.Down:        0,
 	lifecycle.Maintenance: 0,
@@ -16,8 +17,8 @@
 	lifecycle.Up:          2,
 }
 
-// historyRules say when a node is unreachable and an endpoint crashes too often;
-// see Options.
+// historyRules holds the thresholds for unreachable nodes and crash-looping endpoints.
+// Options documents each of them.
 type historyRules struct {
 	crashWindow      time.Duration
 	crashLimit       int
@@ -25,36 +26,43 @@
 	unreachableAfter time.Duration
 }
 
-// nodeHistory is what the master remembers of one node beside its last report.
+// nodeHistory is the master's record of one node: its last report, and what its
+// earlier reports and polls showed.
 type nodeHistory struct {
 	// state is the node's last report.
 	state *meshpb.NodeState
 
-	lastContact  time.Duration
+	// lastContact is when the node last reported, or later when a takeover or the end of
+	// a pause restarted the wait for its next report. It is on the clock of Options.Now.
+	lastContact time.Duration
+	// pollFailures counts failed polls in a row.
 	pollFailures int
 	reachable    bool
 
-	// endpointID is the incarnation that runs, "" once it drains or is gone.
+	// endpointID identifies the running endpoint; it is "" once that drains or is gone.
 	endpointID string
-	// warmingUp tells that the endpoint's last report was during its warm-up.
+	// warmingUp is true if the endpoint was warming up at its last report.
 	warmingUp bool
-	// awaitingWarmup tells that an endpoint crashed during its warm-up; the next is
-	// down until it is warm.
+	// awaitingWarmup is true after an endpoint crashed during its warm-up. Its
+	// replacement is down until it is warm.
 	awaitingWarmup bool
-	crashes        []time.Duration
-	// crashLooping tells that it crashed too often; it is down until an operator sets
-	// it to up.
+	// crashes holds the times of recent crashes, oldest first.
+	crashes []time.Duration
+	// crashLooping is true once the endpoint has crashed too often. It is down until
+	// an operator sets the node to up.
 	crashLooping bool
 
-	// lastEndpoint is the last endpoint that the node reported.
+	// lastEndpoint is the last endpoint that the node reported, or the one of the last
+	// view.
 	lastEndpoint *meshpb.Endpoint
-	// restoredFromView tells that lastEndpoint comes from the last view, and the node,
-	// just started like all others, may not have found it again yet.
+	// restoredFromView is true for a while after a takeover if the last view had an
+	// endpoint of this node. If all nodes have just restarted, the node may not have
+	// found its endpoint again yet, and lastEndpoint counts until it has.
 	restoredFromView bool
 }
 
-// knownEndpoint is the endpoint that the node reports, or that the last view
-// showed.
+// knownEndpoint returns the endpoint that the node reports. If there is none and
+// restoredFromView is set, it returns lastEndpoint.
 func (h *nodeHistory) knownEndpoint() *meshpb.Endpoint {
 	if e := h.state.GetEndpoint(); e.GetId() != "" || !h.restoredFromView {
 		return e
@@ -62,7 +70,7 @@
 	return h.lastEndpoint
 }
 
-// recordReport merges a node's own state into its history.
+// recordReport updates the history with a state that the node reported.
 func (h *nodeHistory) recordReport(state *meshpb.NodeState, now time.Duration, rules historyRules) {
 	endpoint := state.Endpoint
 	id := endpoint.GetId()
@@ -77,16 +85,16 @@
 		}
 		h.lastEndpoint = endpoint
 	}
-	if endsOrderly(endpoint) {
+	if announcedShutdown(endpoint) {
 		h.endpointID, h.warmingUp = "", false
 	}
 	h.state = state
 	h.lastContact, h.pollFailures, h.reachable = now, 0, true
 }
 
-// endsOrderly tells that an endpoint has announced its end, so that another one in
-// its place is no crash.
-func endsOrderly(endpoint *meshpb.Endpoint) bool {
+// announcedShutdown reports whether an endpoint is draining or gone, so that its
+// replacement by another one does not count as a crash.
+func announcedShutdown(endpoint *meshpb.Endpoint) bool {
 	if endpoint == nil {
 		return false
 	}
@@ -94,7 +102,7 @@
 	return state == lifecycle.Draining || state == lifecycle.Gone
 }
 
-// recordCrash notes that an endpoint ended without deregistering.
+// recordCrash records that an endpoint ended without announcing it.
 func (h *nodeHistory) recordCrash(now time.Duration, rules historyRules) {
 	if h.warmingUp {
 		h.awaitingWarmup = true
@@ -112,11 +120,14 @@
 	}
 }
 
-// forgetCrashes lets the endpoint be up again.
-func (h *nodeHistory) forgetCrashes() {
+// clearCrashes removes all effects of earlier crashes, so that the endpoint can be up
+// again.
+func (h *nodeHistory) clearCrashes() {
 	h.crashLooping, h.awaitingWarmup, h.crashes = false, false, nil
 }
 
+// recordPollFailure records a failed poll. The node becomes unreachable once enough
+// polls in a row have failed and its last contact is old enough.
 func (h *nodeHistory) recordPollFailure(now time.Duration, rules historyRules) {
 	h.pollFailures++
 	if h.pollFailures >= rules.pollFailureLimit && now-h.lastContact >= rules.unreachableAfter {
@@ -124,9 +135,9 @@
 	}
 }
 
-// officialState is the state that the view gives a node's endpoint: what was
-// reported, lowered by history, capped by the user state. It is Up, Draining or
-// Down.
+// officialState returns the state that the view gives a node's endpoint: the reported
+// state, lowered to Down if the history requires it and capped by the user state. It
+// is Up, Draining or Down.
 func (h *nodeHistory) officialState(user lifecycle.State) lifecycle.State {
 	endpoint := h.knownEndpoint()
 	if endpoint.GetId() == "" || !h.reachable || h.crashLooping || h.awaitingWarmup {
--- a/internal/clustercontroller/history_test.go
+++ b/internal/clustercontroller/history_test.go
@@ -47,7 +47,7 @@
 	qt.Assert(t, h.officialState(""), qt.Equals, lifecycle.Up)
 }
 
-func TestCrashLoopingEndpointIsDownButOrderlyShutdownsAreNotCounted(t *testing.T) {
+func TestCrashLoopingEndpointIsDownButGracefulShutdownsAreNotCounted(t *testing.T) {
 	h := &nodeHistory{}
 	for i := 0; i < 8; i++ {
 		h.recordReport(nodeStateOf(fmt.Sprint("o", i), "ready", 0), 0, testRules)
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -105,7 +105,7 @@
 // back starts with a clean history.
 func (m *Master) SetUserStates(states map[string]string, node string) {
 	if history := m.histories[node]; history != nil && states[node] == "" {
-		history.forgetCrashes()
+		history.clearCrashes()
 	}
 	m.options.Log.Info("set user state", "node", node, "state", states[node])
 	m.userStates = states
