--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -113,7 +113,7 @@
 // crash history is cleared.
 func (m *Master) SetUserStates(states map[string]string, changedNode string) {
 	if history := m.histories[changedNode]; history != nil && states[changedNode] == "" {
-		history.forgetCrashes()
+		history.clearCrashes()
 	}
 	m.options.Log.Info("set user state", "node", changedNode, "state", states[changedNode])
 	m.userStates = states
