--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -42,7 +42,7 @@
 	m.userStates, m.membership = userStates, membership
 	m.progress = map[string]*nodeProgress{}
 	m.merge.changedAt = now
-	m.views = viewState{current: m.views.current, lastAt: now}
+	m.views = viewState{current: m.views.current, lastAttemptAt: now}
 	m.hotKeys.current = m.views.current.HotKeys
 	m.hotKeys.tracker.Restore(m.views.current.HotKeys, now)
 	m.restoreEndpoints(m.views.current, now)
@@ -59,7 +59,7 @@
 func (m *Master) forgetNodesWithout(view *meshpb.View) {
 	named := make(map[string]bool, len(view.NodeAddresses)+len(view.Endpoints))
 	for _, a := range view.NodeAddresses {
-		name, _ := splitNodeAddress(a)
+		name, _ := parseNodeAddress(a)
 		named[name] = true
 	}
 	for _, e := range view.Endpoints {
@@ -107,7 +107,7 @@
 // restoreAddresses finds the nodes of the last view.
 func (m *Master) restoreAddresses(view *meshpb.View, now time.Duration) {
 	for _, a := range view.NodeAddresses {
-		name, addr := splitNodeAddress(a)
+		name, addr := parseNodeAddress(a)
 		history := m.histories[name]
 		if history == nil {
 			history = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
--- a/internal/clustercontroller/master.go
+++ b/internal/clustercontroller/master.go
@@ -94,7 +94,7 @@
 	m.refreshEjections(now)
 	m.updateHotKeys(now)
 	if m.viewDue(now) && m.viewOutdated() {
-		m.saveView(m.nextView())
+		m.saveAndPublishView(m.nextView())
 	}
 }
 
--- a/internal/clustercontroller/merge.go
+++ b/internal/clustercontroller/merge.go
@@ -8,19 +8,23 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// endpointMerge is the result of the last merge of the nodes' states and the
-// platform's list, and what the next one needs.
+// endpointMerge holds the result of the last merge of node reports and endpoints that
+// the platform lists, and the state that the next merge needs.
 type endpointMerge struct {
-	// pending tells that a merge is scheduled.
-	pending   bool
+	// pending is set while a merge is scheduled.
+	pending bool
+	// endpoints is the merged list, ordered by id.
 	endpoints []*meshpb.Endpoint
-	// changedAt is when endpoints last changed for the nodes.
-	changedAt          time.Duration
-	ejections          ejections
-	ejectionsUpdatedAt time.Duration
+	// changedAt is when something that nodes act on last changed: the merged endpoints
+	// or the width of a hot key. Options.SettleTime counts from it.
+	changedAt time.Duration
+	ejections ejections
+	// ejectionsRefreshedAt is when refreshEjections last scheduled a merge.
+	ejectionsRefreshedAt time.Duration
 }
 
-// scheduleMerge has the states merged soon, once for all that is heard meanwhile.
+// scheduleMerge schedules a merge after batchWindow, so that all reports that arrive
+// until then are merged at once.
 func (m *Master) scheduleMerge() {
 	if m.merge.pending {
 		return
@@ -29,6 +33,8 @@
 	time.AfterFunc(batchWindow, func() { m.Mailbox.Post(m.mergeStates) })
 }
 
+// mergeStates recomputes the endpoints of the mesh and marks the outliers. The result
+// replaces the last one only if it differs in something that nodes act on.
 func (m *Master) mergeStates() {
 	m.merge.pending = false
 	if !m.leadership.active {
@@ -42,9 +48,10 @@
 	}
 }
 
-// failurePercents has the share of requests that endpoints fail, by id: by what
-// their own nodes say, or for listed ones, which have none, by what those that call
-// them say.
+// failurePercents returns, by endpoint id, the percentage of requests that an endpoint
+// fails; endpoints without failures may be missing. The percentage comes from the
+// endpoint's own node. Endpoints that the platform lists have no node; these have a
+// percentage while they are ejected because of what the nodes that call them report.
 func (m *Master) failurePercents(endpoints []*meshpb.Endpoint) map[string]uint32 {
 	percents := map[string]uint32{}
 	if len(m.listedEndpoints) > 0 {
@@ -58,17 +65,18 @@
 	return percents
 }
 
-// refreshEjections has the states merged once in a view interval while endpoints
-// are ejected, since ejections end by time.
+// refreshEjections schedules a merge once per view interval while ejections are
+// recorded, because they expire without any new report from a node.
 func (m *Master) refreshEjections(now time.Duration) {
-	if len(m.merge.ejections) > 0 && now-m.merge.ejectionsUpdatedAt > m.options.ViewInterval {
-		m.merge.ejectionsUpdatedAt = now
+	if len(m.merge.ejections) > 0 && now-m.merge.ejectionsRefreshedAt > m.options.ViewInterval {
+		m.merge.ejectionsRefreshedAt = now
 		m.scheduleMerge()
 	}
 }
 
-// mergeEndpoints merges what the nodes report of their endpoints with the endpoints
-// that the platform lists, ordered by id. Those that are down are left out.
+// mergeEndpoints merges the endpoints that nodes report with those that the platform
+// lists, and returns them ordered by id. Reported endpoints whose official state is
+// Down are left out.
 func mergeEndpoints(histories map[string]*nodeHistory, userStates map[string]string, listed []*meshpb.Endpoint) []*meshpb.Endpoint {
 	merged := append([]*meshpb.Endpoint(nil), listed...)
 	for name, history := range histories {
@@ -96,20 +104,23 @@
 	return merged
 }
 
-// endpointsDiffer tells whether the nodes would act on the difference.
+// endpointsDiffer reports whether two lists, both ordered by id, differ in something
+// that nodes act on.
 func endpointsDiffer(a, b []*meshpb.Endpoint) bool {
 	if len(a) != len(b) {
 		return true
 	}
 	for i := range a {
-		if endpointDiffers(a[i], b[i]) {
+		if endpointChanged(a[i], b[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-func endpointDiffers(x, y *meshpb.Endpoint) bool {
+// endpointChanged reports whether two versions of an endpoint differ in something that
+// nodes act on. For the remaining warm-up time it matters only whether it is zero.
+func endpointChanged(x, y *meshpb.Endpoint) bool {
 	return x.Id != y.Id || x.State != y.State || x.Slots != y.Slots ||
 		x.Inbound != y.Inbound || x.Addr != y.Addr || x.Outlier != y.Outlier || x.Service != y.Service ||
 		(x.WarmupMs > 0) != (y.WarmupMs > 0)
--- a/internal/clustercontroller/outliers.go
+++ b/internal/clustercontroller/outliers.go
@@ -12,30 +12,34 @@
 )
 
 const (
-	// maxOutlierShare bounds the part of a service's endpoints that are outliers.
+	// maxOutlierShare is the largest fraction of a service's endpoints that may be
+	// marked as outliers.
 	maxOutlierShare = 0.4
-	// outlierFailurePercent is the share of failures from which an endpoint may be an
-	// outlier.
-	outlierFailurePercent = 20
-	// outlierMedianFactor: an outlier fails more than so many times what the median
-	// endpoint of its service does.
+	// minOutlierFailurePercent is the lowest failure percentage at which an endpoint may
+	// be marked as an outlier or ejected.
+	minOutlierFailurePercent = 20
+	// outlierMedianFactor is how many times the median failure percentage of its
+	// service an outlier must exceed.
 	outlierMedianFactor = 2
-	// minReportedFailures is how many failures, reported by all nodes together, it
-	// takes to eject an endpoint.
-	minReportedFailures = 3
-	// minRecoverySuccesses, reported by all nodes together, end an ejection.
+	// minEjectionFailures is how many failures all nodes together must report before
+	// an endpoint is ejected.
+	minEjectionFailures = 3
+	// minRecoverySuccesses is how many successes, without a failure, all nodes together
+	// must report to end an ejection early.
 	minRecoverySuccesses = 4
-	// baseEjectionTime is how long the first ejection lasts at most; each one after it
-	// lasts twice as long, up to maxEjectionTime.
+	// baseEjectionTime is the longest that a first ejection lasts. The limit doubles
+	// with each further ejection, up to maxEjectionTime.
 	baseEjectionTime = 2500 * time.Millisecond
 	maxEjectionTime  = 10 * time.Second
-	// ejectionMemory is how long after its end an ejection lengthens the next one.
-	ejectionMemory = 4 * maxEjectionTime
+	// ejectionBackoffReset is how long after the end of an ejection the next one starts
+	// again with baseEjectionTime.
+	ejectionBackoffReset = 4 * maxEjectionTime
 )
 
-// markOutliers marks endpoints that fail more than their peers, at most a bounded
-// share of a service: where most fail, none is better than another. It changes
-// neither the slice nor the endpoints that it is given.
+// markOutliers marks the endpoints that fail more than others of their service, at
+// most maxOutlierShare of the service: if most endpoints fail, avoiding some of them
+// only shifts their load to others that fail as well. It modifies neither the slice nor
+// the endpoints that it is given.
 func markOutliers(endpoints []*meshpb.Endpoint, failurePercents map[string]uint32) []*meshpb.Endpoint {
 	indexesByService := map[string][]int{}
 	for i, e := range endpoints {
@@ -46,7 +50,7 @@
 	marked := endpoints
 	copied := false
 	for _, indexes := range indexesByService {
-		for _, i := range outliersOf(endpoints, indexes, failurePercents) {
+		for _, i := range findOutliers(endpoints, indexes, failurePercents) {
 			if !copied {
 				marked, copied = slices.Clone(endpoints), true
 			}
@@ -58,49 +62,55 @@
 	return marked
 }
 
-// outliersOf returns the indexes of one service's endpoints that are outliers.
-func outliersOf(endpoints []*meshpb.Endpoint, indexes []int, failurePercents map[string]uint32) []int {
+// findOutliers returns the indexes of a service's outliers, the highest failure
+// percentage first; indexes are those of the service's endpoints that are up.
+func findOutliers(endpoints []*meshpb.Endpoint, indexes []int, failurePercents map[string]uint32) []int {
 	percentOf := func(i int) uint32 { return failurePercents[endpoints[i].Id] }
-	sorted := make([]uint32, len(indexes))
+	sortedPercents := make([]uint32, len(indexes))
 	for k, i := range indexes {
-		sorted[k] = percentOf(i)
+		sortedPercents[k] = percentOf(i)
 	}
-	slices.Sort(sorted)
-	median := sorted[len(sorted)/2]
-	var worst []int
+	slices.Sort(sortedPercents)
+	median := sortedPercents[len(sortedPercents)/2]
+	var outliers []int
 	for _, i := range indexes {
-		if p := percentOf(i); p >= outlierFailurePercent && p > outlierMedianFactor*median {
-			worst = append(worst, i)
+		if p := percentOf(i); p >= minOutlierFailurePercent && p > outlierMedianFactor*median {
+			outliers = append(outliers, i)
 		}
 	}
-	slices.SortFunc(worst, func(a, b int) int {
+	slices.SortFunc(outliers, func(a, b int) int {
 		return cmp.Or(cmp.Compare(percentOf(b), percentOf(a)), cmp.Compare(endpoints[a].Id, endpoints[b].Id))
 	})
 	limit := int(maxOutlierShare * float64(len(indexes)))
-	return worst[:min(len(worst), limit)]
+	return outliers[:min(len(outliers), limit)]
 }
 
-// ejection is what the master holds of an endpoint that several nodes call.
+// ejection is an endpoint's current or last ejection, decided from the reports of the
+// nodes that call it.
 type ejection struct {
-	// failurePercent is the share of failures that it is ejected for, 0 once that has
-	// ended.
+	// failurePercent is the highest failure percentage during the ejection, 0 after its
+	// end.
 	failurePercent uint32
-	// since is when it was ejected, or when that ended.
-	since    time.Duration
+	// changedAt is when the ejection began, or when it ended.
+	changedAt time.Duration
+	// duration is how long the ejection lasts unless the endpoint recovers earlier.
 	duration time.Duration
 }
 
-func (e *ejection) end(now time.Duration) { e.failurePercent, e.since = 0, now }
+// end ends the ejection. It stays recorded so that another one soon after lasts longer.
+func (e *ejection) end(now time.Duration) { e.failurePercent, e.changedAt = 0, now }
 
-// ejections joins what the nodes report of each endpoint, by id. One that fails too
-// much is ejected, longer each time, until the nodes' few attempts succeed or its
-// time is over.
+// ejections holds the current and recent ejections by endpoint id. An endpoint whose
+// failures, summed over all nodes, are too many is ejected, for longer each time. The
+// ejection ends when the few requests that nodes still send it succeed, or when its
+// duration has passed.
 type ejections map[string]*ejection
 
-// update returns the share of failures of each endpoint that is ejected now.
+// update applies the nodes' last reports and returns the failure percentage of each
+// endpoint that is ejected now, by id.
 func (e ejections) update(histories map[string]*nodeHistory, now time.Duration) map[string]uint32 {
 	for id, report := range sumFailureReports(histories) {
-		e.apply(id, report, now)
+		e.applyReport(id, report, now)
 	}
 	failurePercents := map[string]uint32{}
 	for id, entry := range e {
@@ -112,6 +122,7 @@
 	return failurePercents
 }
 
+// sumFailureReports adds up the failure reports of all reachable nodes by endpoint id.
 func sumFailureReports(histories map[string]*nodeHistory) map[string]*meshpb.FailureReport {
 	sums := map[string]*meshpb.FailureReport{}
 	for _, history := range histories {
@@ -131,9 +142,11 @@
 	return sums
 }
 
-func (e ejections) apply(id string, report *meshpb.FailureReport, now time.Duration) {
+// applyReport begins, continues or ends an endpoint's ejection as its summed report
+// requires.
+func (e ejections) applyReport(id string, report *meshpb.FailureReport, now time.Duration) {
 	entry := e[id]
-	if failing(report) {
+	if shouldEject(report) {
 		if entry == nil {
 			entry = &ejection{duration: baseEjectionTime}
 			e[id] = entry
@@ -141,7 +154,7 @@
 			entry.duration = min(2*entry.duration, maxEjectionTime)
 		}
 		if entry.failurePercent == 0 {
-			entry.since = now
+			entry.changedAt = now
 		}
 		entry.failurePercent = max(failurePercent(report), entry.failurePercent)
 		return
@@ -151,20 +164,23 @@
 	}
 }
 
-func failing(report *meshpb.FailureReport) bool {
-	return report.Failures >= minReportedFailures && failurePercent(report) >= outlierFailurePercent
+// shouldEject reports whether an endpoint's summed report justifies an ejection.
+func shouldEject(report *meshpb.FailureReport) bool {
+	return report.Failures >= minEjectionFailures && failurePercent(report) >= minOutlierFailurePercent
 }
 
+// failurePercent returns the percentage of failures; the report must not be empty.
 func failurePercent(report *meshpb.FailureReport) uint32 {
 	return 100 * report.Failures / (report.Successes + report.Failures)
 }
 
-// expire ends an ejection whose time is over, and forgets it a while after.
+// expire ends an ejection whose duration has passed, and deletes its record
+// ejectionBackoffReset after its end.
 func (e ejections) expire(id string, entry *ejection, now time.Duration) {
 	switch {
-	case entry.failurePercent > 0 && now-entry.since > entry.duration:
+	case entry.failurePercent > 0 && now-entry.changedAt > entry.duration:
 		entry.end(now)
-	case entry.failurePercent == 0 && now-entry.since > ejectionMemory:
+	case entry.failurePercent == 0 && now-entry.changedAt > ejectionBackoffReset:
 		delete(e, id)
 	}
 }
--- a/internal/clustercontroller/views.go
+++ b/internal/clustercontroller/views.go
@@ -12,37 +12,41 @@
 )
 
 const (
-	// maxRecentViews is how many views are kept, so that a node gets the difference
-	// to the one that it holds.
+	// maxRecentViews is how many published views the master keeps as bases for
+	// deltas. A node that holds an older one receives a complete view.
 	maxRecentViews = 24
-	// saveViewTimeout bounds the commit of a view in shard 0.
+	// saveViewTimeout limits how long the commit of a view to shard 0 may take.
 	saveViewTimeout = 2 * time.Second
 )
 
-// viewState is the view in force and what is kept to send it.
+// viewState is the current view and what the master needs to send it to nodes.
 type viewState struct {
 	current *meshpb.View
-	// recent has the views of this master's epoch, the oldest first.
+	// recent holds the views that were published in this master's epoch, oldest
+	// first, at most maxRecentViews.
 	recent []*meshpb.View
-	// lastAt is when a view was last published, or could not be saved.
-	lastAt time.Duration
-	saving bool
-	packed packedViews
+	// lastAttemptAt is when a view was last published or failed to be saved.
+	lastAttemptAt time.Duration
+	// saving is set while a view is being committed to shard 0.
+	saving    bool
+	marshaled marshaledViews
 }
 
-// View returns the view in force, which an earlier master may have made; it must
-// not be changed.
+// View returns the current view, with version 0 if there is none. It may come from
+// an earlier master. The caller must not modify it.
 func (m *Master) View() *meshpb.View { return m.views.current }
 
-// viewDue tells whether a view may be made now: not too soon after the last one, nor
-// while changes come in.
+// viewDue reports whether a new view may be published now: the shortest interval
+// since the last attempt has passed, endpoints and hot keys have not changed for the
+// settle time, and no merge is scheduled.
 func (m *Master) viewDue(now time.Duration) bool {
-	return now-m.views.lastAt >= max(m.options.ViewInterval, m.relayedSendTime()) &&
+	return now-m.views.lastAttemptAt >= max(m.options.ViewInterval, m.relayedSendTime()) &&
 		now-m.merge.changedAt >= m.options.SettleTime &&
 		!m.merge.pending
 }
 
-// viewOutdated tells whether the nodes would act on a new view.
+// viewOutdated reports whether the current view differs from the master's state in
+// something that matters to the nodes or to the next master.
 func (m *Master) viewOutdated() bool {
 	view := m.views.current
 	return view.Epoch != m.leadership.epoch ||
@@ -52,6 +56,7 @@
 		len(view.NodeAddresses) != len(m.histories)
 }
 
+// nextView builds the successor of the current view from the master's state.
 func (m *Master) nextView() *meshpb.View {
 	view := &meshpb.View{
 		Epoch:         m.leadership.epoch,
@@ -69,20 +74,25 @@
 	return view
 }
 
+// formatNodeAddress formats an entry of View.NodeAddresses.
 func formatNodeAddress(name, addr string) string { return name + " " + addr }
 
-func splitNodeAddress(s string) (name, addr string) {
+// parseNodeAddress splits an entry of View.NodeAddresses into name and address.
+func parseNodeAddress(s string) (name, addr string) {
 	name, addr, _ = strings.Cut(s, " ")
 	return name, addr
 }
 
-// saveView saves a view in shard 0 and then publishes it.
-func (m *Master) saveView(view *meshpb.View) {
+// saveAndPublishView commits a view to shard 0 and publishes it after that. The
+// commit runs on a goroutine of its own, and its result is ignored if this member is
+// no longer the master under the same epoch by then. After a failed commit, the next
+// attempt waits for the view interval again.
+func (m *Master) saveAndPublishView(view *meshpb.View) {
 	m.views.saving = true
 	epoch := m.leadership.epoch
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), saveViewTimeout)
-		defer stop()
+		ctx, cancel := context.WithTimeout(context.Background(), saveViewTimeout)
+		defer cancel()
 		err := m.store.SaveView(ctx, view)
 		m.Mailbox.Post(func() {
 			if !m.leadership.is(epoch) {
@@ -90,7 +100,7 @@
 			}
 			m.views.saving = false
 			if err != nil {
-				m.views.lastAt = m.options.Now()
+				m.views.lastAttemptAt = m.options.Now()
 				return
 			}
 			m.publishView(view)
@@ -98,8 +108,9 @@
 	}()
 }
 
+// publishView makes a committed view the current one and sends it to all nodes.
 func (m *Master) publishView(view *meshpb.View) {
-	m.views.current, m.views.lastAt = view, m.options.Now()
+	m.views.current, m.views.lastAttemptAt = view, m.options.Now()
 	m.trace("published", view.Version)
 	m.views.recent = append(m.views.recent, view)
 	if len(m.views.recent) > maxRecentViews {
@@ -110,7 +121,8 @@
 	}
 }
 
-// sendView sends a node the view in force, unless it holds it or it is under way.
+// sendView sends the current view to a node, unless the node already holds it or a
+// call with a view is in flight.
 func (m *Master) sendView(name string, history *nodeHistory) {
 	if !m.checkLease() {
 		return
@@ -120,9 +132,9 @@
 		return
 	}
 	progress.viewInFlight = true
-	version, epoch, base := m.views.current.Version, m.leadership.epoch, progress.viewVersion
-	key := batchKey{kind: viewBatch, baseVersion: base, epoch: m.views.current.Epoch, version: version}
-	request := &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: epoch, Packed: m.packedViewSince(base)}}
+	version, epoch, baseVersion := m.views.current.Version, m.leadership.epoch, progress.viewVersion
+	key := batchKey{kind: viewBatch, baseVersion: baseVersion, epoch: m.views.current.Epoch, version: version}
+	request := &meshpb.RelayRequest{View: &meshpb.PublishViewRequest{Epoch: epoch, Packed: m.marshaledViewSince(baseVersion)}}
 	m.enqueue(key, request, &meshpb.RelayTarget{Name: name, Addr: history.state.Addr}, func(ack *meshpb.RelayAck) {
 		progress.viewInFlight = false
 		response := ack.GetView()
@@ -130,7 +142,7 @@
 			return
 		}
 		if !response.Ok {
-			progress.viewRefused(response, epoch)
+			progress.recordViewRejection(response, epoch)
 			return
 		}
 		progress.viewVersion, progress.withoutView = max(progress.viewVersion, version), false
@@ -140,51 +152,59 @@
 	})
 }
 
+// needsView reports whether the current view should be sent to a node now.
 func (m *Master) needsView(progress *nodeProgress) bool {
 	view := m.views.current
 	if view.Version == 0 || progress.viewInFlight || progress.viewVersion >= view.Version {
 		return false
 	}
-	// Until this master has made a view, nodes keep the last one; one that has none,
-	// since it has just started, is given that.
+	// The view of an earlier master is sent only to nodes that have no view because
+	// they have just started. All others keep what they have until this master
+	// publishes its first view.
 	return view.Epoch == m.leadership.epoch || progress.withoutView
 }
 
-// viewRefused notes what a node holds instead: a newer view than the one that was
-// sent, or one that this does not stand on.
-func (p *nodeProgress) viewRefused(response *meshpb.PublishViewResponse, epoch uint64) {
+// recordViewRejection records the version that a node holds after it rejected a view:
+// its own is newer or is not the base version of the delta, the node follows a newer
+// master, or another node answered at the address.
+func (p *nodeProgress) recordViewRejection(response *meshpb.PublishViewResponse, epoch uint64) {
 	p.viewVersion = 0
 	if response.Epoch == epoch {
 		p.viewVersion = response.Version
 	}
 }
 
-// packedViews has a view marshaled once for all nodes that hold the same one before:
-// by the version of that, 0 for none.
-type packedViews struct {
+// marshaledViews caches the encodings of the current view, so that each is marshaled
+// only once for all nodes that hold the same base version.
+type marshaledViews struct {
+	// epoch and version identify the view.
 	epoch, version uint64
-	byBase         map[uint64][]byte
+	// byBaseVersion maps the base version of a delta to its encoding; 0 stands for the
+	// complete view.
+	byBaseVersion map[uint64][]byte
 }
 
-// packedViewSince marshals the view in force as the difference to an earlier one of
-// this epoch, or in full where that is not kept.
-func (m *Master) packedViewSince(base uint64) []byte {
+// marshaledViewSince returns the encoding of the current view as a delta from an
+// earlier version of this epoch, or the complete view if that version is not kept.
+func (m *Master) marshaledViewSince(baseVersion uint64) []byte {
 	view := m.views.current
-	if p := m.views.packed; p.byBase == nil || p.epoch != view.Epoch || p.version != view.Version {
-		m.views.packed = packedViews{epoch: view.Epoch, version: view.Version, byBase: map[uint64][]byte{}}
+	if cached := m.views.marshaled; cached.byBaseVersion == nil || cached.epoch != view.Epoch || cached.version != view.Version {
+		m.views.marshaled = marshaledViews{epoch: view.Epoch, version: view.Version, byBaseVersion: map[uint64][]byte{}}
 	}
-	before := m.recentView(base)
-	if before == nil {
-		base = 0
+	base := m.recentView(baseVersion)
+	if base == nil {
+		baseVersion = 0
 	}
-	packed := m.views.packed.byBase[base]
-	if packed == nil {
-		packed = m.marshalView(before)
-		m.views.packed.byBase[base] = packed
+	marshaled := m.views.marshaled.byBaseVersion[baseVersion]
+	if marshaled == nil {
+		marshaled = m.marshalView(base)
+		m.views.marshaled.byBaseVersion[baseVersion] = marshaled
 	}
-	return packed
+	return marshaled
 }
 
+// recentView returns the view of that version if it was published in this epoch and is
+// still kept, otherwise nil.
 func (m *Master) recentView(version uint64) *meshpb.View {
 	for _, view := range m.views.recent {
 		if view.Version == version && view.Epoch == m.leadership.epoch {
@@ -194,16 +214,18 @@
 	return nil
 }
 
-func (m *Master) marshalView(before *meshpb.View) []byte {
+// marshalView encodes the current view as a delta from base, or completely if base is
+// nil.
+func (m *Master) marshalView(base *meshpb.View) []byte {
 	var view *meshpb.View
-	if before != nil {
-		view = m.views.current.Since(before)
+	if base != nil {
+		view = m.views.current.Since(base)
 	} else {
 		view = m.views.current.ForNodes()
 	}
-	packed, err := proto.Marshal(view)
+	marshaled, err := proto.Marshal(view)
 	if err != nil {
 		m.options.Log.Warn("failed to marshal view", "version", m.views.current.Version, "error", err)
 	}
-	return packed
+	return marshaled
 }
