--- a/internal/clustercontroller/configs_test.go
+++ b/internal/clustercontroller/configs_test.go
@@ -67,7 +67,7 @@
 		defer cluster.stopAfterCalls()
 		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(time.Second)
-		qt.Assert(t, cluster.nodesBehind(5), qt.Equals, 0)
+		qt.Assert(t, cluster.countNodesBehind(5), qt.Equals, 0)
 		slow := &slowLink{Node: cluster.nodes[7], delay: delay}
 		addr := cluster.nodes[7].agent.State().Addr
 		cluster.master.clients.PutNode(addr, slow)
@@ -80,7 +80,7 @@
 		advance(300 * time.Millisecond)
 		cluster.setConfig(patchedConfigOf(5, 6, 7, 8))
 		advance(delay + patchRetryAfter + 100*time.Millisecond)
-		qt.Assert(t, cluster.nodes[7].current().ConfigVersion(), qt.Equals, uint64(8))
+		qt.Assert(t, cluster.nodes[7].currentAgent().ConfigVersion(), qt.Equals, uint64(8))
 	})
 }
 
@@ -126,7 +126,7 @@
 		}
 		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(time.Second)
-		qt.Assert(t, cluster.nodesBehind(5), qt.Equals, 0)
+		qt.Assert(t, cluster.countNodesBehind(5), qt.Equals, 0)
 
 		members[0].mu.Lock()
 		members[0].unresponsive = true
@@ -143,11 +143,11 @@
 		cluster.setConfig(first)
 		advance(100 * time.Millisecond)
 		cluster.restart(5, "l2")
-		cluster.run(func() { cluster.master.RegisterNode(cluster.nodes[5].current().State()) })
+		cluster.run(func() { cluster.master.RegisterNode(cluster.nodes[5].currentAgent().State()) })
 		advance(100 * time.Millisecond)
 		cluster.setConfig(second)
 		took := time.Duration(0)
-		for ; cluster.nodesBehind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
+		for ; cluster.countNodesBehind(7) > 0 && took < 20*time.Second; took += 50 * time.Millisecond {
 			advance(50 * time.Millisecond)
 		}
 		t.Logf("all have it after %v", took)
@@ -156,7 +156,7 @@
 			qt.Check(t, l.callsToLose < 1, qt.IsTrue, qt.Commentf("no call to lossy node %d was lost", i))
 			l.mu.Unlock()
 		}
-		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", cluster.nodesBehind(7), took))
+		qt.Check(t, took <= bound, qt.IsTrue, qt.Commentf("%d nodes are behind after %v", cluster.countNodesBehind(7), took))
 	})
 }
 
@@ -179,13 +179,13 @@
 				cluster.master.clients.PutNode("a1", slow)
 				cluster.becomeMaster(2, storedViewOf(3), patchedConfigOf(5), membership)
 				advance(600 * time.Millisecond)
-				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
+				qt.Check(t, cluster.nodes[1].currentAgent().ConfigVersion(), qt.Equals, uint64(5))
 				cluster.restart(1, "l2")
 				slow.answerPolls()
 				advance(c.within)
 				qt.Check(t, slow.delayed(), qt.IsTrue, qt.Commentf("the acknowledgement came without delay"))
-				qt.Check(t, cluster.nodes[1].current().ConfigVersion(), qt.Equals, uint64(5))
-				qt.Check(t, cluster.nodes[1].current().View().GetEpoch(), qt.Equals, uint64(2))
+				qt.Check(t, cluster.nodes[1].currentAgent().ConfigVersion(), qt.Equals, uint64(5))
+				qt.Check(t, cluster.nodes[1].currentAgent().View().GetEpoch(), qt.Equals, uint64(2))
 			})
 		})
 	}
--- a/internal/clustercontroller/leadership_test.go
+++ b/internal/clustercontroller/leadership_test.go
@@ -81,7 +81,7 @@
 		cluster.becomeMaster(3, stored, packedConfigOf(5, "d"), membership)
 		advance(200 * time.Millisecond)
 		for i, n := range cluster.nodes[ended:] {
-			qt.Check(t, n.current().ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", ended+i))
+			qt.Check(t, n.currentAgent().ConfigVersion(), qt.Equals, uint64(5), qt.Commentf("node %d", ended+i))
 		}
 		qt.Check(t, cluster.master.KnowsNode("n0"), qt.IsFalse)
 	})
--- a/internal/clustercontroller/outliers_test.go
+++ b/internal/clustercontroller/outliers_test.go
@@ -11,7 +11,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func endpointsOfService(n int) []*meshpb.Endpoint {
+// upEndpoints returns endpoints e0, e1, and so on of one service, all up.
+func upEndpoints(n int) []*meshpb.Endpoint {
 	var endpoints []*meshpb.Endpoint
 	for i := range n {
 		endpoints = append(endpoints, &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Up)})
@@ -30,7 +31,7 @@
 }
 
 func TestOutliersAreMarkedUpToAShareOfAService(t *testing.T) {
-	endpoints := endpointsOfService(10)
+	endpoints := upEndpoints(10)
 	qt.Assert(t, countOutliers(markOutliers(endpoints, map[string]uint32{"e1": 40, "e2": 10})), qt.Equals, 1)
 	qt.Assert(t, countOutliers(endpoints), qt.Equals, 0)
 	percents := map[string]uint32{}
@@ -48,9 +49,9 @@
 func TestFailureReportsEjectAnEndpointAndSuccessesReinstateIt(t *testing.T) {
 	ejected := ejections{}
 	histories := map[string]*nodeHistory{}
-	report := func(good, bad uint32) {
+	report := func(successes, failures uint32) {
 		for i := range 3 {
-			histories[fmt.Sprint("n", i)] = &nodeHistory{reachable: true, state: &meshpb.NodeState{FailureReports: []*meshpb.FailureReport{{Endpoint: "e0", Successes: good, Failures: bad}}}}
+			histories[fmt.Sprint("n", i)] = &nodeHistory{reachable: true, state: &meshpb.NodeState{FailureReports: []*meshpb.FailureReport{{Endpoint: "e0", Successes: successes, Failures: failures}}}}
 		}
 	}
 	report(0, 1)
@@ -62,8 +63,8 @@
 	report(0, 2)
 	ejected.update(histories, 3*time.Second)
 	report(0, 0)
-	qt.Assert(t, ejected.update(histories, 7*time.Second)["e0"], qt.Equals, uint32(100), qt.Commentf("the second ejection is longer"))
+	qt.Assert(t, ejected.update(histories, 7*time.Second)["e0"], qt.Equals, uint32(100), qt.Commentf("the second ejection must last longer than the first"))
 	qt.Assert(t, ejected.update(histories, 9*time.Second)["e0"], qt.Equals, uint32(0))
 	report(50, 1)
-	qt.Assert(t, len(ejections{}.update(histories, 0)), qt.Equals, 0, qt.Commentf("few failures among many answers are no reason"))
+	qt.Assert(t, len(ejections{}.update(histories, 0)), qt.Equals, 0, qt.Commentf("a low failure percentage must not eject"))
 }
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -18,7 +18,7 @@
 		defer cluster.stop()
 		cluster.becomeMaster(2, storedViewOf(120), packedConfigOf(5, "d"), membership)
 		advance(600 * time.Millisecond)
-		cluster.checkAllNodes(t, 5)
+		cluster.checkAllNodesUpToDate(t, 5)
 		total := 0
 		for _, r := range members {
 			total += r.targetCount
@@ -30,7 +30,7 @@
 		was := members[0].relayCalls
 		cluster.setConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
 		advance(100 * time.Millisecond)
-		cluster.checkAllNodes(t, 6)
+		cluster.checkAllNodesUpToDate(t, 6)
 		qt.Check(t, members[0].relayCalls-was, qt.Equals, 1)
 	})
 }
@@ -44,10 +44,10 @@
 		cluster.master.options.InContact = func(a string) bool { return a != "core0" }
 		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(time.Second)
-		cluster.checkAllNodes(t, 5)
+		cluster.checkAllNodesUpToDate(t, 5)
 		cluster.setConfig(packedConfigOf(6, "e"))
 		advance(400 * time.Millisecond)
-		cluster.checkAllNodes(t, 6)
+		cluster.checkAllNodesUpToDate(t, 6)
 		qt.Check(t, members[0].relayCalls, qt.Equals, 0)
 	})
 }
@@ -60,11 +60,11 @@
 		members[1].clients = rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
 		cluster.becomeMaster(2, storedViewOf(60), packedConfigOf(5, "d"), membership)
 		advance(4 * time.Second)
-		cluster.checkAllNodes(t, 5)
+		cluster.checkAllNodesUpToDate(t, 5)
 		was := members[0].relayCalls
 		cluster.setConfig(packedConfigOf(6, "e"))
 		advance(1800 * time.Millisecond)
-		cluster.checkAllNodes(t, 6)
+		cluster.checkAllNodesUpToDate(t, 6)
 		qt.Check(t, members[0].relayCalls-was <= 2, qt.IsTrue)
 	})
 }
@@ -79,7 +79,7 @@
 			cluster.master.BecomeMaster(2, storedViewOf(40), map[string]string{}, packedConfigOf(5, "d"), membership)
 		})
 		advance(time.Second)
-		cluster.checkAllNodes(t, 5)
+		cluster.checkAllNodesUpToDate(t, 5)
 		was := members[0].relayCalls + members[1].relayCalls
 		cluster.run(func() {
 			cluster.master.SetConfig(packedConfigOf(6, "e"))
@@ -87,10 +87,10 @@
 		})
 		advance(2 * time.Second)
 		qt.Assert(t, members[0].relayCalls+members[1].relayCalls, qt.Equals, was)
-		cluster.checkAllNodes(t, 5)
+		cluster.checkAllNodesUpToDate(t, 5)
 		cluster.run(func() { leased = true })
 		advance(time.Second)
-		cluster.checkAllNodes(t, 6)
+		cluster.checkAllNodesUpToDate(t, 6)
 	})
 }
 
--- a/internal/clustercontroller/testcluster_test.go
+++ b/internal/clustercontroller/testcluster_test.go
@@ -21,14 +21,15 @@
 
 var errPartitioned = errors.New("partitioned")
 
-// unreachableTransport takes calls to addresses without a fake.
+// unreachableTransport fails all calls to addresses that have no fake.
 type unreachableTransport struct{}
 
 func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errPartitioned
 }
 
-// fakeNode is a node that can be partitioned from the core.
+// fakeNode is a node agent that can be partitioned from the core: polls then hang until
+// their context ends, and other calls fail at once.
 type fakeNode struct {
 	mu             sync.Mutex
 	agent          *nodeagent.Agent
@@ -37,8 +38,8 @@
 	partitioned    bool
 }
 
-// current is the agent of the incarnation that runs now.
-func (n *fakeNode) current() *nodeagent.Agent {
+// currentAgent returns the agent of the incarnation that runs now.
+func (n *fakeNode) currentAgent() *nodeagent.Agent {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.agent
@@ -56,48 +57,52 @@
 	n.mu.Unlock()
 }
 
-func (n *fakeNode) Poll(ctx context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
+func (n *fakeNode) Poll(ctx context.Context, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	if n.isPartitioned() {
 		<-ctx.Done()
 		return nil, errPartitioned
 	}
-	return n.current().Poll(ctx, q)
+	return n.currentAgent().Poll(ctx, request)
 }
 
-func (n *fakeNode) PublishView(ctx context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
+func (n *fakeNode) PublishView(ctx context.Context, request *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	if n.isPartitioned() {
 		return nil, errPartitioned
 	}
-	return n.current().PublishView(ctx, q)
+	return n.currentAgent().PublishView(ctx, request)
 }
 
-func (n *fakeNode) DeliverConfig(ctx context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func (n *fakeNode) DeliverConfig(ctx context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if n.isPartitioned() {
 		return nil, errPartitioned
 	}
-	return n.current().DeliverConfig(ctx, q)
+	return n.currentAgent().DeliverConfig(ctx, request)
 }
 
-// storedView is shard 0, as far as a master writes it.
-type storedView struct{ view *meshpb.View }
+// fakeViewStore is a ViewStore that keeps the last view in memory.
+type fakeViewStore struct{ view *meshpb.View }
 
-func (s *storedView) SaveView(_ context.Context, v *meshpb.View) error { s.view = v; return nil }
+func (s *fakeViewStore) SaveView(_ context.Context, view *meshpb.View) error {
+	s.view = view
+	return nil
+}
 
-// testCluster is a master and its nodes: node i is named ni and has the address ai,
-// the inbound address ii and the endpoint ei.
+// testCluster is a master and its nodes. For node 0 the name is n0, the address a0, the
+// inbound address i0 and the endpoint e0, and so on.
 type testCluster struct {
-	master        *Master
-	store         *storedView
-	nodes         []*fakeNode
+	master *Master
+	store  *fakeViewStore
+	nodes  []*fakeNode
+	// lastEndpoints holds the endpoints of the last view that each node applied.
 	lastEndpoints [][]*meshpb.Endpoint
-	// viewSizes counts the endpoints of each view that the first node took.
+	// viewSizes holds the number of endpoints of each view that the first node applied.
 	viewSizes []int
 }
 
 func newTestCluster(n int) *testCluster {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	c := &testCluster{store: &storedView{}, lastEndpoints: make([][]*meshpb.Endpoint, n)}
+	c := &testCluster{store: &fakeViewStore{}, lastEndpoints: make([][]*meshpb.Endpoint, n)}
 	clients := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
 	c.master = NewMaster(Options{ViewInterval: 250 * time.Millisecond, SettleTime: 60 * time.Millisecond, TakeoverDelay: 150 * time.Millisecond,
 		PollLinger: time.Second, PollGrace: 500 * time.Millisecond, UnreachableAfter: 700 * time.Millisecond, CrashWindow: time.Minute, CrashLimit: 6, PollFailureLimit: 2, SelfAddr: "m", Now: now}, mailbox.New(), clients, c.store)
@@ -112,54 +117,55 @@
 }
 
 func (c *testCluster) newAgent(i int, node *fakeNode, clients *rpc.Clients, now func() time.Duration) *nodeagent.Agent {
-	a := &nodeagent.Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Clients: clients}
-	a.OnView = func(v *meshpb.View) {
+	agent := &nodeagent.Agent{Name: fmt.Sprint("n", i), Incarnation: "l", RegisterAfter: time.Second, Now: now, Clients: clients}
+	agent.OnView = func(view *meshpb.View) {
 		node.mu.Lock()
 		defer node.mu.Unlock()
-		node.viewVersions = append(node.viewVersions, v.Version)
-		c.lastEndpoints[i] = v.Endpoints
+		node.viewVersions = append(node.viewVersions, view.Version)
+		c.lastEndpoints[i] = view.Endpoints
 		if i == 0 {
-			c.viewSizes = append(c.viewSizes, len(v.Endpoints))
+			c.viewSizes = append(c.viewSizes, len(view.Endpoints))
 		}
 	}
-	a.OnConfig = func(version uint64, _ []byte) error {
+	agent.OnConfig = func(version uint64, _ []byte) error {
 		node.mu.Lock()
 		defer node.mu.Unlock()
 		node.configVersions = append(node.configVersions, version)
 		return nil
 	}
-	a.OnPatch = func(version uint64, _ [][]byte) error { return a.OnConfig(version, nil) }
-	a.Start(&meshpb.NodeState{Name: a.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
+	agent.OnPatch = func(version uint64, _ [][]byte) error { return agent.OnConfig(version, nil) }
+	agent.Start(&meshpb.NodeState{Name: agent.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
 		Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Ready), Healthy: true, Slots: 4}})
-	return a
+	return agent
 }
 
-// fakeCoreMember is a relay that counts what it was asked.
+// fakeCoreMember is a core member that relays requests and counts them.
 type fakeCoreMember struct {
 	meshpb.Control
 	clients     *rpc.Clients
 	mu          sync.Mutex
 	relayCalls  int
 	targetCount int
-	// unresponsive: calls end with their deadline.
+	// unresponsive makes each call last until its context ends, and then fail.
 	unresponsive bool
 	stored       StoredPayloads
 }
 
-func (m *fakeCoreMember) Relay(ctx context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
+func (m *fakeCoreMember) Relay(ctx context.Context, request *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	m.mu.Lock()
 	m.relayCalls++
-	m.targetCount += len(q.Targets)
+	m.targetCount += len(request.Targets)
 	unresponsive := m.unresponsive
 	m.mu.Unlock()
 	if unresponsive {
 		<-ctx.Done()
 		return nil, errPartitioned
 	}
-	return Relay(ctx, m.clients, q, func() StoredPayloads { return m.stored }), nil
+	return Relay(ctx, m.clients, request, func() StoredPayloads { return m.stored }), nil
 }
 
-// newClusterWithRelays is a test cluster with further core members.
+// newClusterWithRelays returns a test cluster, further core members that can relay, and
+// the membership of the master and these.
 func newClusterWithRelays(nodes, relays int) (*testCluster, []*fakeCoreMember, *meshpb.Membership) {
 	c := newTestCluster(nodes)
 	membership := &meshpb.Membership{Version: 1, Members: []*meshpb.Member{{Id: "m", Addr: "m"}}}
@@ -169,11 +175,11 @@
 		clients.PutNode(fmt.Sprint("a", i), n)
 	}
 	for i := range relays {
-		m := &fakeCoreMember{clients: clients}
+		member := &fakeCoreMember{clients: clients}
 		addr := fmt.Sprint("core", i)
-		c.master.clients.PutControl(addr, m)
+		c.master.clients.PutControl(addr, member)
 		membership.Members = append(membership.Members, &meshpb.Member{Id: addr, Addr: addr})
-		members = append(members, m)
+		members = append(members, member)
 	}
 	return c, members, membership
 }
@@ -203,46 +209,50 @@
 	c.master.Mailbox.Close()
 }
 
-// stopAfterCalls is stop, once all calls under way have ended.
+// stopAfterCalls stops the cluster like stop, but leaves calls in flight 3 s to end
+// before it closes the mailbox.
 func (c *testCluster) stopAfterCalls() {
 	c.run(c.master.StepDown)
 	advance(3 * time.Second)
 	c.master.Mailbox.Close()
 }
 
-// restart puts a new incarnation, which holds nothing, in place of a node's agent.
+// restart replaces a node's agent by one of a new incarnation without a view and
+// configuration, and ends the node's partition.
 func (c *testCluster) restart(i int, incarnation string) {
 	n := c.nodes[i]
-	old := n.current()
+	old := n.currentAgent()
 	state := proto.Clone(old.State()).(*meshpb.NodeState)
 	state.Incarnation = incarnation
-	a := &nodeagent.Agent{Name: old.Name, Incarnation: incarnation, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
+	agent := &nodeagent.Agent{Name: old.Name, Incarnation: incarnation, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
 		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
-	a.Start(state)
+	agent.Start(state)
 	n.mu.Lock()
-	n.agent, n.partitioned = a, false
+	n.agent, n.partitioned = agent, false
 	n.mu.Unlock()
 }
 
+// endpointCount returns the number of endpoints in the last view that node i applied.
 func (c *testCluster) endpointCount(i int) int {
 	c.nodes[i].mu.Lock()
 	defer c.nodes[i].mu.Unlock()
 	return len(c.lastEndpoints[i])
 }
 
-// nodesBehind counts the nodes whose configuration is older.
-func (c *testCluster) nodesBehind(version uint64) int {
+// countNodesBehind counts the nodes whose configuration is older than version.
+func (c *testCluster) countNodesBehind(version uint64) int {
 	count := 0
 	for _, n := range c.nodes {
-		if n.current().ConfigVersion() < version {
+		if n.currentAgent().ConfigVersion() < version {
 			count++
 		}
 	}
 	return count
 }
 
-// checkAllNodes checks that all nodes have a configuration and all endpoints.
-func (c *testCluster) checkAllNodes(t *testing.T, configVersion uint64) {
+// checkAllNodesUpToDate checks that all nodes have applied this configuration last and
+// have a view with the endpoints of all nodes.
+func (c *testCluster) checkAllNodesUpToDate(t *testing.T, configVersion uint64) {
 	t.Helper()
 	for i, n := range c.nodes {
 		n.mu.Lock()
@@ -258,27 +268,29 @@
 	}
 }
 
+// advance lets d pass on the test's fake clock and waits until all goroutines are idle.
 func advance(d time.Duration) { <-time.After(d); synctest.Wait() }
 
-// storedViewOf is a view of an earlier master with n nodes and no endpoints.
+// storedViewOf returns a view of an earlier master with n nodes and no endpoints.
 func storedViewOf(n int) *meshpb.View {
-	v := &meshpb.View{Epoch: 1, Version: 9}
+	view := &meshpb.View{Epoch: 1, Version: 9}
 	for i := range n {
-		v.NodeAddresses = append(v.NodeAddresses, fmt.Sprintf("n%d a%d", i, i))
+		view.NodeAddresses = append(view.NodeAddresses, fmt.Sprintf("n%d a%d", i, i))
 	}
-	return v
+	return view
 }
 
 func packedConfigOf(version uint64, document string) *meshpb.Config {
 	return &meshpb.Config{Version: version, Packed: rpc.Pack([]byte(document))}
 }
 
-// publish gives a view to a node as the master of an epoch does.
-func publish(a *nodeagent.Agent, v *meshpb.View, masterEpoch uint64) bool {
-	packed, err := proto.Marshal(v)
+// publish sends a view to a node as the master of that epoch. It reports
+// whether the node accepted it.
+func publish(agent *nodeagent.Agent, view *meshpb.View, masterEpoch uint64) bool {
+	packed, err := proto.Marshal(view)
 	if err != nil {
 		return false
 	}
-	r, err := a.PublishView(context.Background(), &meshpb.PublishViewRequest{Packed: packed, Epoch: masterEpoch})
-	return err == nil && r.Ok
+	response, err := agent.PublishView(context.Background(), &meshpb.PublishViewRequest{Packed: packed, Epoch: masterEpoch})
+	return err == nil && response.Ok
 }
--- a/internal/clustercontroller/updates_test.go
+++ b/internal/clustercontroller/updates_test.go
@@ -18,7 +18,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// recordingNode counts what goes to one node.
+// recordingNode records the views and configurations that are sent to a node and
+// forwards them, unless it is set to fail.
 type recordingNode struct {
 	meshpb.Node
 	mu          sync.Mutex
@@ -29,26 +30,26 @@
 	failing     bool
 }
 
-func (n *recordingNode) PublishView(ctx context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
-	v := &meshpb.View{}
-	if err := proto.Unmarshal(q.Packed, v); err != nil {
+func (n *recordingNode) PublishView(ctx context.Context, request *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
+	view := &meshpb.View{}
+	if err := proto.Unmarshal(request.Packed, view); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
-	n.views = append(n.views, v)
+	n.views = append(n.views, view)
 	failing := n.failing
 	n.mu.Unlock()
 	if failing {
 		return nil, errPartitioned
 	}
-	return n.Node.PublishView(ctx, q)
+	return n.Node.PublishView(ctx, request)
 }
 
-func (n *recordingNode) DeliverConfig(ctx context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+func (n *recordingNode) DeliverConfig(ctx context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	n.mu.Lock()
-	if q.BaseVersion > 0 {
-		n.patches += len(q.Patches)
-		for _, p := range q.Patches {
+	if request.BaseVersion > 0 {
+		n.patches += len(request.Patches)
+		for _, p := range request.Patches {
 			n.patchBytes += len(p)
 		}
 	} else {
@@ -59,11 +60,11 @@
 	if failing {
 		return nil, errPartitioned
 	}
-	return n.Node.DeliverConfig(ctx, q)
+	return n.Node.DeliverConfig(ctx, request)
 }
 
-// setFailing has all deliveries fail, or no longer; it returns how many views came
-// until then.
+// setFailing sets whether views and configurations fail after they are recorded. It
+// returns the number of views recorded so far.
 func (n *recordingNode) setFailing(failing bool) (views int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,14 +72,15 @@
 	return len(n.views)
 }
 
-// updateScenario is a cluster of which one node is recorded and applies real
-// configurations.
+// updateScenario is a test cluster whose first node records what it is sent and applies
+// real configurations and patches.
 type updateScenario struct {
 	*testCluster
 	t        *testing.T
 	recorded *recordingNode
 	agent    *nodeagent.Agent
-	config   routeconfig.Config
+	// config is the configuration that the first node has applied.
+	config routeconfig.Config
 }
 
 func newUpdateScenario(t *testing.T) *updateScenario {
@@ -104,8 +106,8 @@
 	return s
 }
 
-// configDocument is a configuration of many routes, one of which has another
-// timeout.
+// configDocument returns a configuration with the given number of routes; timeout, in
+// seconds, is that of route 7, the others have 2 s.
 func configDocument(version, routes int, timeout float64) []byte {
 	b := fmt.Appendf(nil, `{"stamp":"r%d","resourceList":[{"variant":"serviceList","metadata":{"name":"s"},"specification":{"soundnessPath":"/h"}}`, version)
 	for i := range routes {
@@ -118,8 +120,8 @@
 	return append(b, "]}"...)
 }
 
-// nextConfig is a configuration with one change to the one before, and the patches
-// that lead to it.
+// nextConfig returns configuration 4+i, in which one timeout differs from configuration
+// 3+i, and appends the patch between them to the given patches.
 func (s *updateScenario) nextConfig(i int, patches []*meshpb.ConfigPatch) *meshpb.Config {
 	before, err := routeconfig.Parse(configDocument(3+i, 400, 2+float64(i)))
 	qt.Assert(s.t, err, qt.IsNil)
@@ -135,11 +137,11 @@
 	s.registerAll()
 	advance(3 * time.Second)
 	qt.Assert(s.t, s.recorded.fullConfigs, qt.Equals, 1)
-	full := len(s.master.config.packed)
+	fullSize := len(s.master.config.packed)
 	for i := range 5 {
 		last = s.nextConfig(i, last.Patches)
 		if i == 4 {
-			// Another member, which has never been the master, has the patches from shard 0.
+			// A new master that has never led before takes the patches from shard 0.
 			s.run(s.master.StepDown)
 			s.master.config = configState{}
 			s.becomeMaster(2, s.store.view, last, &meshpb.Membership{Version: 1})
@@ -150,7 +152,7 @@
 	}
 	qt.Assert(s.t, s.recorded.fullConfigs, qt.Equals, 1)
 	qt.Assert(s.t, s.recorded.patches, qt.Equals, 5)
-	qt.Assert(s.t, s.recorded.patchBytes < full/2, qt.IsTrue)
+	qt.Assert(s.t, s.recorded.patchBytes < fullSize/2, qt.IsTrue)
 	qt.Assert(s.t, s.config.Version, qt.Equals, uint64(8))
 	route := routeconfig.Compile(s.config).Match("a", "/p7/x")
 	qt.Assert(s.t, route.Timeout, qt.Equals, 7*time.Second)
@@ -166,28 +168,32 @@
 	qt.Assert(s.t, s.endpointCount(0), qt.Equals, 12)
 }
 
-// An answer that got lost leaves the master with an older version; the node then
-// says which one it holds, and gets the difference from that.
-func (s *updateScenario) checkDeltaAfterLostAnswer() {
+// checkDeltaAfterLostResponse checks that no complete view is sent when the response to
+// a view was lost. The master then assumes an older version than the node holds. The
+// node rejects the delta from that version and names its own, which is the base of the
+// next delta.
+func (s *updateScenario) checkDeltaAfterLostResponse() {
 	s.recorded.setFailing(true)
 	s.nodes[5].agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.Slots++ })
 	advance(1600 * time.Millisecond)
-	for older := false; !older; advance(time.Millisecond) {
+	for decremented := false; !decremented; advance(time.Millisecond) {
 		s.run(func() {
 			if p := s.master.progressOf("n0"); !p.viewInFlight {
 				p.viewVersion--
-				older = true
+				decremented = true
 			}
 		})
 	}
 	before := s.recorded.setFailing(false)
 	advance(time.Second)
 	for _, v := range s.recorded.views[before:] {
-		qt.Assert(s.t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("a complete view was sent"))
+		qt.Assert(s.t, v.BaseVersion > 0, qt.IsTrue, qt.Commentf("complete view sent instead of a delta"))
 	}
 	qt.Assert(s.t, s.agent.View().Version, qt.Equals, s.store.view.Version)
 }
 
+// checkCompleteViewAfterGap checks that a node whose view is no longer kept as a base
+// receives a complete one.
 func (s *updateScenario) checkCompleteViewAfterGap() {
 	s.recorded.setFailing(true)
 	for i := range maxRecentViews + 4 {
@@ -197,7 +203,7 @@
 	s.recorded.setFailing(false)
 	advance(3 * time.Second)
 	last := s.recorded.views[len(s.recorded.views)-1]
-	qt.Assert(s.t, last.BaseVersion, qt.Equals, uint64(0), qt.Commentf("complete after a gap"))
+	qt.Assert(s.t, last.BaseVersion, qt.Equals, uint64(0), qt.Commentf("delta sent from a view that is no longer kept"))
 	s.nodes[0].mu.Lock()
 	defer s.nodes[0].mu.Unlock()
 	qt.Assert(s.t, s.agent.View().Version, qt.Equals, s.store.view.Version)
@@ -209,7 +215,7 @@
 		defer s.stop()
 		s.checkConfigsArriveAsPatches()
 		s.checkViewArrivesAsDelta()
-		s.checkDeltaAfterLostAnswer()
+		s.checkDeltaAfterLostResponse()
 		s.checkCompleteViewAfterGap()
 	})
 }
--- a/internal/clustercontroller/views_test.go
+++ b/internal/clustercontroller/views_test.go
@@ -21,8 +21,8 @@
 		qt.Assert(t, cluster.endpointCount(0), qt.Equals, 4)
 		qt.Assert(t, cluster.nodes[0].configVersions, qt.DeepEquals, []uint64{3})
 		before := cluster.store.view.Version
-		for _, f := range cluster.nodes[1:] {
-			f.agent.UpdateState(func(n *meshpb.NodeState) { n.Endpoint.State = "draining" })
+		for _, node := range cluster.nodes[1:] {
+			node.agent.UpdateState(func(state *meshpb.NodeState) { state.Endpoint.State = "draining" })
 		}
 		advance(time.Second)
 		qt.Assert(t, cluster.store.view.Version, qt.Equals, before+1)
