--- a/internal/replication/tick.go
+++ b/internal/replication/tick.go
@@ -18,7 +18,7 @@
 	r.retryDisk()
 	r.expireLearners()
 	if r.learner {
-		r.sendJoin()
+		r.sendJoinRequests()
 		return
 	}
 	r.tickHeartbeat()
@@ -35,10 +35,10 @@
 // time.
 func (r *Replica) recordTick() {
 	now := r.now()
-	if r.clock.lastTick > 0 && now-r.clock.lastTick > r.options.HeartbeatInterval {
-		r.clock.lastLateTick = now
+	if r.tickState.lastTick > 0 && now-r.tickState.lastTick > r.options.HeartbeatInterval {
+		r.tickState.lastLateTick = now
 	}
-	r.clock.lastTick = now
+	r.tickState.lastTick = now
 }
 
 func (r *Replica) tickHeartbeat() {
