--- a/cmd/controlload/simulatednode.go
+++ b/cmd/controlload/simulatednode.go
@@ -57,7 +57,7 @@
 	incarnation := strconv.FormatUint(rand.Uint64(), 16)
 	n.agent = &nodeagent.Agent{Clients: m.clients, Seeds: m.seeds, Incarnation: incarnation, Name: fmt.Sprint("node-", i), RegisterAfter: registerAfter, Now: m.now,
 		OnView: n.applyView, OnConfig: n.applyConfig, OnPatch: n.applyPatches}
-	n.agent.Start(n.initialState(i, fmt.Sprint("service-", i%m.services)))
+	n.agent.Init(n.initialState(i, fmt.Sprint("service-", i%m.services)))
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewNodeServer(n.agent))
 	n.server = &http.Server{Handler: mux, IdleTimeout: internalIdleTimeout, ErrorLog: log.New(io.Discard, "", 0)}
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -81,7 +81,7 @@
 		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
 	state.Name, state.Incarnation, state.Addr, state.Zone = options.Self.NodeName, agent.Incarnation, options.InternalAddr(), options.Self.ZoneName
 	state.State = string(lifecycle.Up)
-	agent.Start(state)
+	agent.Init(state)
 	n := &trafficNode{process: p, agent: agent, balancer: balancer, requestLog: newRequestLog(options.RequestLog)}
 	agent.OnView = func(view *meshpb.View) {
 		balancer.ApplyView(view)
--- a/internal/clustercontroller/testcluster_test.go
+++ b/internal/clustercontroller/testcluster_test.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	a.OnPatch = func(version uint64, _ [][]byte) error { return a.OnConfig(version, nil) }
-	a.Start(&meshpb.NodeState{Name: a.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
+	a.Init(&meshpb.NodeState{Name: a.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
 		Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Ready), Healthy: true, Slots: 4}})
 	return a
 }
@@ -218,7 +218,7 @@
 	state.Incarnation = incarnation
 	a := &nodeagent.Agent{Name: old.Name, Incarnation: incarnation, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
 		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
-	a.Start(state)
+	a.Init(state)
 	n.mu.Lock()
 	n.agent, n.partitioned = a, false
 	n.mu.Unlock()
--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -15,71 +15,85 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("nodeagent")
 
-// neverPolled is a time longer ago than any Agent.RegisterAfter.
-const neverPolled time.Duration = -1 << 40
+// longOverdue as Agent.nextPollDue makes PollOverdue true at once. It is about 18
+// minutes before the zero of Agent.Now, earlier by more than any RegisterAfter.
+const longOverdue time.Duration = -1 << 40
 
-// Agent is a node's side of the cluster controller. It implements meshpb.Node. The
-// exported fields are set before the first call and not changed after it.
+// Agent is the node side of the cluster controller protocol and implements
+// meshpb.Node. The exported fields are set before Run and before the first request
+// arrives; after that only SetSeeds changes one of them.
 type Agent struct {
-	// Name is the node's name; calls meant for another node are refused.
+	// Name is the node's name. Calls addressed to another node are rejected.
 	Name string
-	// Incarnation tells this process from earlier ones of the node.
+	// Incarnation identifies this process among all runs of the node.
 	Incarnation string
-	// Seeds are the addresses of core members from the settings; see SetSeeds.
-	Seeds   []string
+	// Seeds are the addresses of core members from the settings. SetSeeds replaces
+	// them later.
+	Seeds []string
+	// Clients provides the RPC clients for the core members.
 	Clients *rpc.Clients
-	// RegisterAfter is how long no master may have polled the node before it
-	// registers anew.
+	// RegisterAfter is how long the master's next poll may be overdue before the
+	// node registers again.
 	RegisterAfter time.Duration
-	// Now is the time since some fixed moment.
+	// Now returns the time elapsed since a fixed moment.
 	Now func() time.Duration
+	// Log receives a warning for each configuration that could not be applied.
 	Log logring.Logger
-	// Trace, unless nil, notes a view or configuration that was applied.
-	Trace func(kind, what string, epoch, version uint64)
-	// OnView gets each view that is applied, without the agent's lock.
+	// Trace, if not nil, is called for each view and configuration that is applied,
+	// with a kind of package changetrace.
+	Trace func(kind, action string, epoch, version uint64)
+	// OnView is called with each complete view that replaces the current one, outside
+	// the agent's lock.
 	OnView func(*meshpb.View)
-	// OnConfig applies a complete configuration; after an error the old one stays
-	// in force.
+	// OnConfig applies a complete configuration. If it returns an error, the previous
+	// configuration remains active. Calls to OnConfig and OnPatch never overlap.
 	OnConfig func(version uint64, data []byte) error
-	// OnPatch applies changes to the configuration in force; after an error that
-	// stays as it was.
+	// OnPatch applies patches to the active configuration. If it returns an error,
+	// that configuration remains active, unchanged.
 	OnPatch func(version uint64, patches [][]byte) error
 
 	mu sync.Mutex
-	// state is replaced, never changed: answers to polls may still hold it.
+	// state is replaced, never modified in place: callers of State and poll responses
+	// may still refer to it.
 	state *meshpb.NodeState
 	// stateChanged is closed when state is replaced by one with a higher Seq.
 	stateChanged chan struct{}
-	// newestPoll is the last poll that came, while it is not answered.
+	// newestPoll is the poll received last, or nil once it has been answered.
 	newestPoll *pendingPoll
-	// polledUntil is until when the master has promised to know of this node.
-	polledUntil time.Duration
-	// masterEpoch is the highest epoch of a master that was seen.
-	masterEpoch   uint64
-	view          *meshpb.View
+	// nextPollDue is when the master's next poll is due according to its latest one.
+	nextPollDue time.Duration
+	// masterEpoch is the highest master epoch seen so far.
+	masterEpoch uint64
+	// view is the current view, nil before the first one.
+	view *meshpb.View
+	// configVersion is the version of the active configuration, 0 before the first
+	// one. It is written with configMu and mu held.
 	configVersion uint64
-	// lastEndpoint is the endpoint that the master knew beside this node before it
-	// started.
+	// lastEndpoint is the endpoint that the master knew at this node before this
+	// process started.
 	lastEndpoint *meshpb.Endpoint
 
-	// configMu is held while a configuration is applied, mu is not.
+	// configMu serializes the application of configurations. It is locked before mu,
+	// which is not held meanwhile.
 	configMu sync.Mutex
-	// patches led to the configuration in force; guarded by configMu.
-	patches patchHistory
+	// patchHistory records the patches applied since the last complete configuration.
+	// It is guarded by configMu.
+	patchHistory patchHistory
 }
 
-// Start sets the first state that the node reports. It is called once, before
-// everything else.
-func (a *Agent) Start(state *meshpb.NodeState) {
+// Init sets the state that the node reports first and takes ownership of it. It must
+// be called once, before any other method.
+func (a *Agent) Init(state *meshpb.NodeState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.state = state
 	a.state.Seq = 1
 	a.stateChanged = make(chan struct{})
-	a.polledUntil = neverPolled
+	a.nextPollDue = longOverdue
 }
 
-// UpdateState changes the node's state and answers the lingering poll with it.
+// UpdateState passes a copy of the node's state to change and makes the result the
+// new state. If it differs from the old one, a lingering poll is answered with it.
 func (a *Agent) UpdateState(change func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,8 +108,8 @@
 	a.stateChanged = make(chan struct{})
 }
 
-// UpdateStateWithoutWake changes what the node's next answer to a poll says,
-// without answering the lingering one.
+// UpdateStateWithoutWake changes the node's state as UpdateState does, but does not
+// wake a lingering poll: the change goes out with the next poll response.
 func (a *Agent) UpdateStateWithoutWake(change func(*meshpb.NodeState)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,44 +118,46 @@
 	a.state = state
 }
 
-// State returns the state that the node reports; it must not be changed.
+// State returns the state that the node reports. The caller must not modify it.
 func (a *Agent) State() *meshpb.NodeState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state
 }
 
-// Ready tells whether the node has a view and a configuration.
+// Ready reports whether the node has a view and a configuration.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view != nil && a.configVersion > 0
 }
 
-// LastEndpoint returns the endpoint that the master knew beside this node before
-// it started, or nil.
+// LastEndpoint returns the endpoint that the master knew at this node before this
+// process started, or nil if the master has named none.
 func (a *Agent) LastEndpoint() *meshpb.Endpoint {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastEndpoint
 }
 
-// ConfigVersion returns the version of the configuration in force here, 0 for
-// none.
+// ConfigVersion returns the version of the node's active configuration, or 0 if it
+// has none.
 func (a *Agent) ConfigVersion() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.configVersion
 }
 
-// View returns the view in force here, nil for none; it must not be changed.
+// View returns the node's current view, or nil if it has none. The caller must not
+// modify it.
 func (a *Agent) View() *meshpb.View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view
 }
 
-// acceptEpoch refuses a master under a lower epoch than the highest seen.
+// acceptEpoch returns false if a master's epoch is lower than the highest one seen,
+// and otherwise records it. The caller holds a.mu.
 func (a *Agent) acceptEpoch(epoch uint64) bool {
 	if epoch < a.masterEpoch {
 		return false
--- a/internal/nodeagent/agent_test.go
+++ b/internal/nodeagent/agent_test.go
@@ -17,14 +17,15 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// unreachableTransport fails every request.
 type unreachableTransport struct{}
 
 func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("unreachable")
 }
 
-// fakeCoreMember counts the nodes that registered; it names another member as the
-// master unless it is the master itself.
+// fakeCoreMember counts registration calls and answers with the configured master
+// address.
 type fakeCoreMember struct {
 	meshpb.Control
 	mu            sync.Mutex
@@ -40,16 +41,20 @@
 	return &meshpb.RegisterNodeResponse{MasterAddr: m.masterAddr, Master: m.master}, nil
 }
 
+// advance moves the virtual clock on by d and waits until all goroutines are blocked.
 func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
+// Guards against nodes that, after a restart of all, call every core member again and
+// again. A node must follow the first answer to the master, and must not register
+// while a long poll is open or before the announced next poll is due.
 func TestRegistrationCallsFewMembersAndPausesDuringLongPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		clients := rpc.NewClients(&http.Client{Transport: unreachableTransport{}})
-		a := &Agent{Name: "n", Incarnation: "l", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(start) },
+		a := &Agent{Name: "n", Incarnation: "run-1", RegisterAfter: time.Second, Now: func() time.Duration { return time.Since(start) },
 			Clients: clients}
 		var members []*fakeCoreMember
 		for i := range 9 {
@@ -58,23 +63,23 @@
 			a.Seeds = append(a.Seeds, fmt.Sprint("c", i))
 			members = append(members, m)
 		}
-		a.Start(&meshpb.NodeState{Name: "n", Incarnation: "l"})
+		a.Init(&meshpb.NodeState{Name: "n", Incarnation: "run-1"})
 		qt.Assert(t, a.register(t.Context()), qt.IsTrue)
 		calls := 0
 		for _, m := range members {
 			calls += m.registrations
 		}
-		qt.Assert(t, calls <= 2 && members[7].registrations == 1, qt.IsTrue, qt.Commentf("%d core members were asked", calls))
+		qt.Assert(t, calls <= 2 && members[7].registrations == 1, qt.IsTrue, qt.Commentf("%d core members were called", calls))
 		ctx, stop := context.WithCancel(t.Context())
 		go func() {
-			_, err := a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "l", Seq: 1, LingerMs: 10000})
+			_, err := a.Poll(ctx, &meshpb.PollRequest{Epoch: 1, Name: "n", Incarnation: "run-1", Seq: 1, LingerMs: 10000})
 			qt.Check(t, err, qt.ErrorIs, context.Canceled)
 		}()
 		advance(5 * time.Second)
 		qt.Assert(t, a.PollOverdue(), qt.IsFalse)
 		stop()
 		advance(time.Millisecond)
-		qt.Assert(t, a.PollOverdue(), qt.IsTrue, qt.Commentf("the master's side broke off"))
+		qt.Assert(t, a.PollOverdue(), qt.IsTrue, qt.Commentf("the master dropped the call"))
 		_, err := a.Poll(t.Context(), &meshpb.PollRequest{Epoch: 1, Name: "n", NextPollMs: 3000})
 		qt.Assert(t, err, qt.IsNil)
 		advance(3500 * time.Millisecond)
@@ -86,9 +91,9 @@
 
 func TestAgentRejectsLowerEpochAndOlderVersion(t *testing.T) {
 	applied := 0
-	a := &Agent{Name: "n", Incarnation: "l", Now: func() time.Duration { return 0 },
+	a := &Agent{Name: "n", Incarnation: "run-1", Now: func() time.Duration { return 0 },
 		OnView: func(*meshpb.View) { applied++ }, OnConfig: func(uint64, []byte) error { return nil }}
-	a.Start(&meshpb.NodeState{Name: "n"})
+	a.Init(&meshpb.NodeState{Name: "n"})
 	ctx := context.Background()
 	publish := func(epoch, version uint64) bool {
 		packed, _ := proto.Marshal(&meshpb.View{Epoch: epoch, Version: version})
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -8,9 +8,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// DeliverConfig applies a configuration from the master: a complete one, or
-// patches to the one in force. The answer always names the version in force after
-// it; Ok tells whether that is at least the one that was sent.
+// DeliverConfig applies a configuration from the master: either a complete one or
+// patches to the active one. Version in the response is the version that is active
+// afterwards, and Ok says whether it is at least the requested one. A request that
+// is addressed to another node gets an empty response. The error is always nil.
 func (a *Agent) DeliverConfig(_ context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if request.To != "" && request.To != a.Name {
 		return &meshpb.DeliverConfigResponse{}, nil
@@ -19,6 +20,8 @@
 	return &meshpb.DeliverConfigResponse{Ok: ok, Version: a.ConfigVersion()}, nil
 }
 
+// applyConfig reports whether the active configuration is at least as new as the
+// requested one afterwards.
 func (a *Agent) applyConfig(request *meshpb.DeliverConfigRequest) bool {
 	a.configMu.Lock()
 	defer a.configMu.Unlock()
@@ -27,8 +30,8 @@
 	}
 	var err error
 	if request.BaseVersion > 0 {
-		patches, continues := a.patches.missing(request.BaseVersion, request.Patches)
-		if !continues {
+		patches, ok := a.patchHistory.unapplied(request.BaseVersion, request.Patches)
+		if !ok {
 			return false
 		}
 		err = a.applyPatches(request.Version, patches)
@@ -46,6 +49,7 @@
 	return true
 }
 
+// applyFullConfig applies a complete configuration, which is sent compressed.
 func (a *Agent) applyFullConfig(version uint64, packed []byte) error {
 	data, err := rpc.Unpack(packed)
 	if err != nil {
@@ -54,10 +58,11 @@
 	if err := a.OnConfig(version, data); err != nil {
 		return err
 	}
-	a.patches.reset(version)
+	a.patchHistory.reset(version)
 	return nil
 }
 
+// applyPatches applies patches, each sent compressed, to the active configuration.
 func (a *Agent) applyPatches(version uint64, packed [][]byte) error {
 	var patches [][]byte
 	for _, p := range packed {
@@ -70,6 +75,6 @@
 	if err := a.OnPatch(version, patches); err != nil {
 		return err
 	}
-	a.patches.add(version, packed)
+	a.patchHistory.add(version, packed)
 	return nil
 }
--- a/internal/nodeagent/config_test.go
+++ b/internal/nodeagent/config_test.go
@@ -9,12 +9,15 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// configRecorder applies patches by remembering them.
+// configRecorder is an agent whose callbacks record the patches applied since the
+// last complete configuration.
 type configRecorder struct {
 	agent   *Agent
 	applied []string
 }
 
+// newConfigRecorder returns a recorder whose agent has a complete configuration of
+// version 10.
 func newConfigRecorder(t *testing.T) *configRecorder {
 	t.Helper()
 	r := &configRecorder{}
@@ -27,30 +30,34 @@
 			return nil
 		},
 	}
-	r.agent.Start(&meshpb.NodeState{})
+	r.agent.Init(&meshpb.NodeState{})
 	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 10, Data: rpc.Pack([]byte("all"))}), qt.IsTrue)
 	return r
 }
 
-func (r *configRecorder) deliver(t *testing.T, q *meshpb.DeliverConfigRequest) bool {
+// deliver sends a request to the agent and returns Ok of the response.
+func (r *configRecorder) deliver(t *testing.T, request *meshpb.DeliverConfigRequest) bool {
 	t.Helper()
-	response, err := r.agent.DeliverConfig(t.Context(), q)
+	response, err := r.agent.DeliverConfig(t.Context(), request)
 	qt.Assert(t, err, qt.IsNil)
 	return response.Ok
 }
 
+// patch delivers patches that lead from version base to version.
 func (r *configRecorder) patch(t *testing.T, base, version uint64, patches ...string) bool {
 	t.Helper()
-	q := &meshpb.DeliverConfigRequest{BaseVersion: base, Version: version}
+	request := &meshpb.DeliverConfigRequest{BaseVersion: base, Version: version}
 	for _, p := range patches {
-		q.Patches = append(q.Patches, rpc.Pack([]byte(p)))
+		request.Patches = append(request.Patches, rpc.Pack([]byte(p)))
 	}
-	return r.deliver(t, q)
+	return r.deliver(t, request)
 }
 
-// A delivery is sent again, with what has changed since, while an earlier one is
-// on a slow link. Both count, in the order in which they come.
-func TestDeliveryCountsWhoseFirstPatchesWereApplied(t *testing.T) {
+// On a slow link a delivery arrives after its call has timed out at the sender, which
+// then sends the same patches again, followed by newer ones. The node must skip the
+// patches that it has applied and apply the rest; rejecting the whole delivery would
+// keep a node behind a slow link on an old configuration.
+func TestDeliveryMayBeginWithAppliedPatches(t *testing.T) {
 	r := newConfigRecorder(t)
 	qt.Assert(t, r.patch(t, 10, 15, "a"), qt.IsTrue)
 	qt.Assert(t, r.patch(t, 10, 22, "a", "b"), qt.IsTrue)
@@ -60,25 +67,25 @@
 	qt.Assert(t, r.agent.ConfigVersion(), qt.Equals, uint64(33))
 }
 
-func TestPatchesThatDoNotContinueAreRefused(t *testing.T) {
-	for name, refused := range map[string]func(t *testing.T, r *configRecorder) bool{
-		"other patch":        func(t *testing.T, r *configRecorder) bool { return r.patch(t, 10, 22, "x", "b") },
-		"unknown base":       func(t *testing.T, r *configRecorder) bool { return r.patch(t, 9, 22, "a", "b") },
-		"base between":       func(t *testing.T, r *configRecorder) bool { return r.patch(t, 14, 22, "b") },
-		"nothing to add":     func(t *testing.T, r *configRecorder) bool { return r.patch(t, 10, 22, "a") },
-		"base of the future": func(t *testing.T, r *configRecorder) bool { return r.patch(t, 22, 23, "c") },
+func TestPatchesNotContinuingHistoryAreRejected(t *testing.T) {
+	for name, deliver := range map[string]func(t *testing.T, r *configRecorder) bool{
+		"different patch":                     func(t *testing.T, r *configRecorder) bool { return r.patch(t, 10, 22, "x", "b") },
+		"unknown base":                        func(t *testing.T, r *configRecorder) bool { return r.patch(t, 9, 22, "a", "b") },
+		"base between two versions":           func(t *testing.T, r *configRecorder) bool { return r.patch(t, 14, 22, "b") },
+		"no new patch":                        func(t *testing.T, r *configRecorder) bool { return r.patch(t, 10, 22, "a") },
+		"base newer than the current version": func(t *testing.T, r *configRecorder) bool { return r.patch(t, 22, 23, "c") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newConfigRecorder(t)
 			qt.Assert(t, r.patch(t, 10, 15, "a"), qt.IsTrue)
-			qt.Assert(t, refused(t, r), qt.IsFalse)
+			qt.Assert(t, deliver(t, r), qt.IsFalse)
 			qt.Assert(t, r.applied, qt.DeepEquals, []string{"a"})
 			qt.Assert(t, r.agent.ConfigVersion(), qt.Equals, uint64(15))
 		})
 	}
 }
 
-func TestCompleteConfigurationBeginsANewHistory(t *testing.T) {
+func TestFullConfigResetsPatchHistory(t *testing.T) {
 	r := newConfigRecorder(t)
 	qt.Assert(t, r.patch(t, 10, 15, "a"), qt.IsTrue)
 	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 20, Data: rpc.Pack([]byte("all"))}), qt.IsTrue)
@@ -91,7 +98,7 @@
 	r := newConfigRecorder(t)
 	for version := uint64(10); version < 10+2*maxPatchHistory; version++ {
 		qt.Assert(t, r.patch(t, version, version+1, "p"), qt.IsTrue)
-		qt.Assert(t, len(r.agent.patches.digests) <= maxPatchHistory, qt.IsTrue)
+		qt.Assert(t, len(r.agent.patchHistory.digests) <= maxPatchHistory, qt.IsTrue)
 	}
 	qt.Assert(t, r.patch(t, 10, 10+2*maxPatchHistory+1, "p", "p"), qt.IsFalse)
 }
--- a/internal/nodeagent/doc.go
+++ b/internal/nodeagent/doc.go
@@ -1,17 +1,18 @@
-// Package nodeagent is a node's side of the cluster controller: every sidecar and
-// edge has one Agent.
+// Package nodeagent implements the node side of the cluster controller protocol.
+// Every sidecar and edge runs one Agent.
 //
 // The Agent registers the node with the master, answers the master's polls with
-// the node's state, and takes the views and configurations that the master sends.
-// A poll that finds nothing new lingers until the state changes, so that a change
-// reaches the master at once. What comes from a master under an epoch lower than
-// the highest seen is refused, and a view or a configuration is applied only if it
-// is newer than the one that is held.
+// the node's state, and receives the views and configurations that the master
+// sends. Polls are long polls: if the master already knows the current state, the
+// answer is held back until the state changes, so a change reaches the master at
+// once. Polls and views from a master whose epoch is lower than the highest one seen
+// are rejected. A view or configuration is applied only if it is newer than the
+// current one.
 //
-// All state belongs to the Agent and is guarded by its mutex; configurations are
-// applied one at a time under a second one, so that OnConfig and OnPatch may take
-// long. Polls and deliveries come on the goroutines of the RPC server; Run, which
-// the caller starts, is the only one that sends. The Agent never decides what is
-// in the view, and keeps nothing on disk: after a restart the master sends the
-// view and the configuration again.
+// A mutex in the Agent guards its state. A second mutex serializes the application
+// of configurations, so OnConfig and OnPatch may take long without blocking polls.
+// Polls and deliveries arrive on the goroutines of the RPC server. Only Run, on a
+// goroutine of the caller, sends requests. The Agent does not decide what a view
+// contains and stores nothing on disk: after a restart the master sends the view
+// and the configuration again.
 package nodeagent
--- a/internal/nodeagent/patchhistory.go
+++ b/internal/nodeagent/patchhistory.go
@@ -2,29 +2,30 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// maxPatchHistory bounds how many patches are remembered: far more than a master
-// sends again while their answers are late.
+// maxPatchHistory is the maximum number of patches in a patchHistory. It is far more
+// than a master resends while responses are delayed.
 const maxPatchHistory = 64
 
-// patchHistory remembers which patches were applied since the last complete
-// configuration. With it a delivery still counts whose first patches have been
-// applied: on a slow link an earlier delivery arrives after its sender stopped
-// waiting, so that the sender does not know of it.
+// patchHistory records the patches applied since the last complete configuration, so
+// that a delivery whose first patches have already been applied is accepted. Such
+// deliveries come over slow links: an earlier delivery arrives after its call has
+// timed out at the sender, which therefore sends the same patches again.
 type patchHistory struct {
-	// digests are those of the patches, in order.
+	// digests are the hashes of the applied patches, oldest first.
 	digests []uint64
-	// positions has, for each version that was in force, how many of the patches led
-	// to it.
+	// positions maps each version that was active to the number of patches applied
+	// up to it.
 	positions map[uint64]int
 }
 
-// reset begins anew with a complete configuration.
+// reset clears the history, which then starts from the given version.
 func (h *patchHistory) reset(version uint64) {
 	h.digests = nil
 	h.positions = map[uint64]int{version: 0}
 }
 
-// add appends patches that led to a version.
+// add appends the patches that led to a version. If that would exceed
+// maxPatchHistory, it resets the history to that version.
 func (h *patchHistory) add(version uint64, patches [][]byte) {
 	if len(h.digests)+len(patches) > maxPatchHistory {
 		h.reset(version)
@@ -36,9 +37,10 @@
 	h.positions[version] = len(h.digests)
 }
 
-// missing returns those of the patches, which lead on from version base, that have
-// not been applied. False means that they don't continue what was applied.
-func (h *patchHistory) missing(base uint64, patches [][]byte) ([][]byte, bool) {
+// unapplied takes patches that start from version base and returns those that have
+// not been applied yet. It returns false if base is unknown, if the patches differ
+// from those applied since base, or if none is new.
+func (h *patchHistory) unapplied(base uint64, patches [][]byte) ([][]byte, bool) {
 	position, known := h.positions[base]
 	if !known {
 		return nil, false
--- a/internal/nodeagent/poll.go
+++ b/internal/nodeagent/poll.go
@@ -9,20 +9,22 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// pendingPoll is a poll that is being answered.
+// pendingPoll is a poll that has not been answered yet.
 type pendingPoll struct {
+	// stateChanged is closed when the state changes that was current on arrival.
 	stateChanged <-chan struct{}
-	// superseded is closed when a newer poll comes.
+	// superseded is closed when a newer poll arrives.
 	superseded chan struct{}
-	// lingers tells that the master knows the state already, so that the answer
+	// lingers is true if the master already knows the current state, so the answer
 	// waits for a change.
 	lingers bool
 }
 
-// Poll tells the master the node's state. If the master knows that already, the
-// answer comes when it changes, another poll comes, or the poll's linger time is
-// over. Stale in the answer says that the poll was meant for another node or comes
-// from a master that has been replaced.
+// Poll returns the node's state to the master. If the master already knows that
+// state, Poll waits until it changes, a newer poll arrives or the linger time of the
+// request has passed. Stale in the response means that the poll was addressed to
+// another node or came from a master that has been replaced. Poll returns the error
+// of ctx if that ends before a newer poll has arrived.
 func (a *Agent) Poll(ctx context.Context, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	poll, masterEpoch := a.beginPoll(request)
 	if poll == nil {
@@ -36,8 +38,9 @@
 
 func milliseconds(n uint64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// beginPoll makes a poll the newest one, or returns nil for a stale one, with the
-// highest epoch seen.
+// beginPoll registers a poll as the newest one and supersedes the one before. It
+// returns nil if the poll is stale. The second result is the highest master epoch
+// seen.
 func (a *Agent) beginPoll(request *meshpb.PollRequest) (*pendingPoll, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,10 +52,11 @@
 		superseded:   make(chan struct{}),
 		lingers:      request.Incarnation == a.state.Incarnation && request.Seq == a.state.Seq,
 	}
-	// While a poll lingers, or another is promised, the node does not register.
-	a.polledUntil = a.Now() + milliseconds(request.NextPollMs)
+	// The node does not register while a poll lingers or before the announced next
+	// poll is due.
+	a.nextPollDue = a.Now() + milliseconds(request.NextPollMs)
 	if poll.lingers {
-		a.polledUntil += milliseconds(request.LingerMs)
+		a.nextPollDue += milliseconds(request.LingerMs)
 	}
 	if a.newestPoll != nil {
 		close(a.newestPoll.superseded)
@@ -64,6 +68,8 @@
 	return poll, a.masterEpoch
 }
 
+// wait blocks until the state changes, a newer poll arrives, linger has passed or
+// ctx ends.
 func (p *pendingPoll) wait(ctx context.Context, linger time.Duration) {
 	timer := time.NewTimer(linger)
 	defer timer.Stop()
@@ -75,29 +81,32 @@
 	}
 }
 
+// finishPoll builds the response to a poll and sets when the next one is due. If a
+// newer poll is pending, a later time announced by that one stands.
 func (a *Agent) finishPoll(ctx context.Context, poll *pendingPoll, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	newerUntil := time.Duration(0)
+	newerPollDue := time.Duration(0)
 	if a.newestPoll == poll {
 		a.newestPoll = nil
 		if ctx.Err() != nil {
-			// The master is gone: the node looks for another at once.
-			a.polledUntil = neverPolled
+			// The master has dropped the call; the node looks for a master at once.
+			a.nextPollDue = longOverdue
 			return nil, ctx.Err()
 		}
 	} else if a.newestPoll != nil {
-		newerUntil = a.polledUntil
+		newerPollDue = a.nextPollDue
 	}
-	a.polledUntil = max(a.Now()+milliseconds(request.NextPollMs), newerUntil)
+	a.nextPollDue = max(a.Now()+milliseconds(request.NextPollMs), newerPollDue)
 	state := proto.Clone(a.state).(*meshpb.NodeState)
 	state.ViewEpoch, state.ViewVersion, state.ConfigVersion = a.view.GetEpoch(), a.view.GetVersion(), a.configVersion
 	return &meshpb.PollResponse{Node: state, Epoch: a.masterEpoch}, nil
 }
 
-// PollOverdue tells that no master polls this node.
+// PollOverdue reports whether the next poll has been overdue for longer than
+// RegisterAfter, which means that no master polls this node.
 func (a *Agent) PollOverdue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.Now()-a.polledUntil > a.RegisterAfter
+	return a.Now()-a.nextPollDue > a.RegisterAfter
 }
