--- a/internal/nodeagent/register.go
+++ b/internal/nodeagent/register.go
@@ -10,30 +10,33 @@
 )
 
 const (
-	// maxRegisterCalls bounds how many core members one registration asks.
+	// maxRegisterCalls is the maximum number of core members that one registration
+	// attempt calls.
 	maxRegisterCalls = 4
-	// registerTimeout bounds one such call.
+	// registerTimeout is the timeout of each of these calls.
 	registerTimeout = 500 * time.Millisecond
-	// After Agent.RegisterAfter divided by registeredWaitDivisor, a node that has
-	// registered looks whether it is polled.
-	registeredWaitDivisor = 3
-	// maxRetryIntervals bounds the wait after failed registrations, in intervals; it
-	// grows by a quarter with each.
+	// A node that has registered waits for Agent.RegisterAfter divided by
+	// pollCheckDivisor, but at least one interval, before it checks whether it is
+	// polled.
+	pollCheckDivisor = 3
+	// maxRetryIntervals limits the wait after failed registrations, as a multiple of
+	// Run's interval. The wait grows by a quarter with each failure.
 	maxRetryIntervals = 5
-	// Up to each wait divided by jitterDivisor is added to it at random, so that nodes
-	// that start together do not register together.
+	// Each wait is extended by a random jitter of at most the wait divided by
+	// jitterDivisor, so that nodes that start together do not register together.
 	jitterDivisor = 4
 )
 
-// SetSeeds changes the addresses of core members from the settings.
+// SetSeeds replaces the addresses of core members that come from the settings.
 func (a *Agent) SetSeeds(seeds []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Seeds = seeds
 }
 
-// CoreAddresses returns where this node would look for the core: the master of
-// its view, the members named there, then the seeds.
+// CoreAddresses returns the addresses at which this node looks for the core, without
+// duplicates: the master of the current view, the members in that view, then the
+// seeds.
 func (a *Agent) CoreAddresses() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -56,8 +59,8 @@
 }
 
 // Run registers the node with the master, and again whenever no master polls it,
-// until ctx ends. It tries less often the longer it finds none, beginning with
-// interval.
+// until ctx ends. The wait between attempts starts at interval and grows as long as
+// registration fails.
 func (a *Agent) Run(ctx context.Context, interval time.Duration) {
 	wait := interval
 	for {
@@ -65,7 +68,7 @@
 		case !a.PollOverdue():
 			wait = interval
 		case a.register(ctx):
-			wait = max(a.RegisterAfter/registeredWaitDivisor, interval)
+			wait = max(a.RegisterAfter/pollCheckDivisor, interval)
 		default:
 			wait = min(wait*5/4, maxRetryIntervals*interval)
 		}
@@ -79,12 +82,14 @@
 	}
 }
 
-// register looks for the master among the core members: first the one last heard
-// of, then the one that another names, then others in random order. So hundreds of
-// nodes that start at once do not all ask the whole core.
+// register calls core members until one of them is the master, and reports whether
+// it found it. It tries the master of the current view first, then the other known
+// addresses in random order. A master named by a member that is not the master is
+// tried next, the members that it names last. The order and maxRegisterCalls keep
+// hundreds of nodes that start at once from all calling the whole core.
 func (a *Agent) register(ctx context.Context) bool {
 	state := a.State()
-	candidates := a.registrationOrder()
+	candidates := a.registrationCandidates()
 	asked := map[string]bool{}
 	for len(candidates) > 0 && len(asked) < maxRegisterCalls && ctx.Err() == nil {
 		addr := candidates[0]
@@ -98,7 +103,7 @@
 			continue
 		}
 		if response.Master {
-			a.keepLastEndpoint(response.LastEndpoint)
+			a.recordLastEndpoint(response.LastEndpoint)
 			return true
 		}
 		for _, m := range response.Membership.GetMembers() {
@@ -111,8 +116,9 @@
 	return false
 }
 
-// registrationOrder is CoreAddresses in random order, the last master first.
-func (a *Agent) registrationOrder() []string {
+// registrationCandidates returns CoreAddresses in random order, but with the master
+// of the current view first.
+func (a *Agent) registrationCandidates() []string {
 	addrs := a.CoreAddresses()
 	others := addrs
 	if a.View().GetMaster() != "" {
@@ -122,7 +128,8 @@
 	return addrs
 }
 
-func (a *Agent) keepLastEndpoint(endpoint *meshpb.Endpoint) {
+// recordLastEndpoint sets lastEndpoint unless it is known already.
+func (a *Agent) recordLastEndpoint(endpoint *meshpb.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.lastEndpoint == nil {
--- a/internal/nodeagent/view.go
+++ b/internal/nodeagent/view.go
@@ -9,9 +9,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// PublishView applies a view from the master, or the difference to the view that
-// the node holds. The answer always names the view that is held after it; Ok tells
-// whether that is the one that was sent.
+// PublishView applies a view from the master: either a complete one or the difference
+// from the node's current view. Epoch and Version in the response identify the view
+// that is current afterwards, and Ok says whether it is the requested one. The error
+// means that the view could not be decoded; nothing has changed then.
 func (a *Agent) PublishView(_ context.Context, request *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
 	view := &meshpb.View{}
 	if err := proto.Unmarshal(request.Packed, view); err != nil {
@@ -19,7 +20,7 @@
 	}
 	ok := false
 	if request.To == "" || request.To == a.Name {
-		// The master's epoch may be later than the one that the view was made under.
+		// A new master may send a view that was created in an earlier epoch.
 		ok = a.applyView(view, max(request.Epoch, view.Epoch))
 	}
 	a.mu.Lock()
@@ -27,21 +28,23 @@
 	return &meshpb.PublishViewResponse{Ok: ok, Epoch: a.view.GetEpoch(), Version: a.view.GetVersion()}, nil
 }
 
-// applyView takes a view from the master of an epoch, unless the node holds a
-// newer one. It tells whether the node holds this view now.
+// applyView makes a view from the master of masterEpoch the current one, unless that
+// is newer. It reports whether the given view is current afterwards.
 func (a *Agent) applyView(view *meshpb.View, masterEpoch uint64) bool {
-	view, held := a.replaceView(view, masterEpoch)
+	view, alreadyHeld := a.replaceView(view, masterEpoch)
 	if view == nil {
-		return held
+		return alreadyHeld
 	}
 	a.trace(changetrace.KindView, view.Epoch, view.Version)
 	a.OnView(view)
 	return true
 }
 
-// replaceView puts a view in place of the one before. It returns the complete
-// view, or nil if it was not replaced, and whether the node holds it already.
-func (a *Agent) replaceView(view *meshpb.View, masterEpoch uint64) (replaced *meshpb.View, held bool) {
+// replaceView replaces the current view if the given one is newer and, for a
+// difference, starts from the current one. It returns the new complete view, or nil
+// if nothing was replaced; alreadyHeld then says whether the given view was current
+// before the call.
+func (a *Agent) replaceView(view *meshpb.View, masterEpoch uint64) (replaced *meshpb.View, alreadyHeld bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.acceptEpoch(masterEpoch) {
