--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,48 +15,51 @@
 
 const (
 	endpointsPath = "/endpoints"
-	// maxPages and maxPageBytes bound a list that does not end.
+	// maxPages and maxPageBytes limit what is read if the platform's list does not end.
 	maxPages     = 400
 	maxPageBytes = 4 << 20
-	// mastersAtOnce is how many nodes may read the list at the same time: an old
-	// master and a new one.
-	mastersAtOnce = 2
+	// maxConcurrentReaders is how many nodes may read the list at the same time: the
+	// old and the new master during a takeover.
+	maxConcurrentReaders = 2
 )
 
-// Options are what a Client needs.
+// Options configure a Client.
 type Options struct {
-	// Address is that of the platform's API, host and port.
+	// Address is the host:port of the platform's API.
 	Address string
-	// RequestsPerSecond is how many requests the platform takes from all nodes
-	// together; the client sends half as many. 0 sends them without a pause.
+	// RequestsPerSecond is the platform's rate limit for all nodes together. The
+	// client uses half of it. 0 means no limit.
 	RequestsPerSecond float64
-	// HTTPClient sends the requests; its timeout bounds each one.
+	// HTTPClient sends the requests. Its timeout applies to each request.
 	HTTPClient *http.Client
-	// Log gets what was skipped.
+	// Log receives a warning for each skipped row or duplicate endpoint.
 	Log logring.Logger
 }
 
 // Client reads the platform's list. It is not safe for concurrent use.
 type Client struct {
-	options  Options
+	options Options
+	// interval is the minimum time between the starts of two requests.
 	interval time.Duration
 	// nextRequest is the earliest time of the next request.
 	nextRequest time.Time
-	now         func() time.Time
-	pause       func(context.Context, time.Duration) error
+	// now and sleep are replaced in tests.
+	now   func() time.Time
+	sleep func(context.Context, time.Duration) error
 }
 
-// New returns a client that requests at half the rate that the platform grants
-// to all nodes together, so that an old master and a new one stay under it.
+// New returns a client that uses half of the platform's rate limit, so that an old
+// and a new master that read at the same time stay within it together.
 func New(options Options) *Client {
-	c := &Client{options: options, now: time.Now, pause: pause}
+	c := &Client{options: options, now: time.Now, sleep: sleep}
 	if options.RequestsPerSecond > 0 {
-		c.interval = time.Duration(mastersAtOnce / options.RequestsPerSecond * float64(time.Second))
+		c.interval = time.Duration(maxConcurrentReaders / options.RequestsPerSecond * float64(time.Second))
 	}
 	return c
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the error of ctx if that ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -67,23 +70,28 @@
 	}
 }
 
-// StatusError is an answer other than 200: the platform is busy or fails,
-// and is to be asked later.
-type StatusError struct{ Code int }
+// StatusError reports a response with a status other than 200: the platform is
+// overloaded or failing, and the caller should try again later.
+type StatusError struct {
+	// Code is the HTTP status code.
+	Code int
+}
 
-// Error implements error.
+// Error implements the error interface.
 func (e StatusError) Error() string {
-	return fmt.Sprintf("discovery: the platform answered %d", e.Code)
+	return fmt.Sprintf("discovery: the platform returned HTTP status %d", e.Code)
 }
 
-// List reads the whole list; the error says which page is missing or broken.
-// Before each page it asks whether this node is still the one to read it.
+// List reads all pages of the list and returns the usable endpoints, each id once.
+// Before each request it calls isMaster and stops with an error if that returns
+// false. The error is a StatusError if the platform returned a status other than
+// 200, and of class Error otherwise.
 func (c *Client) List(ctx context.Context, isMaster func() bool) ([]*meshpb.Endpoint, error) {
 	var endpoints []*meshpb.Endpoint
 	seen, tokens := map[string]bool{}, map[string]bool{}
 	token := ""
 	for range maxPages {
-		if err := c.awaitTurn(ctx, isMaster); err != nil {
+		if err := c.waitForRateLimit(ctx, isMaster); err != nil {
 			return nil, err
 		}
 		p, err := c.readPage(ctx, token)
@@ -95,18 +103,19 @@
 			return endpoints, nil
 		}
 		if tokens[p.nextToken] {
-			return nil, Error.New("page %q comes twice", p.nextToken)
+			return nil, Error.New("page token %q occurs twice", p.nextToken)
 		}
 		tokens[p.nextToken] = true
 		token = p.nextToken
 	}
-	return nil, Error.New("more than %d pages", maxPages)
+	return nil, Error.New("the list has more than %d pages", maxPages)
 }
 
-// awaitTurn waits until the rate allows another request.
-func (c *Client) awaitTurn(ctx context.Context, isMaster func() bool) error {
+// waitForRateLimit waits until the rate limit permits another request. It returns an
+// error if ctx ends first or if this node is no longer the master after the wait.
+func (c *Client) waitForRateLimit(ctx context.Context, isMaster func() bool) error {
 	if d := c.nextRequest.Sub(c.now()); d > 0 {
-		if err := c.pause(ctx, d); err != nil {
+		if err := c.sleep(ctx, d); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -117,7 +126,8 @@
 	return nil
 }
 
-// appendNew leaves out endpoints that a page before has listed.
+// appendNew appends the listed endpoints whose ids are not in seen, and adds these
+// ids to it.
 func (c *Client) appendNew(endpoints, listed []*meshpb.Endpoint, seen map[string]bool) []*meshpb.Endpoint {
 	for _, e := range listed {
 		if seen[e.Id] {
@@ -130,27 +140,28 @@
 	return endpoints
 }
 
-// pageQuery chooses a page; without a token it is the first.
+// pageQuery selects a page. An empty token selects the first one.
 type pageQuery struct {
 	Token string `url:"pageToken,omitempty"`
 }
 
+// readPage requests the page with the given token and parses it.
 func (c *Client) readPage(ctx context.Context, token string) (page, error) {
 	request, err := sling.New().Base("http://" + c.options.Address).Get(endpointsPath).QueryStruct(pageQuery{token}).Request()
 	if err != nil {
 		return page{}, Error.Wrap(err)
 	}
-	answer, err := c.options.HTTPClient.Do(request.WithContext(ctx))
+	response, err := c.options.HTTPClient.Do(request.WithContext(ctx))
 	if err != nil {
 		return page{}, Error.Wrap(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxPageBytes))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return page{}, Error.Wrap(err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return page{}, StatusError{answer.StatusCode}
+	if response.StatusCode != http.StatusOK {
+		return page{}, StatusError{response.StatusCode}
 	}
 	return parsePage(data, c.options.Log)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,7 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakePlatform answers with pages by token, or with a status.
+// fakePlatform is an HTTP transport that returns a page by its token, or the status if
+// one is set.
 type fakePlatform struct {
 	pages    map[string]string
 	status   int
@@ -32,31 +33,33 @@
 
 const columns = `"columnNames":["serviceName","address","siteName","stamp","slotCount","state","coldLeftS","id"]`
 
-func pageText(nextToken, rows string) string {
+// pageJSON returns a page; nextToken and rows are JSON text.
+func pageJSON(nextToken, rows string) string {
 	return fmt.Sprintf(`{"instanceList":{%s,"rowList":[%s]},"nextToken":%s}`, columns, rows, nextToken)
 }
 
-// newTestClient has a clock that only pauses advance; waited is their sum.
-func newTestClient(p *fakePlatform) (client *Client, waited *time.Duration) {
+// newTestClient returns a client whose clock advances only while it sleeps, and the
+// total time slept.
+func newTestClient(p *fakePlatform) (client *Client, slept *time.Duration) {
 	client = New(Options{Address: "10.0.0.1:80", RequestsPerSecond: 50, HTTPClient: &http.Client{Transport: p}})
-	now, waited := time.Unix(0, 0), new(time.Duration)
+	now, slept := time.Unix(0, 0), new(time.Duration)
 	client.now = func() time.Time { return now }
-	client.pause = func(_ context.Context, d time.Duration) error {
+	client.sleep = func(_ context.Context, d time.Duration) error {
 		now = now.Add(d)
-		*waited += d
+		*slept += d
 		return nil
 	}
-	return client, waited
+	return client, slept
 }
 
 func isMaster() bool { return true }
 
-func TestListIsReadPageByPageWithinTheRate(t *testing.T) {
+func TestListReadsAllPagesWithinRateLimit(t *testing.T) {
 	p := &fakePlatform{pages: map[string]string{
-		"":    pageText(`"p-1"`, `["s","10.0.0.2:80","z","v1",6,"ready",1.5,"i-1"],["s","10.0.0.3:80","z","v1",6,"draining",null,"i-2"]`),
-		"p-1": pageText(`null`, `["s","10.0.0.4:80","z","v1",6,"ready",0,"i-3"]`),
+		"":    pageJSON(`"p-1"`, `["s","10.0.0.2:80","z","v1",6,"ready",1.5,"i-1"],["s","10.0.0.3:80","z","v1",6,"draining",null,"i-2"]`),
+		"p-1": pageJSON(`null`, `["s","10.0.0.4:80","z","v1",6,"ready",0,"i-3"]`),
 	}}
-	client, waited := newTestClient(p)
+	client, slept := newTestClient(p)
 	for range 3 {
 		endpoints, err := client.List(context.Background(), isMaster)
 		qt.Assert(t, err, qt.IsNil)
@@ -64,27 +67,27 @@
 		qt.Assert(t, endpoints[0].WarmupMs, qt.Equals, uint64(1500))
 		qt.Assert(t, endpoints[1].State, qt.Equals, "draining")
 	}
-	qt.Assert(t, *waited >= 5*40*time.Millisecond, qt.IsTrue, qt.Commentf("6 requests at half of 50/s in %v", *waited))
+	qt.Assert(t, *slept >= 5*40*time.Millisecond, qt.IsTrue, qt.Commentf("6 requests at half of 50/s in %v", *slept))
 }
 
-func TestMalformedRowsAreSkippedAndBrokenPagesAreErrors(t *testing.T) {
-	p := &fakePlatform{pages: map[string]string{"": pageText(`null`,
+func TestMalformedRowsAreSkippedAndMalformedPagesFail(t *testing.T) {
+	p := &fakePlatform{pages: map[string]string{"": pageJSON(`null`,
 		`["s","10.0.0.2:80","z","v1",6,"ready",0,"i-1"],["s","10.0.0.2:80","z","v1",6,"ready",0,"i-1"],["s","10.0.0.3:80","z","v1",0,"ready",0,"i-2"],`+
 			`["s","10.0.0.4:80","z","v1",6,"odd",0,"i-4"],["s",null,"z","v1",6,"ready",0,"i-5"],["s","10.0.0.6:80"],[7]`)}}
 	client, _ := newTestClient(p)
 	endpoints, err := client.List(context.Background(), isMaster)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(endpoints), qt.Equals, 1)
-	for name, body := range map[string]string{"cut": `{"instanceList":{`, "no token": `{"instanceList":{"columnNames":[],"rowList":[]}}`,
-		"loop": pageText(`"p-1"`, ``), "no list": `{"nextToken":null}`} {
-		p.pages = map[string]string{"": body, "p-1": pageText(`"p-1"`, ``)}
+	for name, body := range map[string]string{"truncated": `{"instanceList":{`, "no token": `{"instanceList":{"columnNames":[],"rowList":[]}}`,
+		"token loop": pageJSON(`"p-1"`, ``), "no list": `{"nextToken":null}`} {
+		p.pages = map[string]string{"": body, "p-1": pageJSON(`"p-1"`, ``)}
 		_, err := client.List(context.Background(), isMaster)
 		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%s", name))
 	}
 	p.status = 429
 	_, err = client.List(context.Background(), isMaster)
-	var refused StatusError
-	qt.Assert(t, errors.As(err, &refused) && refused.Code == 429, qt.IsTrue)
+	var statusError StatusError
+	qt.Assert(t, errors.As(err, &statusError) && statusError.Code == 429, qt.IsTrue)
 	p.status, p.requests = 0, 0
 	_, err = client.List(context.Background(), func() bool { return false })
 	qt.Assert(t, err, qt.IsNotNil)
--- a/internal/discovery/page.go
+++ b/internal/discovery/page.go
@@ -9,33 +9,35 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Fields of a page. The list is a table: the names of its columns, and rows
-// with the values in that order.
+// Fields of a page. The list is a table: an array of column names, and rows with the
+// values in the same order.
 const (
-	keyList      = "instanceList"
+	keyInstances = "instanceList"
 	keyColumns   = "columnNames"
 	keyRows      = "rowList"
 	keyNextToken = "nextToken"
 )
 
-// page is one part of the list.
+// page is one page of the list.
 type page struct {
+	// endpoints are the usable endpoints on the page.
 	endpoints []*meshpb.Endpoint
-	// nextToken names the page that follows; empty on the last one.
+	// nextToken selects the next page. It is empty on the last one.
 	nextToken string
 }
 
-// endpointTable is the list's part as it stands on a page.
+// endpointTable is the table on a page. Its rows are raw JSON, parsed after the whole
+// page has been read.
 type endpointTable struct {
 	columns []string
 	rows    []jx.Raw
 }
 
-// parsePage skips rows that name no usable endpoint, and refuses a page that
-// can't be read whole.
+// parsePage parses a page. It skips and logs rows that do not describe a usable
+// endpoint, and returns an error if the page itself is incomplete or malformed.
 func parsePage(data []byte, log logring.Logger) (page, error) {
 	if !jx.Valid(data) {
-		return page{}, Error.New("a page is no whole JSON document")
+		return page{}, Error.New("page is not a complete JSON document")
 	}
 	var p page
 	var table endpointTable
@@ -45,7 +47,7 @@
 		case keyNextToken:
 			hasNextToken = true
 			return decodeToken(d, &p.nextToken)
-		case keyList:
+		case keyInstances:
 			hasList = true
 			return table.decode(d)
 		}
@@ -55,7 +57,7 @@
 		return page{}, Error.Wrap(err)
 	}
 	if !hasList || !hasNextToken {
-		return page{}, Error.New("a page lacks %s or %s", keyList, keyNextToken)
+		return page{}, Error.New("page has no %s or no %s", keyInstances, keyNextToken)
 	}
 	for _, row := range table.rows {
 		endpoint, err := parseRow(table.columns, row)
@@ -68,15 +70,16 @@
 	return p, nil
 }
 
-// decodeToken takes null as no token.
-func decodeToken(d *jx.Decoder, to *string) (err error) {
+// decodeToken reads a page token. null means that there is none.
+func decodeToken(d *jx.Decoder, target *string) (err error) {
 	if d.Next() == jx.Null {
 		return d.Null()
 	}
-	*to, err = d.Str()
+	*target, err = d.Str()
 	return err
 }
 
+// decode reads the table of a page; fields that it does not know are skipped.
 func (t *endpointTable) decode(d *jx.Decoder) error {
 	return d.Obj(func(d *jx.Decoder, key string) error {
 		switch key {
--- a/internal/discovery/row.go
+++ b/internal/discovery/row.go
@@ -9,7 +9,7 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Columns of the list; others are skipped.
+// Columns of the list. Any other column is ignored.
 const (
 	columnID              = "id"
 	columnService         = "serviceName"
@@ -22,18 +22,21 @@
 )
 
 const (
+	// maxSlots is the maximum number of slots that an endpoint may report.
 	maxSlots = 1 << 20
-	// maxWarmupSeconds bounds how long an endpoint may say that it is warming up.
+	// maxWarmupSeconds is the maximum remaining warm-up time that an endpoint may
+	// report.
 	maxWarmupSeconds = 1e6
 )
 
-// listedEndpoint is an endpoint as its row has it.
+// listedEndpoint holds the values of a row.
 type listedEndpoint struct {
 	endpoint *meshpb.Endpoint
-	state    string
+	// state is the endpoint's state in the terms of the platform.
+	state string
 }
 
-// decodeColumn reads one value; null counts as left out.
+// decodeColumn reads the value of one column. null leaves the field unset.
 func (l *listedEndpoint) decodeColumn(d *jx.Decoder, column string) error {
 	if d.Next() == jx.Null {
 		return d.Null()
@@ -63,7 +66,8 @@
 	return d.Skip()
 }
 
-// parseRow reads one row; the error says why it names no usable endpoint.
+// parseRow parses one row. The error says why the row does not describe a usable
+// endpoint.
 func parseRow(columns []string, row jx.Raw) (*meshpb.Endpoint, error) {
 	listed := listedEndpoint{endpoint: &meshpb.Endpoint{Healthy: true}}
 	index := 0
@@ -78,17 +82,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return listed.complete()
+	return listed.toEndpoint()
 }
 
-// complete checks the endpoint and gives it its state in the view.
-func (l listedEndpoint) complete() (*meshpb.Endpoint, error) {
+// toEndpoint checks the required fields and returns the endpoint with its state as
+// the view has it.
+func (l listedEndpoint) toEndpoint() (*meshpb.Endpoint, error) {
 	e := l.endpoint
 	if e.Id == "" || e.Service == "" || e.Addr == "" {
-		return nil, fmt.Errorf("%s, %s or %s is missing in %q", columnID, columnService, columnAddress, e.Id)
+		return nil, fmt.Errorf("endpoint %q: %s, %s or %s is missing", e.Id, columnID, columnService, columnAddress)
 	}
 	if e.Slots < 1 {
-		return nil, fmt.Errorf("%s: %s is missing", e.Id, columnSlots)
+		return nil, fmt.Errorf("endpoint %q: %s is missing", e.Id, columnSlots)
 	}
 	switch lifecycle.State(l.state) {
 	case lifecycle.Ready:
@@ -96,20 +101,22 @@
 	case lifecycle.Draining:
 		e.State = string(lifecycle.Draining)
 	default:
-		return nil, fmt.Errorf("%s: state %q is neither %s nor %s", e.Id, l.state, lifecycle.Ready, lifecycle.Draining)
+		return nil, fmt.Errorf("endpoint %q: %s %q is neither %s nor %s", e.Id, columnState, l.state, lifecycle.Ready, lifecycle.Draining)
 	}
 	return e, nil
 }
 
-func decodeString(d *jx.Decoder, to *string) (err error) {
-	*to, err = d.Str()
+func decodeString(d *jx.Decoder, target *string) (err error) {
+	*target, err = d.Str()
 	return err
 }
 
-func decodeNumber(d *jx.Decoder, column string, from, to float64) (float64, error) {
+// decodeNumber reads the number of a column and returns an error if it is below
+// minimum or above maximum.
+func decodeNumber(d *jx.Decoder, column string, minimum, maximum float64) (float64, error) {
 	number, err := d.Float64()
-	if err == nil && (number < from || number > to) {
-		return 0, fmt.Errorf("%s %v is out of range", column, number)
+	if err == nil && (number < minimum || number > maximum) {
+		return 0, fmt.Errorf("%s %v is not between %v and %v", column, number, minimum, maximum)
 	}
 	return number, err
 }
