--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -15,8 +15,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("nodeagent")
 
-// longOverdue as Agent.nextPollDue makes PollOverdue true at once. It is about 18
-// minutes before the zero of Agent.Now, earlier by more than any RegisterAfter.
+// longOverdue is the value of Agent.nextPollDue while no master polls the node. At
+// about 18 minutes before the zero of Agent.Now it is earlier by more than any
+// Agent.RegisterAfter, so PollOverdue is true at once.
 const longOverdue time.Duration = -1 << 40
 
 // Agent is the node side of the cluster controller protocol and implements
@@ -73,8 +74,8 @@
 	// process started.
 	lastEndpoint *meshpb.Endpoint
 
-	// configMu serializes the application of configurations. It is locked before mu,
-	// which is not held meanwhile.
+	// configMu serializes the application of configurations. It is locked before mu;
+	// mu is not held while OnConfig or OnPatch runs.
 	configMu sync.Mutex
 	// patchHistory records the patches applied since the last complete configuration.
 	// It is guarded by configMu.
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -11,7 +11,8 @@
 // DeliverConfig applies a configuration from the master: either a complete one or
 // patches to the active one. Version in the response is the version that is active
 // afterwards, and Ok says whether it is at least the requested one. A request that
-// is addressed to another node gets an empty response. The error is always nil.
+// is addressed to another node gets an empty response. Only versions are compared,
+// not the master's epoch. The error is always nil.
 func (a *Agent) DeliverConfig(_ context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
 	if request.To != "" && request.To != a.Name {
 		return &meshpb.DeliverConfigResponse{}, nil
--- a/internal/nodeagent/register.go
+++ b/internal/nodeagent/register.go
@@ -85,8 +85,9 @@
 // register calls core members until one of them is the master, and reports whether
 // it found it. It tries the master of the current view first, then the other known
 // addresses in random order. A master named by a member that is not the master is
-// tried next, the members that it names last. The order and maxRegisterCalls keep
-// hundreds of nodes that start at once from all calling the whole core.
+// tried next; the members in that answer are tried last. The order and
+// maxRegisterCalls keep hundreds of nodes that start at once from all calling the
+// whole core.
 func (a *Agent) register(ctx context.Context) bool {
 	state := a.State()
 	candidates := a.registrationCandidates()
