--- a/internal/nodeagent/agent.go
+++ b/internal/nodeagent/agent.go
@@ -15,9 +15,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("nodeagent")
 
-// longOverdue is the value of Agent.nextPollDue while no master polls the node. At
-// about 18 minutes before the zero of Agent.Now it is earlier by more than any
-// Agent.RegisterAfter, so PollOverdue is true at once.
+// longOverdue is the value of Agent.nextPollDue before the first poll and after a
+// master has dropped a call. At about 18 minutes before the zero of Agent.Now it is
+// earlier by more than any Agent.RegisterAfter, so PollOverdue is true at once.
 const longOverdue time.Duration = -1 << 40
 
 // Agent is the node side of the cluster controller protocol and implements
