--- a/internal/clustercontroller/testcluster_test.go
+++ b/internal/clustercontroller/testcluster_test.go
@@ -134,7 +134,7 @@
 		return nil
 	}
 	agent.OnPatch = func(version uint64, _ [][]byte) error { return agent.OnConfig(version, nil) }
-	agent.Start(&meshpb.NodeState{Name: agent.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
+	agent.Init(&meshpb.NodeState{Name: agent.Name, Incarnation: "l", Addr: fmt.Sprint("a", i), Inbound: fmt.Sprint("i", i), State: string(lifecycle.Up),
 		Endpoint: &meshpb.Endpoint{Id: fmt.Sprint("e", i), Service: "s", State: string(lifecycle.Ready), Healthy: true, Slots: 4}})
 	return agent
 }
@@ -226,7 +226,7 @@
 	state.Incarnation = incarnation
 	agent := &nodeagent.Agent{Name: old.Name, Incarnation: incarnation, RegisterAfter: old.RegisterAfter, Now: old.Now, Log: old.Log, Clients: old.Clients,
 		OnView: old.OnView, OnConfig: old.OnConfig, OnPatch: old.OnPatch}
-	agent.Start(state)
+	agent.Init(state)
 	n.mu.Lock()
 	n.agent, n.partitioned = agent, false
 	n.mu.Unlock()
