--- a/internal/controlapi/config_change.go
+++ b/internal/controlapi/config_change.go
@@ -14,54 +14,64 @@
 )
 
 const (
-	// baseVersionHeader names the version that a change was made for.
+	// baseVersionHeader is the request header with the base version of a change: the
+	// version that the current configuration must have for the change to be accepted.
 	baseVersionHeader = "If-Match"
-	// configBodyTimeout bounds the reading of a configuration's body.
+	// configBodyTimeout is the time limit for reading the body of a change.
 	configBodyTimeout = 10 * time.Second
 )
 
-// errStoredUnreadable says that a patch can't be applied: its base can't be
-// read.
-var errStoredUnreadable = Error.New("the configuration in force can't be read")
+// errStoredConfigUnreadable reports that a patch cannot be applied because the
+// current configuration cannot be decoded.
+var errStoredConfigUnreadable = Error.New("the stored configuration cannot be decoded")
 
-// configChange identifies a change that an operator sent. It is the same change
-// if its method, base version and body are.
+// configChange identifies a configuration change that an operator sent. Two requests
+// are for the same change if their method, base version and body are equal.
 type configChange struct {
-	base   uint64
+	baseVersion uint64
+	// digest covers the method, the base version and the body.
 	digest []byte
-	// legacyDigest is as releases before 242832a recorded it, without the base.
+	// legacyDigest is the digest that releases before 242832a recorded. It does not
+	// cover the base version.
 	legacyDigest []byte
 }
 
-func newConfigChange(method string, base uint64, body []byte) configChange {
+func newConfigChange(method string, baseVersion uint64, body []byte) configChange {
 	return configChange{
-		base:         base,
-		digest:       changeDigest(method+" "+routeconfig.FormatVersion(base)+" ", body),
+		baseVersion:  baseVersion,
+		digest:       changeDigest(method+" "+routeconfig.FormatVersion(baseVersion)+" ", body),
 		legacyDigest: changeDigest(method+" ", body),
 	}
 }
 
+// changeDigest returns the first coordination.DigestSize bytes of the SHA-256 of
+// prefix and body.
 func changeDigest(prefix string, body []byte) []byte {
 	digest := sha256.New()
-	_, _ = io.WriteString(digest, prefix) // a hash never fails
+	_, _ = io.WriteString(digest, prefix) // writing to a hash never returns an error
 	_, _ = digest.Write(body)
 	return digest.Sum(nil)[:coordination.DigestSize]
 }
 
-// changeStatus is how a change stands against the configuration in force.
+// changeStatus is the state of a change relative to the current configuration.
 type changeStatus struct {
-	// current is the configuration in force; nil if there is none.
-	current  *meshpb.Blob
+	// current is the blob of the current configuration, or nil if there is none.
+	current *meshpb.Blob
+	// accepted reports whether the change has been accepted.
 	accepted bool
-	// floor is the version up to which accepted changes may have been forgotten.
-	floor uint64
+	// acceptedFloor is the version up to which, inclusive, accepted changes may have
+	// been dropped from the record, so that accepted is false for them. It is 0 if
+	// none was dropped.
+	acceptedFloor uint64
 }
 
+// status returns the state of the change in the configuration shard's table.
 func (c configChange) status(t *coordination.Table) changeStatus {
 	return changeStatus{t.Blob(ConfigBlob), t.HasAccepted(c.digest) || t.HasAccepted(c.legacyDigest), t.AcceptedFloor()}
 }
 
-// response answers for a change that is decided.
+// response returns the response to a change that has been decided: success if it
+// was accepted, otherwise a version mismatch.
 func (s changeStatus) response() response {
 	if s.accepted {
 		return response{body: empty{}}
@@ -69,22 +79,23 @@
 	return response{status: statusRevisionMismatch, message: "the configuration in force is " + routeconfig.FormatVersion(s.current.GetVersion())}
 }
 
-// readChangeStatus reads, in one step, whether the change was accepted and what
-// is in force.
+// readChangeStatus reads, in one transaction, whether the change has been accepted
+// and which configuration is current.
 func (s *CoreServer) readChangeStatus(r request, c configChange) (changeStatus, error) {
 	return s.transactConfig(r, func(t *coordination.Table, _ time.Duration) coordination.Decision[changeStatus] {
-		found := c.status(t)
-		return coordination.Decision[changeStatus]{Result: found, AlreadyApplied: found.accepted}
+		status := c.status(t)
+		return coordination.Decision[changeStatus]{Result: status, AlreadyApplied: status.accepted}
 	})
 }
 
-// commitChange accepts the change if the configuration that it was checked
-// against is still in force.
+// commitChange replaces the current configuration with next and records the change
+// as accepted, if the current configuration still has the change's base version. It
+// returns the resulting status.
 func (s *CoreServer) commitChange(r request, c configChange, next *meshpb.Blob) (changeStatus, error) {
 	return s.transactConfig(r, func(t *coordination.Table, _ time.Duration) coordination.Decision[changeStatus] {
-		found := c.status(t)
-		if found.accepted || found.current.GetVersion() != c.base {
-			return coordination.Decision[changeStatus]{Result: found, AlreadyApplied: found.accepted}
+		status := c.status(t)
+		if status.accepted || status.current.GetVersion() != c.baseVersion {
+			return coordination.Decision[changeStatus]{Result: status, AlreadyApplied: status.accepted}
 		}
 		return coordination.Decision[changeStatus]{
 			Change: &meshpb.Change{Blob: next, Accepted: &meshpb.AcceptedChange{Version: next.Version, Digest: c.digest}},
@@ -93,53 +104,64 @@
 	})
 }
 
+// transactConfig runs decide in a transaction on the configuration shard. If another
+// member owns the shard, the error is a *notOwnerError.
 func (s *CoreServer) transactConfig(r request, decide func(*coordination.Table, time.Duration) coordination.Decision[changeStatus]) (changeStatus, error) {
 	return callOwner(s, r, coordination.ConfigShard, func(ctx context.Context) (changeStatus, error) {
 		return coordination.Transact(ctx, s.Coordination, coordination.ConfigShard, decide)
 	})
 }
 
-// parsedChange is a change whose body was read.
+// parsedChange is a change whose body has been parsed.
 type parsedChange struct {
+	// version is the version of the configuration that the change creates.
 	version uint64
-	// build makes the next configuration from the one in force.
-	build func(current *meshpb.Config) (routeconfig.Config, error)
+	// apply returns the result of applying the change to the current configuration.
+	// The error is errStoredConfigUnreadable, or says why the result is invalid.
+	apply func(current *meshpb.Config) (routeconfig.Config, error)
 }
 
+// changeParser parses the body of a change. Its errors are reported to the operator.
 type changeParser func(body []byte) (parsedChange, error)
 
-// putConfig replaces the configuration.
+// putConfig handles a PUT of the configuration, which replaces all of it.
 func (s *CoreServer) putConfig(w http.ResponseWriter, r request) { s.changeConfig(w, r, parsePut) }
 
 func parsePut(body []byte) (parsedChange, error) {
 	config, err := routeconfig.Parse(body)
-	build := func(*meshpb.Config) (routeconfig.Config, error) { return config, nil }
-	return parsedChange{config.Version, build}, err
+	apply := func(*meshpb.Config) (routeconfig.Config, error) { return config, nil }
+	return parsedChange{config.Version, apply}, err
 }
 
-// patchConfig changes some resources of the configuration.
+// patchConfig handles a PATCH of the configuration, which adds, replaces and removes
+// individual resources.
 func (s *CoreServer) patchConfig(w http.ResponseWriter, r request) {
 	s.changeConfig(w, r, s.parsePatch)
 }
 
 func (s *CoreServer) parsePatch(body []byte) (parsedChange, error) {
 	patch, err := routeconfig.ParsePatch(body)
-	build := func(current *meshpb.Config) (routeconfig.Config, error) {
+	apply := func(current *meshpb.Config) (routeconfig.Config, error) {
 		if current.Version == 0 {
 			return routeconfig.Config{}, routeconfig.Error.New("there is no configuration to change")
 		}
 		base, err := s.configs.parse(current)
 		if err != nil {
-			return routeconfig.Config{}, errStoredUnreadable
+			return routeconfig.Config{}, errStoredConfigUnreadable
 		}
 		return base.Apply(patch)
 	}
-	return parsedChange{patch.Version, build}, err
+	return parsedChange{patch.Version, apply}, err
 }
 
-// changeConfig carries out a PUT or PATCH of the configuration. It reads the
-// body only if there is room, parses it only if the change is neither accepted
-// already nor made for an outdated version, and large ones one by one.
+// changeConfig handles a PUT or PATCH of the configuration. To limit memory, it reads
+// the body only while the bodies of all pending changes are within
+// maxPendingBodyBytes, and parses large bodies one at a time.
+//
+// It responds without parsing the body if the change has already been accepted, or if
+// its base version is outdated and no accepted change has been dropped from the
+// record. If some were dropped, only the new version, which is in the body, shows
+// whether this change may be one of them.
 func (s *CoreServer) changeConfig(w http.ResponseWriter, r request, parse changeParser) {
 	releaseBody, ok := s.bodies.reserve(r.ContentLength)
 	if !ok {
@@ -152,14 +174,14 @@
 		errorResponse(err).write(w)
 		return
 	}
-	found, err := s.readChangeStatus(r, change)
+	status, err := s.readChangeStatus(r, change)
 	if err != nil {
 		errorResponse(err).write(w)
 		return
 	}
-	outdated := found.current.GetVersion() != change.base
-	if found.accepted || outdated && found.floor == 0 {
-		found.response().write(w)
+	outdated := status.current.GetVersion() != change.baseVersion
+	if status.accepted || outdated && status.acceptedFloor == 0 {
+		status.response().write(w)
 		return
 	}
 	releaseTurn, ok := s.waitForBulkTurn(r.Context(), len(body))
@@ -168,55 +190,58 @@
 		return
 	}
 	defer releaseTurn()
-	s.checkAndCommit(r, change, found, body, parse).write(w)
+	s.checkAndCommit(r, change, status, body, parse).write(w)
 }
 
-// readConfigChange reads the body and the base version.
+// readConfigChange reads the body and the base version of a request and returns the
+// change that they identify, together with the body.
 func readConfigChange(w http.ResponseWriter, r request) (configChange, []byte, error) {
-	control := http.NewResponseController(w)
-	// Writers without deadlines are those of tests.
-	_ = control.SetReadDeadline(time.Now().Add(configBodyTimeout))
+	controller := http.NewResponseController(w)
+	// The error is ignored: only the response writers of tests do not support read
+	// deadlines.
+	_ = controller.SetReadDeadline(time.Now().Add(configBodyTimeout))
 	body, err := readBody(w, r, maxConfigBytes)
 	if err != nil {
 		return configChange{}, nil, err
 	}
-	_ = control.SetReadDeadline(time.Time{})
-	base, err := routeconfig.ParseVersion(r.Header.Get(baseVersionHeader))
+	_ = controller.SetReadDeadline(time.Time{})
+	baseVersion, err := routeconfig.ParseVersion(r.Header.Get(baseVersionHeader))
 	if err != nil {
 		return configChange{}, nil, errMalformed(baseVersionHeader + ": " + err.Error())
 	}
-	return newConfigChange(r.Method, base, body), body, nil
+	return newConfigChange(r.Method, baseVersion, body), body, nil
 }
 
+// waitForBulkTurn waits up to RetryTimeout until a body of this size may be parsed.
 func (s *CoreServer) waitForBulkTurn(ctx context.Context, size int) (release func(), ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.RetryTimeout)
 	defer cancel()
 	return s.bodies.waitForTurn(ctx, size)
 }
 
-// checkAndCommit parses a change, checks it against the configuration that was
-// found in force, and commits it.
-func (s *CoreServer) checkAndCommit(r request, change configChange, found changeStatus, body []byte, parse changeParser) response {
+// checkAndCommit parses a change, validates it against status, which was read before,
+// and commits it.
+func (s *CoreServer) checkAndCommit(r request, change configChange, status changeStatus, body []byte, parse changeParser) response {
 	parsed, err := parse(body)
 	switch {
 	case err != nil:
 		return errorResponse(errInvalid(err.Error()))
-	case parsed.version <= found.floor:
-		// It may have been accepted and forgotten.
+	case parsed.version <= status.acceptedFloor:
+		// It may have been accepted and then dropped from the record.
 		return errorResponse(errOutcomeUnknown)
-	case found.current.GetVersion() != change.base:
-		return found.response()
-	case parsed.version <= change.base:
-		return errorResponse(errInvalid("stamp " + routeconfig.FormatVersion(parsed.version) + " is not above " + routeconfig.FormatVersion(change.base)))
+	case status.current.GetVersion() != change.baseVersion:
+		return status.response()
+	case parsed.version <= change.baseVersion:
+		return errorResponse(errInvalid("stamp " + routeconfig.FormatVersion(parsed.version) + " is not above " + routeconfig.FormatVersion(change.baseVersion)))
 	}
-	current, err := decodeConfig(found.current)
+	current, err := decodeConfig(status.current)
 	if err != nil {
 		current = &meshpb.Config{}
 	}
-	current.Version = change.base
-	config, err := parsed.build(current)
+	current.Version = change.baseVersion
+	config, err := parsed.apply(current)
 	switch {
-	case errors.Is(err, errStoredUnreadable):
+	case errors.Is(err, errStoredConfigUnreadable):
 		return errorResponse(errOutcomeUnknown)
 	case err != nil:
 		return errorResponse(errInvalid(err.Error()))
@@ -231,12 +256,13 @@
 		return errorResponse(err)
 	}
 	if decided.accepted {
-		s.accepted(config)
+		s.handleAcceptedConfig(config)
 	}
 	return decided.response()
 }
 
-func (s *CoreServer) accepted(config routeconfig.Config) {
+// handleAcceptedConfig caches an accepted configuration and calls OnConfigAccepted.
+func (s *CoreServer) handleAcceptedConfig(config routeconfig.Config) {
 	s.configs.set(config)
 	if s.OnConfigAccepted != nil {
 		s.OnConfigAccepted(config.Version)
--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -54,7 +54,7 @@
 	return changes
 }
 
-func (c *cluster) expectAll(changes []operatorRequest, code int, when string) {
+func (c *cluster) expectCode(changes []operatorRequest, code int, when string) {
 	c.t.Helper()
 	for i, change := range changes {
 		got, body := c.sendUntilDecided(i, change)
@@ -66,14 +66,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		core := newCluster(t, 1)
 		changes := changeSequence(1000)
-		core.expectAll(changes, 200, "at first")
-		core.expectAll(changes, 200, "at the end")
+		core.expectCode(changes, 200, "at first")
+		core.expectCode(changes, 200, "at the end")
 		size := totalSize(core.members[0].disk.readAll())
 		qt.Assert(t, size < 400<<10, qt.IsTrue, qt.Commentf("%d bytes on disk", size))
 		core.close()
 		core = newCluster(t, 1, core.members[0].disk)
 		defer core.close()
-		core.expectAll(changes, 200, "after a restart")
+		core.expectCode(changes, 200, "after a restart")
 		for _, change := range changes[len(changes)-20:] {
 			change.body += " "
 			code, body := core.sendUntilDecided(0, change)
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestOneOfTwoChangesToOneVersionIsAcceptedDespiteFaults(t *testing.T) {
+func TestOnlyOneOfTwoConflictingChangesIsAcceptedDespiteFaults(t *testing.T) {
 	for name, inject := range map[string]func(*cluster, *member){
 		"nothing": func(*cluster, *member) {},
 		"the owner is killed": func(core *cluster, m *member) {
@@ -99,11 +99,11 @@
 			m.kill()
 			m.disk = &memoryDisk{}
 			m.start(false)
-			next := core.owner()
+			nextOwner := core.owner()
 			time.Sleep(6 * time.Second)
-			next.kill()
+			nextOwner.kill()
 			core.owner()
-			next.start(false)
+			nextOwner.start(false)
 		},
 		"all restart": func(core *cluster, _ *member) {
 			core.close()
@@ -116,31 +116,31 @@
 			core := newCluster(t, 3)
 			defer core.close()
 			changes := changeSequence(12)
-			core.expectAll(changes, 200, "at first")
+			core.expectCode(changes, 200, "at first")
 			base, _ := routeconfig.ParseVersion(core.currentVersion())
-			for i, pair := range []struct{ one, two operatorRequest }{
+			for i, pair := range []struct{ first, second operatorRequest }{
 				{putChange(base+5, base, "one"), putChange(base+5, base, "two")},
 				{patchChange(base+9, base+5, "one"), patchChange(base+9, base+5, "two")},
 				{patchChange(base+12, base+9, "one"), putChange(base+12, base+9, "two")},
 				{patchChange(base+15, base+12, "same"), patchChange(base+15, base+9, "same")},
 			} {
 				comment := qt.Commentf("%s, pair %d", name, i)
-				code, _ := core.sendUntilDecided(i, pair.one)
+				code, _ := core.sendUntilDecided(i, pair.first)
 				qt.Assert(t, code, qt.Equals, 200, comment)
 				inject(core, core.owner())
-				code, _ = core.sendUntilDecided(i+1, pair.two)
+				code, _ = core.sendUntilDecided(i+1, pair.second)
 				qt.Assert(t, code, qt.Equals, 412, comment)
-				code, _ = core.sendUntilDecided(i+2, pair.one)
+				code, _ = core.sendUntilDecided(i+2, pair.first)
 				qt.Assert(t, code, qt.Equals, 200, comment)
 			}
 			for i := range core.members {
-				core.expectAll(changes, 200, fmt.Sprint(name, ", member ", i))
+				core.expectCode(changes, 200, fmt.Sprint(name, ", member ", i))
 			}
 		})
 	}
 }
 
-func TestConcurrentSendingsOfOneChangeGetOneAnswer(t *testing.T) {
+func TestConcurrentCopiesOfOneChangeGetTheSameStatus(t *testing.T) {
 	for _, row := range []struct {
 		stalled bool
 		code    int
@@ -148,7 +148,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			core := newCluster(t, 1)
 			defer core.close()
-			core.expectAll(changeSequence(1), 200, "at first")
+			core.expectCode(changeSequence(1), 200, "at first")
 			if row.stalled {
 				synctest.Wait()
 				defer core.members[0].disk.block()()
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestLargeChangesAreCheckedOneByOneAndRefusedUnread(t *testing.T) {
+func TestLargeChangesAreCheckedOneAtATimeWithinTheMemoryLimit(t *testing.T) {
 	pad := func(change operatorRequest, n int) operatorRequest {
 		change.body += strings.Repeat(" ", n)
 		return change
@@ -213,7 +213,7 @@
 		core := newCluster(t, 1)
 		defer core.close()
 		server := core.members[0].server
-		core.expectAll(changeSequence(1), 200, "at first")
+		core.expectCode(changeSequence(1), 200, "at first")
 		for _, row := range []struct {
 			name     string
 			turnHeld bool
@@ -251,7 +251,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core := newCluster(t, 1)
 		defer core.close()
-		core.expectAll(changeSequence(1), 200, "at first")
+		core.expectCode(changeSequence(1), 200, "at first")
 		for _, change := range []operatorRequest{putChange(5, 1, "h"), patchChange(5, 1, "h"), {"PUT", "/-/cells/g.a", "", `{"payload":"v"}`}, {"POST", "/-/locks/l", "", `{"holderId":"a","holdS":3}`}} {
 			httpRequest := httptest.NewRequest(change.method, change.path, io.MultiReader(strings.NewReader(change.body), iotest.ErrReader(io.ErrUnexpectedEOF)))
 			httpRequest.Header.Set("If-Match", change.base)
@@ -279,14 +279,14 @@
 		if change.method == "PUT" {
 			config, _ = routeconfig.Parse([]byte(change.body))
 		} else {
-			p, _ := routeconfig.ParsePatch([]byte(change.body))
-			config, _ = config.Apply(p)
+			patch, _ := routeconfig.ParsePatch([]byte(change.body))
+			config, _ = config.Apply(patch)
 		}
 		legacy.Accepted = append(legacy.Accepted, &meshpb.AcceptedChange{Version: config.Version, Digest: legacyDigest(change)})
 		legacy.Accepted = legacy.Accepted[max(0, len(legacy.Accepted)-256):]
 		stored, _ := proto.Marshal(&meshpb.Config{Version: config.Version, Packed: rpc.Pack(config.Marshal())})
-		record, _ := proto.Marshal(legacy)
-		blob := &meshpb.Blob{Name: "configuration", Data: append(stored, record...), Version: config.Version}
+		legacyData, _ := proto.Marshal(legacy)
+		blob := &meshpb.Blob{Name: "configuration", Data: append(stored, legacyData...), Version: config.Version}
 		if i == len(changes)-5 {
 			appendRecord(&meshpb.Record{State: &meshpb.ShardState{Epoch: 1, Version: uint64(i), Blobs: []*meshpb.Blob{blob}}})
 		} else if i > len(changes)-5 {
@@ -304,24 +304,24 @@
 			core := newCluster(t, 1, disk)
 			base, _ := routeconfig.ParseVersion(core.currentVersion())
 			known := changes[max(0, n-4-256):]
-			core.expectAll(known, 200, "after the upgrade")
+			core.expectCode(known, 200, "after the upgrade")
 			for _, change := range changes[:n-len(known)] {
 				code, _ := core.sendOnce("m0", change)
 				qt.Assert(t, code, qt.Equals, 500, qt.Commentf("forgotten, so unclear: %s", change.body))
 			}
 			next := []operatorRequest{putChange(base+1, base, "x"), patchChange(base+4, base+1, "y"), putChange(base+5, base+4, "z")}
-			core.expectAll(next, 200, "after the upgrade")
+			core.expectCode(next, 200, "after the upgrade")
 			core.close()
 			core = newCluster(t, 1, disk)
 			defer core.close()
-			core.expectAll(append(next, known...), 200, "after a restart")
+			core.expectCode(append(next, known...), 200, "after a restart")
 			code, _ := core.sendUntilDecided(0, putChange(base+2, base, "late"))
 			qt.Assert(t, code, qt.Equals, 412)
 		})
 	}
 }
 
-func TestUnreadableConfigurationIsNotReportedAsRefusal(t *testing.T) {
+func TestUnreadableStoredConfigIsReportedAsUnknownOutcome(t *testing.T) {
 	for _, data := range [][]byte{{0xff}, {18, 1, 0xff}} {
 		synctest.Test(t, func(t *testing.T) {
 			disk := legacyDisk(changeSequence(8))
--- a/internal/controlapi/config_growth_test.go
+++ b/internal/controlapi/config_growth_test.go
@@ -16,7 +16,7 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func manyRoutes(n int) string {
+func configWithRoutes(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"stamp":"r1","resourceList":[`)
 	for i := range n {
@@ -26,31 +26,31 @@
 	return b.String()
 }
 
-func totalSize(recs [][]byte) (total int) {
-	for _, record := range recs {
+func totalSize(records [][]byte) (total int) {
+	for _, record := range records {
 		total += len(record)
 	}
 	return total
 }
 
-var manyChanges = flag.Int("changes", 300, "how many changes the long run has")
+var longRunChanges = flag.Int("changes", 300, "how many changes the long run has")
 
 // However many changes there were, the disk, a start and the catching up of a
 // member that missed all of them cost what the state costs.
 func TestDiskStartAndCatchUpCostsDoNotGrowWithChanges(t *testing.T) {
 	limits := map[string]float64{}
-	for _, n := range []int{50, *manyChanges} {
+	for _, n := range []int{50, *longRunChanges} {
 		var records [][]byte
 		var catchUp time.Duration
 		synctest.Test(t, func(t *testing.T) {
 			core := newCluster(t, 3)
 			defer core.close()
 			time.Sleep(3 * time.Second)
-			put := operatorRequest{"PUT", "/-/configuration", "r0", manyRoutes(1400)}
+			put := operatorRequest{"PUT", "/-/configuration", "r0", configWithRoutes(1400)}
 			code, body := core.sendUntilDecided(0, put)
 			qt.Assert(t, code, qt.Equals, 200, qt.Commentf(body))
-			stopped := core.members[2]
-			stopped.kill()
+			restarted := core.members[2]
+			restarted.kill()
 			time.Sleep(3 * time.Second)
 			for i := range n {
 				patch := fmt.Sprintf(`{"stamp":"r%d","upserts":{"resourceList":[{"variant":"bindingList","metadata":{"name":"b%d"},"specification":{"hostname":"h%d.example","pathPrefix":"/q%d/","bindingKind":"pure","timeoutS":2,"targetS":0.5,"rank":2,"serviceName":"s","maxAttempts":2}}]}}`, i+2, i%1400, i, i)
@@ -60,14 +60,14 @@
 			owner := core.owner()
 			records = owner.disk.readAll()
 			started := time.Now()
-			stopped.start(false)
-			current, _ := core.incarnationAt(stopped.addr)
-			same := func() bool {
+			restarted.start(false)
+			current, _ := core.incarnationAt(restarted.addr)
+			caughtUp := func() bool {
 				a, _ := mailbox.Call(owner.mailbox, func() uint64 { return owner.replica.ShardStatuses()[0].Version })
 				b, _ := mailbox.Call(current.mailbox, func() uint64 { return current.replica.ShardStatuses()[0].Version })
 				return a == b
 			}
-			for !same() && time.Since(started) < 20*time.Second {
+			for !caughtUp() && time.Since(started) < 20*time.Second {
 				time.Sleep(10 * time.Millisecond)
 			}
 			catchUp = time.Since(started)
--- a/internal/controlapi/config_store.go
+++ b/internal/controlapi/config_store.go
@@ -15,18 +15,20 @@
 )
 
 const (
-	// ConfigBlob names the blob that holds the configuration in force.
+	// ConfigBlob is the name of the blob that holds the current configuration.
 	ConfigBlob = coordination.ConfigBlob
 
-	// maxConfigBytes bounds a configuration as it is sent.
+	// maxConfigBytes is the maximum size of the body of a configuration change.
 	maxConfigBytes = 16 << 20
-	// maxPatchBytes and maxPatches bound the patches kept beside a configuration.
+	// maxPatchBytes is the maximum total size of the patches that are stored with a
+	// configuration.
 	maxPatchBytes = 192 << 10
-	maxPatches    = 24
+	// maxPatches is the maximum number of these patches.
+	maxPatches = 24
 )
 
-// StoredConfig reads the configuration in force; empty where there is none that
-// can be read.
+// StoredConfig returns the current configuration from the state of the configuration
+// shard. It is empty if there is none or if it cannot be decoded.
 func StoredConfig(t replication.StateMachine) *meshpb.Config {
 	config, err := decodeConfig(t.Blob(ConfigBlob))
 	if err != nil {
@@ -35,6 +37,8 @@
 	return config
 }
 
+// decodeConfig decodes the content of a configuration blob. It returns an empty
+// configuration if the blob is nil.
 func decodeConfig(b *meshpb.Blob) (*meshpb.Config, error) {
 	config := &meshpb.Config{}
 	if err := proto.Unmarshal(b.GetData(), config); err != nil {
@@ -43,7 +47,8 @@
 	return config, nil
 }
 
-// getConfig answers with the configuration in force as it was sent.
+// getConfig handles a GET of the configuration. It returns the current configuration
+// as JSON, each resource byte for byte as the operator sent it.
 func (s *CoreServer) getConfig(r request, _ empty) (rawJSON, error) {
 	blob, err := callOwner(s, r, coordination.ConfigShard, func(ctx context.Context) (*meshpb.Blob, error) {
 		return coordination.Transact(ctx, s.Coordination, coordination.ConfigShard,
@@ -68,22 +73,23 @@
 	return text, nil
 }
 
-// encodeConfig writes a configuration as it is stored: the whole of it, and the
-// patches that lead to it from the configurations before, by which any master
-// brings nodes up to date.
+// encodeConfig returns the stored form of a configuration, which follows current. It
+// contains the full configuration and the patches that lead to it from the preceding
+// ones, so that any master can update nodes that have one of those.
 func (s *CoreServer) encodeConfig(current *meshpb.Config, config routeconfig.Config) ([]byte, error) {
 	next := &meshpb.Config{Version: config.Version, Packed: rpc.Pack(config.Marshal())}
 	if current.Version > 0 {
 		if previous, err := s.configs.parse(current); err == nil {
 			patch := &meshpb.ConfigPatch{BaseVersion: current.Version, Version: config.Version, Patch: rpc.Pack(config.PatchFrom(previous))}
-			next.Patches = boundPatches(append(current.Patches, patch))
+			next.Patches = newestPatches(append(current.Patches, patch))
 		}
 	}
 	return proto.Marshal(next)
 }
 
-// boundPatches keeps the newest patches within the bounds.
-func boundPatches(patches []*meshpb.ConfigPatch) []*meshpb.ConfigPatch {
+// newestPatches returns the newest patches, as many as maxPatchBytes and maxPatches
+// allow.
+func newestPatches(patches []*meshpb.ConfigPatch) []*meshpb.ConfigPatch {
 	size := 0
 	for i := len(patches) - 1; i >= 0; i-- {
 		size += len(patches[i].Patch)
@@ -94,14 +100,15 @@
 	return patches
 }
 
-// configCache keeps the configuration that was read or accepted last, so that a
-// change to it need not parse it again. It is safe for concurrent use.
+// configCache holds the configuration that was parsed or accepted last, so that a
+// change to it does not have to parse it again. It is safe for concurrent use.
 type configCache struct {
 	mu   sync.Mutex
 	last routeconfig.Config
 }
 
-// parse reads a stored configuration.
+// parse returns a stored configuration in parsed form. It parses the configuration
+// only if the cached one has another version.
 func (c *configCache) parse(stored *meshpb.Config) (routeconfig.Config, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlapi/operators_test.go
+++ b/internal/controlapi/operators_test.go
@@ -16,8 +16,8 @@
 
 var seeds = flag.Int64("seeds", 12, "how many runs of operators and faults to try")
 
-// operatorLog is what the operators know of their changes.
-type operatorLog struct {
+// operatorHistory is what the operators know of their changes.
+type operatorHistory struct {
 	t        *testing.T
 	name     string
 	mu       sync.Mutex
@@ -26,49 +26,49 @@
 	newest   uint64
 }
 
-func (l *operatorLog) newestSeen() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.newest
+func (h *operatorHistory) newestSeen() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.newest
 }
 
-// observe records a version that was shown or acknowledged; none below it may be shown
+// recordSeen records a version that was shown or acknowledged; none below it may be shown
 // to a call that is sent afterwards.
-func (l *operatorLog) observe(version, floor uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (h *operatorHistory) recordSeen(version, floor uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if version < floor {
-		l.t.Errorf("%s: %s is shown behind %s", l.name, formatVersion(version), formatVersion(floor))
+		h.t.Errorf("%s: %s is shown behind %s", h.name, formatVersion(version), formatVersion(floor))
 	}
-	l.newest = max(l.newest, version)
+	h.newest = max(h.newest, version)
 }
 
-func (l *operatorLog) record(change operatorRequest, version uint64, code int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (h *operatorHistory) recordResult(change operatorRequest, version uint64, code int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if code >= 400 {
-		if _, known := l.accepted[change]; known {
-			l.t.Errorf("%s: %s %s was accepted and is refused with %d", l.name, change.method, formatVersion(version), code)
+		if _, known := h.accepted[change]; known {
+			h.t.Errorf("%s: %s %s was accepted and is refused with %d", h.name, change.method, formatVersion(version), code)
 		}
-		l.refused[change] = version
+		h.refused[change] = version
 		return
 	}
-	if _, known := l.refused[change]; known {
-		l.t.Errorf("%s: %s %s was refused and is accepted", l.name, change.method, formatVersion(version))
+	if _, known := h.refused[change]; known {
+		h.t.Errorf("%s: %s %s was refused and is accepted", h.name, change.method, formatVersion(version))
 	}
-	for other, otherVersion := range l.accepted {
+	for other, otherVersion := range h.accepted {
 		if otherVersion == version && other != change {
-			l.t.Errorf("%s: two changes were accepted under %s", l.name, formatVersion(version))
+			h.t.Errorf("%s: two changes were accepted under %s", h.name, formatVersion(version))
 		}
 	}
-	l.accepted[change] = version
-	l.newest = max(l.newest, version)
+	h.accepted[change] = version
+	h.newest = max(h.newest, version)
 }
 
-func (l *operatorLog) pickAccepted(n int) (operatorRequest, uint64, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for change, version := range l.accepted {
+func (h *operatorHistory) pickAccepted(n int) (operatorRequest, uint64, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for change, version := range h.accepted {
 		if n--; n < 0 {
 			return change, version, true
 		}
@@ -78,7 +78,7 @@
 
 // sendChange sends until the answer is definite, a second to each member; late
 // answers are lost.
-func (c *cluster) sendChange(rng *rand.Rand, log *operatorLog, change operatorRequest, version uint64) {
+func (c *cluster) sendChange(rng *rand.Rand, history *operatorHistory, change operatorRequest, version uint64) {
 	for range 30 {
 		to := c.members[rng.Intn(len(c.members))].addr
 		codes := make(chan int, 1)
@@ -90,7 +90,7 @@
 		case code := <-codes:
 			if code == 200 || code >= 400 && code < 500 {
 				if rng.Intn(5) > 0 {
-					log.record(change, version, code)
+					history.recordResult(change, version, code)
 					return
 				}
 			}
@@ -100,14 +100,14 @@
 	}
 }
 
-func (c *cluster) runOperator(rng *rand.Rand, log *operatorLog, end time.Time) {
+func (c *cluster) runOperator(rng *rand.Rand, history *operatorHistory, end time.Time) {
 	for i := 0; time.Now().Before(end); i++ {
-		if repeated, version, ok := log.pickAccepted(rng.Intn(12)); ok && rng.Intn(3) == 0 {
-			c.sendChange(rng, log, repeated, version)
+		if resent, version, ok := history.pickAccepted(rng.Intn(12)); ok && rng.Intn(3) == 0 {
+			c.sendChange(rng, history, resent, version)
 		}
 		time.Sleep(time.Duration(1+rng.Intn(100)) * time.Millisecond)
 		var base uint64
-		floor := log.newestSeen()
+		floor := history.newestSeen()
 		if code, body := c.sendOnce(c.members[rng.Intn(len(c.members))].addr, operatorRequest{method: "GET", path: configPath}); code == 200 {
 			config, err := routeconfig.Parse([]byte(body))
 			qt.Check(c.t, err, qt.IsNil)
@@ -115,14 +115,14 @@
 		} else if code != 404 {
 			continue
 		}
-		log.observe(base, floor)
+		history.recordSeen(base, floor)
 		time.Sleep(time.Duration(rng.Intn(100)) * time.Millisecond)
 		version := base + 1 + uint64(rng.Intn(2))
 		host := fmt.Sprintf("h%d.%d", i, rng.Int31())
 		if base > 0 && rng.Intn(2) == 0 {
-			c.sendChange(rng, log, patchChange(version, base, host), version)
+			c.sendChange(rng, history, patchChange(version, base, host), version)
 		} else {
-			c.sendChange(rng, log, putChange(version, base, host), version)
+			c.sendChange(rng, history, putChange(version, base, host), version)
 		}
 	}
 }
@@ -170,25 +170,25 @@
 		synctest.Test(t, func(t *testing.T) {
 			core := newCluster(t, 3)
 			defer core.close()
-			log := &operatorLog{t: t, name: fmt.Sprint("seed ", seed), accepted: map[operatorRequest]uint64{}, refused: map[operatorRequest]uint64{}}
+			history := &operatorHistory{t: t, name: fmt.Sprint("seed ", seed), accepted: map[operatorRequest]uint64{}, refused: map[operatorRequest]uint64{}}
 			end := time.Now().Add(25 * time.Second)
 			var wg sync.WaitGroup
 			for i := range int64(2) {
-				wg.Go(func() { core.runOperator(rand.New(rand.NewSource(2*seed+i)), log, end) })
+				wg.Go(func() { core.runOperator(rand.New(rand.NewSource(2*seed+i)), history, end) })
 			}
 			wg.Go(func() { core.injectFaults(rand.New(rand.NewSource(-seed)), end) })
 			wg.Wait()
 			current, _ := routeconfig.ParseVersion(core.currentVersion())
-			for change, version := range log.accepted {
-				qt.Check(t, version <= current, qt.IsTrue, qt.Commentf("%s: %s was accepted, %s is in force", log.name, formatVersion(version), formatVersion(current)))
+			for change, version := range history.accepted {
+				qt.Check(t, version <= current, qt.IsTrue, qt.Commentf("%s: %s was accepted, %s is in force", history.name, formatVersion(version), formatVersion(current)))
 				code, _ := core.sendUntilDecided(int(seed), change)
-				qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s: %s at the end", log.name, formatVersion(version)))
+				qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s: %s at the end", history.name, formatVersion(version)))
 			}
-			for change, version := range log.refused {
+			for change, version := range history.refused {
 				code, _ := core.sendUntilDecided(int(seed), change)
-				qt.Check(t, code, qt.Not(qt.Equals), 200, qt.Commentf("%s: %s was refused", log.name, formatVersion(version)))
+				qt.Check(t, code, qt.Not(qt.Equals), 200, qt.Commentf("%s: %s was refused", history.name, formatVersion(version)))
 			}
-			accepted, refused = accepted+len(log.accepted), refused+len(log.refused)
+			accepted, refused = accepted+len(history.accepted), refused+len(history.refused)
 		})
 		if t.Failed() {
 			t.Fatalf("with seed %d", seed)
