--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -24,6 +24,8 @@
 
 func formatVersion(n uint64) string { return routeconfig.FormatVersion(n) }
 
+// putChange returns a PUT that replaces version base, 0 for none, by a configuration
+// with the given version and one route for host.
 func putChange(version, base uint64, host string) operatorRequest {
 	baseText := formatVersion(base)
 	if base == 0 {
@@ -32,13 +34,15 @@
 	return operatorRequest{"PUT", configPath, baseText, configText(formatVersion(version), host)}
 }
 
+// patchChange returns a PATCH of version base that adds or replaces a route for host.
+// The version determines which of seven routes it is.
 func patchChange(version, base uint64, host string) operatorRequest {
 	return operatorRequest{"PATCH", configPath, formatVersion(base), `{"stamp":"` + formatVersion(version) + `","upserts":{"resourceList":[{"variant":"bindingList","metadata":{"name":"p` +
 		fmt.Sprint(version%7) + `"},"specification":{"hostname":"` + host + `","pathPrefix":"/p` + fmt.Sprint(version%7) + `/","bindingKind":"pure","serviceName":"s"}}]}}`}
 }
 
-// changeSequence is n changes, each to the version before, by uneven steps, PUT
-// and PATCH.
+// changeSequence returns n changes, some PUT and some PATCH. Each is based on the
+// version of the one before it, and the versions increase by 1 to 3.
 func changeSequence(n int) []operatorRequest {
 	var changes []operatorRequest
 	var base uint64
@@ -54,6 +58,8 @@
 	return changes
 }
 
+// expectCode sends each change until it gets a definite response and checks the
+// response's status code.
 func (c *cluster) expectCode(changes []operatorRequest, code int, when string) {
 	c.t.Helper()
 	for i, change := range changes {
@@ -62,6 +68,9 @@
 	}
 }
 
+// An accepted change that is sent again must be reported as accepted, also after many
+// later changes and after a restart. A request that differs only in its body is another
+// change and must be rejected. The record of accepted changes must stay small on disk.
 func TestAcceptedChangesAreRecognizedWhenRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newCluster(t, 1)
@@ -77,25 +86,28 @@
 		for _, change := range changes[len(changes)-20:] {
 			change.body += " "
 			code, body := core.sendUntilDecided(0, change)
-			qt.Assert(t, code, qt.Equals, 412, qt.Commentf("another body: %s", body))
+			qt.Assert(t, code, qt.Equals, 412, qt.Commentf("same base version, different body: %s", body))
 		}
 	})
 }
 
+// Of two changes with the same version, the one that is sent after the other has been
+// accepted must be rejected, and the accepted one must be recognized when it is sent
+// again, whatever happens to the shard's owner in between.
 func TestOnlyOneOfTwoConflictingChangesIsAcceptedDespiteFaults(t *testing.T) {
 	for name, inject := range map[string]func(*cluster, *member){
-		"nothing": func(*cluster, *member) {},
-		"the owner is killed": func(core *cluster, m *member) {
+		"no fault": func(*cluster, *member) {},
+		"the owner is killed and another member takes over": func(core *cluster, m *member) {
 			m.kill()
 			core.owner()
 			m.start(false)
 		},
-		"the owner is cut off": func(core *cluster, m *member) {
+		"the owner is disconnected for a while": func(core *cluster, m *member) {
 			core.setDisconnected(m.addr, true)
 			core.owner()
 			core.setDisconnected(m.addr, false)
 		},
-		"the owner loses its disk and the next one dies": func(core *cluster, m *member) {
+		"the owner loses its disk and the next owner is killed": func(core *cluster, m *member) {
 			m.kill()
 			m.disk = &memoryDisk{}
 			m.start(false)
@@ -105,7 +117,7 @@
 			core.owner()
 			nextOwner.start(false)
 		},
-		"all restart": func(core *cluster, _ *member) {
+		"all members restart": func(core *cluster, _ *member) {
 			core.close()
 			for _, m := range core.members {
 				m.start(false)
@@ -140,16 +152,19 @@
 	}
 }
 
+// Copies of one change that are processed concurrently must all get the same status: 200
+// if the change can be committed. While the disk is blocked it must be 500 (outcome
+// unknown), not 503 (nothing was done).
 func TestConcurrentCopiesOfOneChangeGetTheSameStatus(t *testing.T) {
 	for _, row := range []struct {
-		stalled bool
-		code    int
+		diskBlocked bool
+		code        int
 	}{{false, 200}, {true, 500}} {
 		synctest.Test(t, func(t *testing.T) {
 			core := newCluster(t, 1)
 			defer core.close()
 			core.expectCode(changeSequence(1), 200, "at first")
-			if row.stalled {
+			if row.diskBlocked {
 				synctest.Wait()
 				defer core.members[0].disk.block()()
 			}
@@ -165,6 +180,7 @@
 	}
 }
 
+// currentVersion returns the version of the current configuration in text form.
 func (c *cluster) currentVersion() string {
 	_, body := c.sendUntilDecided(0, operatorRequest{method: "GET", path: configPath})
 	config, err := routeconfig.Parse([]byte(body))
@@ -172,13 +188,16 @@
 	return formatVersion(config.Version)
 }
 
+// While the disk is blocked, a change is decided but not committed. All copies of the
+// request must get 500 (outcome unknown), and a conflicting request 503 (nothing was
+// done). Once the disk works again, the first change must succeed and the other fail.
 func TestUncommittedChangeIsNotReportedAsDone(t *testing.T) {
 	for name, row := range map[string]struct {
 		setup, change, conflicting operatorRequest
 	}{
-		"put of the configuration": {putChange(1, 0, "h"), putChange(5, 1, "i"), putChange(5, 1, "j")},
-		"patch":                    {putChange(1, 0, "h"), patchChange(5, 1, "i"), patchChange(5, 1, "j")},
-		"put of a cell":            {operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"u"}`}, operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"v","topic":1}`}, operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"w","topic":1}`}},
+		"PUT of the configuration":   {putChange(1, 0, "h"), putChange(5, 1, "i"), putChange(5, 1, "j")},
+		"PATCH of the configuration": {putChange(1, 0, "h"), patchChange(5, 1, "i"), patchChange(5, 1, "j")},
+		"PUT of a cell":              {operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"u"}`}, operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"v","topic":1}`}, operatorRequest{"PUT", "/-/cells/g.a", "", `{"payload":"w","topic":1}`}},
 		"release of a lock": {operatorRequest{"POST", "/-/locks/l", "", `{"holderId":"a","holdS":60}`}, operatorRequest{"DELETE", "/-/locks/l", "", `{"holderId":"a","fenceNo":1}`},
 			operatorRequest{"PUT", "/-/locks/l", "", `{"holderId":"a","fenceNo":1,"holdS":9}`}},
 	} {
@@ -191,19 +210,23 @@
 			unblock := core.members[0].disk.block()
 			for i := range 3 {
 				code, _ = core.sendOnce("m0", row.change)
-				qt.Check(t, code, qt.Equals, 500, qt.Commentf("%s, sending %d", name, i))
+				qt.Check(t, code, qt.Equals, 500, qt.Commentf("%s, request %d", name, i))
 			}
 			code, _ = core.sendOnce("m0", row.conflicting)
-			qt.Check(t, code, qt.Equals, 503, qt.Commentf("%s: nothing was done", name))
+			qt.Check(t, code, qt.Equals, 503, qt.Commentf("%s: conflicting request", name))
 			unblock()
 			code, _ = core.sendUntilDecided(0, row.change)
-			qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s, once it is committed", name))
+			qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s, after the commit", name))
 			code, _ = core.sendUntilDecided(0, row.conflicting)
-			qt.Check(t, code == 409 || code == 412, qt.IsTrue, qt.Commentf("%s: %d", name, code))
+			qt.Check(t, code == 409 || code == 412, qt.IsTrue, qt.Commentf("%s: conflicting request after the commit: %d", name, code))
 		})
 	}
 }
 
+// Checking a change takes a multiple of its size in memory. Large changes must be checked
+// one at a time, and a change must be rejected, before its body is read, if the pending
+// bodies would exceed their limit. Small, repeated and outdated changes must not wait for
+// a large one.
 func TestLargeChangesAreCheckedOneAtATimeWithinTheMemoryLimit(t *testing.T) {
 	pad := func(change operatorRequest, n int) operatorRequest {
 		change.body += strings.Repeat(" ", n)
@@ -216,28 +239,28 @@
 		core.expectCode(changeSequence(1), 200, "at first")
 		for _, row := range []struct {
 			name     string
-			turnHeld bool
+			bulkBusy bool
 			pending  int64
 			change   operatorRequest
 			code     int
 		}{
-			{"large, while another is read", true, 0, pad(putChange(5, 1, "a"), bulkBodyBytes), 503},
-			{"small, while a large one is read", true, 0, putChange(5, 1, "b"), 200},
-			{"known, while a large one is read", true, 0, putChange(5, 1, "b"), 200},
-			{"late, while a large one is read", true, 0, pad(putChange(7, 1, "c"), bulkBodyBytes), 412},
-			{"with no room for bodies", false, maxPendingBodyBytes - 10, putChange(9, 5, "d"), 503},
+			{"large, while another large one is checked", true, 0, pad(putChange(5, 1, "a"), bulkBodyBytes), 503},
+			{"small, while a large one is checked", true, 0, putChange(5, 1, "b"), 200},
+			{"already accepted, while a large one is checked", true, 0, putChange(5, 1, "b"), 200},
+			{"outdated, while a large one is checked", true, 0, pad(putChange(7, 1, "c"), bulkBodyBytes), 412},
+			{"pending bodies at the limit", false, maxPendingBodyBytes - 10, putChange(9, 5, "d"), 503},
 			{"too large", false, 0, pad(putChange(9, 5, "e"), maxConfigBytes), 413},
 			{"large", false, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
-			{"large, known", true, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
+			{"large and already accepted, while another is checked", true, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
 		} {
-			if row.turnHeld {
+			if row.bulkBusy {
 				server.bodies.bulkTurn <- struct{}{}
 			}
 			server.bodies.pending.Add(row.pending)
 			code, _ := core.sendOnce("m0", row.change)
 			qt.Check(t, code, qt.Equals, row.code, qt.Commentf("%s", row.name))
 			server.bodies.pending.Add(-row.pending)
-			if row.turnHeld {
+			if row.bulkBusy {
 				<-server.bodies.bulkTurn
 			}
 			qt.Check(t, server.bodies.pending.Load(), qt.Equals, int64(0), qt.Commentf("%s", row.name))
@@ -247,6 +270,8 @@
 	})
 }
 
+// A connection that is lost while the body is sent ends the body early. The response must
+// be 503, which callers retry, and not 400.
 func TestIncompleteBodyIsNotReportedAsMalformed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := newCluster(t, 1)
@@ -263,8 +288,10 @@
 	})
 }
 
-// legacyDisk is a disk as an earlier release wrote it, with the record of
-// accepted changes inside the configuration.
+// legacyDisk returns a disk with the content that a release before 242832a writes for
+// these changes: the record of accepted changes is part of the configuration's blob
+// and holds the newest 256. The last four changes are log entries that follow a
+// snapshot.
 func legacyDisk(changes []operatorRequest) *memoryDisk {
 	disk := &memoryDisk{}
 	appendRecord := func(r *meshpb.Record) {
@@ -296,6 +323,9 @@
 	return disk
 }
 
+// After an upgrade from a release that recorded 256 accepted changes, those must still be
+// recognized. Older changes must get 500 (outcome unknown), because they may have been
+// accepted and dropped from the record.
 func TestChangesAcceptedByAnEarlierReleaseAreRecognized(t *testing.T) {
 	for _, n := range []int{8, 300} {
 		synctest.Test(t, func(t *testing.T) {
@@ -307,7 +337,7 @@
 			core.expectCode(known, 200, "after the upgrade")
 			for _, change := range changes[:n-len(known)] {
 				code, _ := core.sendOnce("m0", change)
-				qt.Assert(t, code, qt.Equals, 500, qt.Commentf("forgotten, so unclear: %s", change.body))
+				qt.Assert(t, code, qt.Equals, 500, qt.Commentf("dropped from the record, so the outcome is unknown: %s", change.body))
 			}
 			next := []operatorRequest{putChange(base+1, base, "x"), patchChange(base+4, base+1, "y"), putChange(base+5, base+4, "z")}
 			core.expectCode(next, 200, "after the upgrade")
@@ -315,12 +345,15 @@
 			core = newCluster(t, 1, disk)
 			defer core.close()
 			core.expectCode(append(next, known...), 200, "after a restart")
-			code, _ := core.sendUntilDecided(0, putChange(base+2, base, "late"))
+			code, _ := core.sendUntilDecided(0, putChange(base+2, base, "outdated"))
 			qt.Assert(t, code, qt.Equals, 412)
 		})
 	}
 }
 
+// If the stored configuration cannot be decoded, a GET and a PATCH must get 500 (outcome
+// unknown) and not a 4xx, which would mean that the request was rejected. A PUT must
+// still be able to replace the configuration.
 func TestUnreadableStoredConfigIsReportedAsUnknownOutcome(t *testing.T) {
 	for _, data := range [][]byte{{0xff}, {18, 1, 0xff}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -348,6 +381,8 @@
 	}
 }
 
+// legacyDigest returns the digest that a release before 242832a recorded for a change.
+// It has 32 bytes, of which the current release compares the first 16.
 func legacyDigest(change operatorRequest) []byte {
 	digest := newConfigChange(change.method, 0, []byte(change.body)).legacyDigest
 	return append(digest[:coordination.DigestSize:coordination.DigestSize], make([]byte, 16)...)
--- a/internal/controlapi/config_growth_test.go
+++ b/internal/controlapi/config_growth_test.go
@@ -16,6 +16,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// configWithRoutes returns the JSON of a configuration, version r1, with n routes to one
+// service.
 func configWithRoutes(n int) string {
 	var b strings.Builder
 	b.WriteString(`{"stamp":"r1","resourceList":[`)
@@ -33,10 +35,11 @@
 	return total
 }
 
-var longRunChanges = flag.Int("changes", 300, "how many changes the long run has")
+var longRunChanges = flag.Int("changes", 300, "number of configuration changes in the longer run")
 
-// However many changes there were, the disk, a start and the catching up of a
-// member that missed all of them cost what the state costs.
+// The disk usage of a member, and the time that a member needs to catch up after missing
+// all changes, must depend on the size of the state and not on the number of changes.
+// The time to read the disk at a start is only logged.
 func TestDiskStartAndCatchUpCostsDoNotGrowWithChanges(t *testing.T) {
 	limits := map[string]float64{}
 	for _, n := range []int{50, *longRunChanges} {
@@ -77,7 +80,7 @@
 			NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
 			Now: func() time.Duration { return 0 }, Rand: func(int) int { return 0 }}, nil, discardingLog{}, records)
 		qt.Assert(t, err, qt.IsNil)
-		t.Logf("%4d changes: disk %4d KB in %d records, read in %v; a member that missed them is back after %v", n, totalSize(records)>>10, len(records), time.Since(started).Round(100*time.Microsecond), catchUp)
+		t.Logf("%4d changes: %4d KB on disk in %d records, read in %v; a member that missed them caught up in %v", n, totalSize(records)>>10, len(records), time.Since(started).Round(100*time.Microsecond), catchUp)
 		for name, value := range map[string]float64{"disk": float64(totalSize(records)), "catch-up": catchUp.Seconds()} {
 			if n == 50 {
 				limits[name] = 1.5 * value
@@ -88,6 +91,7 @@
 	}
 }
 
+// discardingLog is a log that stores nothing.
 type discardingLog struct{}
 
 func (discardingLog) Append([]byte, func(error))       {}
--- a/internal/controlapi/operators_test.go
+++ b/internal/controlapi/operators_test.go
@@ -14,16 +14,19 @@
 	"corkcove/internal/routeconfig"
 )
 
-var seeds = flag.Int64("seeds", 12, "how many runs of operators and faults to try")
+var seeds = flag.Int64("seeds", 12, "number of seeds that the test with operators and faults runs with")
 
-// operatorHistory is what the operators know of their changes.
+// operatorHistory records the results that the operators got for their changes. Results
+// that contradict each other fail the test.
 type operatorHistory struct {
-	t        *testing.T
-	name     string
-	mu       sync.Mutex
+	t    *testing.T
+	name string
+	mu   sync.Mutex
+	// accepted and rejected hold the version of each change with that result.
 	accepted map[operatorRequest]uint64
-	refused  map[operatorRequest]uint64
-	newest   uint64
+	rejected map[operatorRequest]uint64
+	// newest is the highest version that was read or acknowledged.
+	newest uint64
 }
 
 func (h *operatorHistory) newestSeen() uint64 {
@@ -32,39 +35,43 @@
 	return h.newest
 }
 
-// recordSeen records a version that was shown or acknowledged; none below it may be shown
-// to a call that is sent afterwards.
+// recordSeen records the version that a read returned. It must not be below floor, the
+// newest version known when the read was sent.
 func (h *operatorHistory) recordSeen(version, floor uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version < floor {
-		h.t.Errorf("%s: %s is shown behind %s", h.name, formatVersion(version), formatVersion(floor))
+		h.t.Errorf("%s: read %s after %s", h.name, formatVersion(version), formatVersion(floor))
 	}
 	h.newest = max(h.newest, version)
 }
 
+// recordResult records the status code of a change. A change must not be both accepted
+// and rejected, and no two changes may be accepted with the same version.
 func (h *operatorHistory) recordResult(change operatorRequest, version uint64, code int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if code >= 400 {
 		if _, known := h.accepted[change]; known {
-			h.t.Errorf("%s: %s %s was accepted and is refused with %d", h.name, change.method, formatVersion(version), code)
+			h.t.Errorf("%s: %s %s was accepted and is now rejected with %d", h.name, change.method, formatVersion(version), code)
 		}
-		h.refused[change] = version
+		h.rejected[change] = version
 		return
 	}
-	if _, known := h.refused[change]; known {
-		h.t.Errorf("%s: %s %s was refused and is accepted", h.name, change.method, formatVersion(version))
+	if _, known := h.rejected[change]; known {
+		h.t.Errorf("%s: %s %s was rejected and is now accepted", h.name, change.method, formatVersion(version))
 	}
 	for other, otherVersion := range h.accepted {
 		if otherVersion == version && other != change {
-			h.t.Errorf("%s: two changes were accepted under %s", h.name, formatVersion(version))
+			h.t.Errorf("%s: two changes were accepted with version %s", h.name, formatVersion(version))
 		}
 	}
 	h.accepted[change] = version
 	h.newest = max(h.newest, version)
 }
 
+// pickAccepted returns one of the accepted changes and its version: number n, counted
+// from 0, in the map's iteration order. It returns false if there are not that many.
 func (h *operatorHistory) pickAccepted(n int) (operatorRequest, uint64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,8 +83,10 @@
 	return operatorRequest{}, 0, false
 }
 
-// sendChange sends until the answer is definite, a second to each member; late
-// answers are lost.
+// sendChange sends a change to random members, up to 30 times, until one responds with a
+// definite result, and records that. It waits one second for each response and ignores
+// later ones. It also ignores one in five definite results, as if the response had been
+// lost.
 func (c *cluster) sendChange(rng *rand.Rand, history *operatorHistory, change operatorRequest, version uint64) {
 	for range 30 {
 		to := c.members[rng.Intn(len(c.members))].addr
@@ -100,6 +109,8 @@
 	}
 }
 
+// runOperator runs an operator until end: it reads the configuration, sends a change
+// based on it, and sometimes sends an accepted change again.
 func (c *cluster) runOperator(rng *rand.Rand, history *operatorHistory, end time.Time) {
 	for i := 0; time.Now().Before(end); i++ {
 		if resent, version, ok := history.pickAccepted(rng.Intn(12)); ok && rng.Intn(3) == 0 {
@@ -127,6 +138,8 @@
 	}
 }
 
+// injectFaults injects random faults until end: restarts of one or all members,
+// disconnections, blocked disks and lost disks.
 func (c *cluster) injectFaults(rng *rand.Rand, end time.Time) {
 	sleepUpTo := func(n int) { time.Sleep(time.Duration(rng.Intn(n)) * time.Millisecond) }
 	for time.Now().Before(end) {
@@ -164,13 +177,16 @@
 	}
 }
 
+// While two operators change the configuration and members fail, each change must be
+// either accepted or rejected for good, no accepted change may be lost, and no read may
+// return a version older than one that was known when it was sent.
 func TestTwoOperatorsDuringFaults(t *testing.T) {
-	accepted, refused := 0, 0
+	accepted, rejected := 0, 0
 	for seed := int64(1); seed <= *seeds; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			core := newCluster(t, 3)
 			defer core.close()
-			history := &operatorHistory{t: t, name: fmt.Sprint("seed ", seed), accepted: map[operatorRequest]uint64{}, refused: map[operatorRequest]uint64{}}
+			history := &operatorHistory{t: t, name: fmt.Sprint("seed ", seed), accepted: map[operatorRequest]uint64{}, rejected: map[operatorRequest]uint64{}}
 			end := time.Now().Add(25 * time.Second)
 			var wg sync.WaitGroup
 			for i := range int64(2) {
@@ -180,20 +196,20 @@
 			wg.Wait()
 			current, _ := routeconfig.ParseVersion(core.currentVersion())
 			for change, version := range history.accepted {
-				qt.Check(t, version <= current, qt.IsTrue, qt.Commentf("%s: %s was accepted, %s is in force", history.name, formatVersion(version), formatVersion(current)))
+				qt.Check(t, version <= current, qt.IsTrue, qt.Commentf("%s: %s was accepted, but the current version is %s", history.name, formatVersion(version), formatVersion(current)))
 				code, _ := core.sendUntilDecided(int(seed), change)
-				qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s: %s at the end", history.name, formatVersion(version)))
+				qt.Check(t, code, qt.Equals, 200, qt.Commentf("%s: accepted %s sent again at the end", history.name, formatVersion(version)))
 			}
-			for change, version := range history.refused {
+			for change, version := range history.rejected {
 				code, _ := core.sendUntilDecided(int(seed), change)
-				qt.Check(t, code, qt.Not(qt.Equals), 200, qt.Commentf("%s: %s was refused", history.name, formatVersion(version)))
+				qt.Check(t, code, qt.Not(qt.Equals), 200, qt.Commentf("%s: rejected %s sent again at the end", history.name, formatVersion(version)))
 			}
-			accepted, refused = accepted+len(history.accepted), refused+len(history.refused)
+			accepted, rejected = accepted+len(history.accepted), rejected+len(history.rejected)
 		})
 		if t.Failed() {
-			t.Fatalf("with seed %d", seed)
+			t.Fatalf("failed with seed %d", seed)
 		}
 	}
-	t.Logf("%d changes accepted, %d refused", accepted, refused)
-	qt.Assert(t, accepted > int(*seeds)*40 && refused > int(*seeds)*10, qt.IsTrue)
+	t.Logf("%d changes accepted, %d rejected", accepted, rejected)
+	qt.Assert(t, accepted > int(*seeds)*40 && rejected > int(*seeds)*10, qt.IsTrue)
 }
