--- a/internal/controlapi/body_limiter.go
+++ b/internal/controlapi/body_limiter.go
@@ -5,26 +5,30 @@
 	"sync/atomic"
 )
 
-// A configuration takes about ten times its size while it is read and checked:
-// one above bulkBodyBytes is checked alone, and the bodies of all changes under
-// way have maxPendingBodyBytes in all.
+// Parsing and checking a configuration takes about ten times its size in memory.
 const (
-	bulkBodyBytes       = 512 << 10
+	// largeBodyBytes is the size above which a configuration is checked alone.
+	largeBodyBytes = 512 << 10
+	// maxPendingBodyBytes bounds the total size of the bodies of all configuration
+	// changes in progress.
 	maxPendingBodyBytes = 48 << 20
 )
 
-// bodyLimiter bounds the memory that configuration changes under way take.
+// bodyLimiter bounds the memory used by configuration changes in progress. It is safe
+// for concurrent use.
 type bodyLimiter struct {
+	// pending is the total size in bytes of the reserved bodies.
 	pending atomic.Int64
-	// bulkTurn holds a token while a large configuration is checked.
-	bulkTurn chan struct{}
+	// largeBodySem is a semaphore. It holds one element while a large configuration is
+	// checked.
+	largeBodySem chan struct{}
 }
 
-func newBodyLimiter() bodyLimiter { return bodyLimiter{bulkTurn: make(chan struct{}, 1)} }
+func newBodyLimiter() bodyLimiter { return bodyLimiter{largeBodySem: make(chan struct{}, 1)} }
 
-// reserve counts a body of the announced size among those under way, if there
-// is room; release gives the room back. A body of unknown size, below 0, may be
-// as large as any.
+// reserve reserves memory for a body of the given Content-Length until release is
+// called. It returns false if the limit is reached. A negative size means that the size
+// is unknown; it reserves maxConfigBytes, the largest size allowed.
 func (l *bodyLimiter) reserve(size int64) (release func(), ok bool) {
 	if size < 0 || size > maxConfigBytes {
 		size = maxConfigBytes
@@ -37,15 +41,16 @@
 	return release, true
 }
 
-// waitForTurn waits until no other large configuration is being checked;
-// smaller ones need no turn.
-func (l *bodyLimiter) waitForTurn(ctx context.Context, size int) (release func(), ok bool) {
-	if size <= bulkBodyBytes {
+// acquireLargeBody waits until no other large configuration is being checked, and
+// excludes others until release is called. It returns false if ctx ends first. A body of
+// at most largeBodyBytes does not wait.
+func (l *bodyLimiter) acquireLargeBody(ctx context.Context, size int) (release func(), ok bool) {
+	if size <= largeBodyBytes {
 		return func() {}, true
 	}
 	select {
-	case l.bulkTurn <- struct{}{}:
-		return func() { <-l.bulkTurn }, true
+	case l.largeBodySem <- struct{}{}:
+		return func() { <-l.largeBodySem }, true
 	case <-ctx.Done():
 		return nil, false
 	}
--- a/internal/controlapi/cells.go
+++ b/internal/controlapi/cells.go
@@ -6,39 +6,46 @@
 	"corkcove/internal/coordination"
 )
 
-type putRequest struct {
+// putCellRequest is the body of a request to set the value of a key.
+type putCellRequest struct {
+	// Payload is the new value. It is required.
 	Payload *string `json:"payload"`
-	// ExpectedRevision, if given, is the revision that the cell must stand at; 0
-	// if it must have no value.
+	// ExpectedRevision, if present, makes the request conditional: it is the current
+	// revision of the key, or 0 if the key has no value.
 	ExpectedRevision *uint64 `json:"topic"`
 }
 
-type putResponse struct {
+// putCellResponse is the response to a put, also to one that was refused because of
+// ExpectedRevision.
+type putCellResponse struct {
+	// Revision is the current revision of the key.
 	Revision uint64 `json:"revision"`
 }
 
-type cellResponse struct {
+// getCellResponse is the value of a key and its revision.
+type getCellResponse struct {
 	Payload  string `json:"payload"`
 	Revision uint64 `json:"revision"`
 }
 
-func (s *CoreServer) putCell(r request, body putRequest) (putResponse, error) {
+func (s *CoreServer) putCell(r request, body putCellRequest) (putCellResponse, error) {
 	if body.Payload == nil {
-		return putResponse{}, errMalformed("payload is wanted")
+		return putCellResponse{}, errMalformed("payload is wanted")
 	}
-	cell, err := callOwner(s, r, s.cellShard(r.name), func(ctx context.Context) (coordination.Cell, error) {
+	cell, err := callWithRetry(s, r, s.cellShard(r.name), func(ctx context.Context) (coordination.Cell, error) {
 		return s.Coordination.Put(ctx, r.name, *body.Payload, body.ExpectedRevision)
 	})
-	return putResponse{cell.Revision}, err
+	return putCellResponse{cell.Revision}, err
 }
 
-func (s *CoreServer) getCell(r request, _ empty) (cellResponse, error) {
-	cell, err := callOwner(s, r, s.cellShard(r.name), func(ctx context.Context) (coordination.Cell, error) {
+func (s *CoreServer) getCell(r request, _ empty) (getCellResponse, error) {
+	cell, err := callWithRetry(s, r, s.cellShard(r.name), func(ctx context.Context) (coordination.Cell, error) {
 		return s.Coordination.Get(ctx, r.name)
 	})
-	return cellResponse{cell.Payload, cell.Revision}, err
+	return getCellResponse{cell.Payload, cell.Revision}, err
 }
 
+// cellShard returns the shard of a key, which is that of the key's group.
 func (s *CoreServer) cellShard(name string) int {
 	return s.Coordination.ShardOf(coordination.GroupName(name))
 }
--- a/internal/controlapi/config_change.go
+++ b/internal/controlapi/config_change.go
@@ -94,7 +94,7 @@
 }
 
 func (s *CoreServer) transactConfig(r request, decide func(*coordination.Table, time.Duration) coordination.Decision[changeStatus]) (changeStatus, error) {
-	return callOwner(s, r, coordination.ConfigShard, func(ctx context.Context) (changeStatus, error) {
+	return callWithRetry(s, r, coordination.ConfigShard, func(ctx context.Context) (changeStatus, error) {
 		return coordination.Transact(ctx, s.Coordination, coordination.ConfigShard, decide)
 	})
 }
@@ -191,7 +191,7 @@
 func (s *CoreServer) waitForBulkTurn(ctx context.Context, size int) (release func(), ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.RetryTimeout)
 	defer cancel()
-	return s.bodies.waitForTurn(ctx, size)
+	return s.bodies.acquireLargeBody(ctx, size)
 }
 
 // checkAndCommit parses a change, checks it against the configuration that was
--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -221,27 +221,27 @@
 			change   operatorRequest
 			code     int
 		}{
-			{"large, while another is read", true, 0, pad(putChange(5, 1, "a"), bulkBodyBytes), 503},
+			{"large, while another is read", true, 0, pad(putChange(5, 1, "a"), largeBodyBytes), 503},
 			{"small, while a large one is read", true, 0, putChange(5, 1, "b"), 200},
 			{"known, while a large one is read", true, 0, putChange(5, 1, "b"), 200},
-			{"late, while a large one is read", true, 0, pad(putChange(7, 1, "c"), bulkBodyBytes), 412},
+			{"late, while a large one is read", true, 0, pad(putChange(7, 1, "c"), largeBodyBytes), 412},
 			{"with no room for bodies", false, maxPendingBodyBytes - 10, putChange(9, 5, "d"), 503},
 			{"too large", false, 0, pad(putChange(9, 5, "e"), maxConfigBytes), 413},
-			{"large", false, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
-			{"large, known", true, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
+			{"large", false, 0, pad(putChange(9, 5, "f"), largeBodyBytes), 200},
+			{"large, known", true, 0, pad(putChange(9, 5, "f"), largeBodyBytes), 200},
 		} {
 			if row.turnHeld {
-				server.bodies.bulkTurn <- struct{}{}
+				server.bodies.largeBodySem <- struct{}{}
 			}
 			server.bodies.pending.Add(row.pending)
 			code, _ := core.sendOnce("m0", row.change)
 			qt.Check(t, code, qt.Equals, row.code, qt.Commentf("%s", row.name))
 			server.bodies.pending.Add(-row.pending)
 			if row.turnHeld {
-				<-server.bodies.bulkTurn
+				<-server.bodies.largeBodySem
 			}
 			qt.Check(t, server.bodies.pending.Load(), qt.Equals, int64(0), qt.Commentf("%s", row.name))
-			qt.Check(t, len(server.bodies.bulkTurn), qt.Equals, 0, qt.Commentf("%s", row.name))
+			qt.Check(t, len(server.bodies.largeBodySem), qt.Equals, 0, qt.Commentf("%s", row.name))
 		}
 		qt.Assert(t, core.currentVersion(), qt.Equals, "r9")
 	})
--- a/internal/controlapi/config_store.go
+++ b/internal/controlapi/config_store.go
@@ -45,7 +45,7 @@
 
 // getConfig answers with the configuration in force as it was sent.
 func (s *CoreServer) getConfig(r request, _ empty) (rawJSON, error) {
-	blob, err := callOwner(s, r, coordination.ConfigShard, func(ctx context.Context) (*meshpb.Blob, error) {
+	blob, err := callWithRetry(s, r, coordination.ConfigShard, func(ctx context.Context) (*meshpb.Blob, error) {
 		return coordination.Transact(ctx, s.Coordination, coordination.ConfigShard,
 			func(t *coordination.Table, _ time.Duration) coordination.Decision[*meshpb.Blob] {
 				return coordination.Decision[*meshpb.Blob]{Result: t.Blob(ConfigBlob)}
--- a/internal/controlapi/response.go
+++ b/internal/controlapi/response.go
@@ -8,7 +8,7 @@
 	"corkcove/internal/coordination"
 )
 
-// status is how a request ended.
+// status is the outcome of a request, independent of HTTP. See httpStatuses.
 type status int
 
 const (
@@ -26,17 +26,20 @@
 	statusMethodNotAllowed
 )
 
-// retryAfterSeconds is what callers are asked to wait after status 503.
+// retryAfterSeconds is the Retry-After header of responses with status 503.
 const retryAfterSeconds = "0.2"
 
-// httpStatus is a status as callers see it.
+// httpStatus is the representation of a status in an HTTP response.
 type httpStatus struct {
-	code       int
+	code int
+	// retryAfter is the value of the Retry-After header, if any.
 	retryAfter string
-	message    string
+	// message is the default error text in the response body.
+	message string
 }
 
-// A 503 promises that nothing was done; where that is not certain it is 500.
+// httpStatuses maps each status to its HTTP representation. Code 503 guarantees that no
+// change was made; if that is not certain, the code is 500.
 var httpStatuses = map[status]httpStatus{
 	statusOK:               {code: http.StatusOK},
 	statusMalformed:        {code: http.StatusBadRequest, message: "malformed"},
@@ -52,13 +55,14 @@
 	statusMethodNotAllowed: {code: http.StatusMethodNotAllowed, message: "no such call"},
 }
 
-// statusError ends a request with a status other than statusOK.
+// statusError is an error that determines the status of the response.
 type statusError struct {
 	status status
-	// message replaces the status's own, unless it is empty.
+	// message replaces the default message of the status unless it is empty.
 	message string
 }
 
+// Error implements the error interface.
 func (e *statusError) Error() string {
 	if e.message != "" {
 		return e.message
@@ -67,43 +71,52 @@
 }
 
 var (
-	errUnavailable    = &statusError{status: statusUnavailable}
+	// errUnavailable reports that the request could not be served and made no change.
+	errUnavailable = &statusError{status: statusUnavailable}
+	// errOutcomeUnknown reports that the request may or may not have made a change.
 	errOutcomeUnknown = &statusError{status: statusOutcomeUnknown}
 )
 
+// errMalformed returns the error of a request that cannot be parsed or lacks a required
+// value.
 func errMalformed(message string) error { return &statusError{statusMalformed, message} }
 
+// errInvalid returns the error of a configuration change whose content is not valid.
 func errInvalid(message string) error { return &statusError{statusInvalid, message} }
 
-// notOwnerError says that another member owns the request's shard.
+// notOwnerError reports that another member owns the shard of a request.
 type notOwnerError struct {
-	// location is the request's URL at the owner.
+	// location is the URL of the request at the owner.
 	location string
 }
 
-func (e *notOwnerError) Error() string { return "the owner is at " + e.location }
+// Error implements the error interface.
+func (e *notOwnerError) Error() string { return "another member owns the shard: " + e.location }
 
-// empty is the result of calls that return nothing, and the body of those that
-// expect nothing.
+// empty is the request or response body of calls that need none. It is encoded as {}.
 type empty struct{}
 
-// rawJSON is a body that is written as it is.
+// rawJSON is a response body that is already encoded.
 type rawJSON []byte
 
-// errorBody tells a caller why the request failed.
+// errorBody is the response body of a failed request.
 type errorBody struct {
+	// Error is a message for people.
 	Error string `json:"error"`
 }
 
-// response is what a caller gets.
+// response is the response to a request.
 type response struct {
-	status   status
-	message  string
+	status status
+	// message replaces the default message of the status unless it is empty.
+	message string
+	// location is the URL at the owner, for statusNotOwner.
 	location string
-	body     any
+	// body is encoded as JSON. A failure without a body gets an errorBody.
+	body any
 }
 
-// newResponse answers with the result, or with what the error says.
+// newResponse returns a response with the result, or that of the error if it is not nil.
 func newResponse(result any, err error) response {
 	if err != nil {
 		return errorResponse(err)
@@ -111,8 +124,8 @@
 	return response{body: result}
 }
 
-// errorResponse maps errors to statuses. One that is not known here promises
-// nothing.
+// errorResponse returns the response to a request that failed with err. An unrecognized
+// error becomes statusOutcomeUnknown, because it does not tell whether a change was made.
 func errorResponse(err error) response {
 	var (
 		withStatus *statusError
@@ -125,7 +138,7 @@
 	case errors.As(err, &notOwner):
 		return response{status: statusNotOwner, location: notOwner.location}
 	case errors.As(err, &mismatch):
-		return response{status: statusRevisionMismatch, body: putResponse{mismatch.Current}}
+		return response{status: statusRevisionMismatch, body: putCellResponse{mismatch.Current}}
 	case errors.Is(err, coordination.ErrLockHeld), errors.Is(err, coordination.ErrLockLost):
 		return response{status: statusLockConflict}
 	case errors.Is(err, coordination.ErrNotFound):
@@ -136,45 +149,48 @@
 	return response{status: statusOutcomeUnknown}
 }
 
-// write sends the response. That a caller went away meanwhile is not an error.
-func (p response) write(w http.ResponseWriter) {
-	shown := httpStatuses[p.status]
+// write sends the response. It ignores write errors, which mean that the caller has
+// disconnected.
+func (r response) write(w http.ResponseWriter) {
+	mapped := httpStatuses[r.status]
 	header := w.Header()
 	header["Date"] = nil
-	if shown.retryAfter != "" {
-		header.Set("Retry-After", shown.retryAfter)
+	if mapped.retryAfter != "" {
+		header.Set("Retry-After", mapped.retryAfter)
 	}
-	if p.location != "" {
-		header.Set("Location", p.location)
+	if r.location != "" {
+		header.Set("Location", r.location)
 	}
-	body := p.content(shown)
+	body := r.responseBody(mapped)
 	if body == nil {
 		header.Set("Content-Length", "0")
-		w.WriteHeader(shown.code)
+		w.WriteHeader(mapped.code)
 		return
 	}
-	data, err := encode(body)
+	data, err := encodeBody(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	header.Set("Content-Type", contentTypeJSON)
-	w.WriteHeader(shown.code)
+	w.WriteHeader(mapped.code)
 	_, _ = w.Write(data)
 }
 
-// content is the response's body; for a failure without one, its message.
-func (p response) content(shown httpStatus) any {
+// responseBody returns the body of the response, or an errorBody if the request failed
+// and there is none.
+func (r response) responseBody(mapped httpStatus) any {
 	switch {
-	case p.body != nil || shown.code < http.StatusBadRequest:
-		return p.body
-	case p.message != "":
-		return errorBody{p.message}
+	case r.body != nil || mapped.code < http.StatusBadRequest:
+		return r.body
+	case r.message != "":
+		return errorBody{r.message}
 	}
-	return errorBody{shown.message}
+	return errorBody{mapped.message}
 }
 
-func encode(body any) ([]byte, error) {
+// encodeBody returns body as JSON.
+func encodeBody(body any) ([]byte, error) {
 	if raw, ok := body.(rawJSON); ok {
 		return raw, nil
 	}
--- a/internal/controlapi/server.go
+++ b/internal/controlapi/server.go
@@ -11,32 +11,33 @@
 	"corkcove/internal/replication"
 )
 
-// defaultRetryInterval is the pause between two attempts to have a request
-// decided.
+// defaultRetryInterval is the initial value of CoreServer.RetryInterval.
 const defaultRetryInterval = 20 * time.Millisecond
 
-// CoreServer serves operators and applications on a core member. Its exported
-// fields are set before the first request.
+// CoreServer serves operators and applications on a core member. Its exported fields
+// must be set before the first request and not changed afterwards.
 type CoreServer struct {
 	Mux
-	// Coordination answers for the shards that this member owns.
+	// Coordination executes requests on the shards that this member owns.
 	Coordination *coordination.Service
-	// RetryTimeout is for how long a request is retried while nothing was done.
+	// RetryTimeout bounds the time for which a request that made no change is retried,
+	// and the time that a large configuration waits before it is checked.
 	RetryTimeout time.Duration
-	// RetryInterval is the pause between these retries.
+	// RetryInterval is the delay between two retries.
 	RetryInterval time.Duration
-	// PeerTransport reaches the other members; without it callers are redirected.
+	// PeerTransport sends forwarded requests to other members. If it is nil, callers
+	// are redirected.
 	PeerTransport http.RoundTripper
-	// OnConfigAccepted, if set, is called with the version of each configuration
-	// that was accepted here.
+	// OnConfigAccepted, if set, is called with the version of each configuration that
+	// this member accepts.
 	OnConfigAccepted func(version uint64)
 
 	configs configCache
 	bodies  bodyLimiter
 }
 
-// NewCoreServer returns a server that redirects callers to owners until its
-// PeerTransport is set.
+// NewCoreServer returns a server without a PeerTransport: it redirects callers to the
+// owner of a shard instead of forwarding their requests.
 func NewCoreServer(service *coordination.Service, retryTimeout time.Duration) *CoreServer {
 	s := &CoreServer{
 		Coordination: service, RetryTimeout: retryTimeout, RetryInterval: defaultRetryInterval,
@@ -55,16 +56,19 @@
 	return s
 }
 
-// callOwner calls until the shard's owner has answered, for as long as nothing
-// was done. If another member owns the shard the error is *notOwnerError.
-func callOwner[R any](s *CoreServer, r request, shard int, call func(context.Context) (R, error)) (R, error) {
+// callWithRetry repeats call while it fails with replication.ErrNotOwner or
+// replication.ErrUnavailable, which report that no change was made. The error is a
+// *notOwnerError if another member is known to own the shard, and errUnavailable if
+// RetryTimeout elapses or the request's context ends first. All other errors of call
+// are returned unchanged.
+func callWithRetry[R any](s *CoreServer, r request, shard int, call func(context.Context) (R, error)) (R, error) {
 	ctx := r.Context()
 	deadline := time.Now().Add(s.RetryTimeout)
 	for {
 		result, err := call(ctx)
 		switch {
 		case errors.Is(err, replication.ErrNotOwner):
-			if address := s.otherOwner(shard); address != "" {
+			if address := s.remoteOwnerAddress(shard); address != "" {
 				return result, &notOwnerError{location: "http://" + address + r.RequestURI}
 			}
 		case !errors.Is(err, replication.ErrUnavailable):
@@ -73,13 +77,13 @@
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return result, errUnavailable
 		}
-		pause(ctx, s.RetryInterval)
+		sleep(ctx, s.RetryInterval)
 	}
 }
 
-// otherOwner is the control address of the member that owns a shard; empty if
-// it is this one, or not known.
-func (s *CoreServer) otherOwner(shard int) string {
+// remoteOwnerAddress returns the control address of the member that owns a shard. It is
+// empty if this member owns the shard or if the owner is unknown.
+func (s *CoreServer) remoteOwnerAddress(shard int) string {
 	address, _ := mailbox.Call(s.Coordination.Mailbox, func() string {
 		replica := s.Coordination.Replica
 		owner, known := replica.Owner(shard)
@@ -91,7 +95,8 @@
 	return address
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/controlapi/watch.go
+++ b/internal/controlapi/watch.go
@@ -9,51 +9,59 @@
 	"corkcove/internal/coordination"
 )
 
-// Parameters of a watch.
+// Query parameters of a watch.
 const (
-	paramAfter  = "after"
+	// paramAfter is the revision after which events are returned; 0 if it is absent.
+	paramAfter = "after"
+	// paramWaitMs is how long to wait for an event, in milliseconds; 0 if it is absent.
 	paramWaitMs = "waitMs"
 )
 
-// maxWatchWait bounds how long a watch waits for an event.
+// maxWatchWait limits how long a watch waits for an event.
 const maxWatchWait = time.Minute
 
+// watchEvent is the put of a value.
 type watchEvent struct {
+	// Name is the key.
 	Name     string `json:"name"`
 	Payload  string `json:"payload"`
 	Revision uint64 `json:"revision"`
 }
 
+// watchResponse holds the events of a key group, in the order of their revisions.
 type watchResponse struct {
-	Events   []watchEvent `json:"eventList"`
-	Revision uint64       `json:"revision"`
+	Events []watchEvent `json:"eventList"`
+	// Revision is the revision after which the next watch must continue.
+	Revision uint64 `json:"revision"`
 }
 
-// watch answers as soon as there is an event after the given revision.
+// watch returns the events of a key group after the given revision as soon as there are
+// any, or an empty list once the given time has elapsed. See coordination.Service.Watch
+// for the other cases.
 func (s *CoreServer) watch(r request, _ empty) (watchResponse, error) {
-	parameters := r.URL.Query()
-	after, err := parseRevision(parameters.Get(paramAfter))
+	query := r.URL.Query()
+	after, err := parseRevision(query.Get(paramAfter))
 	if err != nil {
 		return watchResponse{}, errMalformed(paramAfter + " is no revision")
 	}
-	wait, err := parseWatchWait(parameters)
+	wait, err := parseWatchWait(query)
 	if err != nil {
 		return watchResponse{}, errMalformed(paramWaitMs + " is no number of milliseconds")
 	}
-	list, err := callOwner(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.EventList, error) {
+	list, err := callWithRetry(s, r, s.Coordination.ShardOf(r.name), func(ctx context.Context) (coordination.EventList, error) {
 		return s.Coordination.Watch(ctx, r.name, after, wait)
 	})
 	if err != nil {
 		return watchResponse{}, err
 	}
-	answer := watchResponse{Events: []watchEvent{}, Revision: max(list.Revision, after)}
-	for _, put := range list.Events {
-		answer.Events = append(answer.Events, watchEvent{put.Name, put.Payload, put.Revision})
+	resp := watchResponse{Events: []watchEvent{}, Revision: max(list.Revision, after)}
+	for _, event := range list.Events {
+		resp.Events = append(resp.Events, watchEvent{event.Name, event.Payload, event.Revision})
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// parseRevision takes an empty text as revision 0.
+// parseRevision parses a revision. An empty text means revision 0.
 func parseRevision(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -61,10 +69,10 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-// parseWatchWait is for how long the parameters let a watch wait; 0 if they
-// give no time.
-func parseWatchWait(parameters url.Values) (time.Duration, error) {
-	text := parameters.Get(paramWaitMs)
+// parseWatchWait returns how long the query allows a watch to wait, at most
+// maxWatchWait. It is 0 if the query does not set paramWaitMs.
+func parseWatchWait(query url.Values) (time.Duration, error) {
+	text := query.Get(paramWaitMs)
 	if text == "" {
 		return 0, nil
 	}
