--- a/internal/controlapi/endpoints.go
+++ b/internal/controlapi/endpoints.go
@@ -7,31 +7,36 @@
 	"corkcove/internal/lifecycle"
 )
 
-// EndpointServer serves the endpoint beside a sidecar. The state it changes
-// belongs to the endpoint agent.
+// EndpointServer serves the endpoint next to a sidecar. It passes heartbeats and
+// deregistrations to the endpoint agent, which owns the state.
 type EndpointServer struct {
 	Mux
 	agent *endpointagent.Agent
 }
 
-// heartbeatRequest is an endpoint's report of itself.
+// heartbeatRequest is the body of a heartbeat. See endpointagent.Heartbeat.
 type heartbeatRequest struct {
-	ServiceName     string          `json:"serviceName"`
-	Address         string          `json:"address"`
-	ZoneName        string          `json:"siteName"`
-	SoftwareVersion string          `json:"stamp"`
-	SlotCount       int             `json:"slotCount"`
-	State           lifecycle.State `json:"state"`
-	WarmupSeconds   float64         `json:"coldLeftS"`
-	// Sequence rises with each report.
+	ServiceName string `json:"serviceName"`
+	// Address is the host and port that the endpoint listens on.
+	Address  string `json:"address"`
+	ZoneName string `json:"siteName"`
+	// SoftwareVersion is the version of the endpoint's program.
+	SoftwareVersion string `json:"stamp"`
+	// SlotCount is the number of requests that the endpoint serves concurrently.
+	SlotCount int `json:"slotCount"`
+	// State is lifecycle.Ready or lifecycle.Draining.
+	State lifecycle.State `json:"state"`
+	// WarmupSeconds is the time until the endpoint reaches its full speed.
+	WarmupSeconds float64 `json:"coldLeftS"`
+	// Sequence increases with each heartbeat.
 	Sequence uint64 `json:"callSeq"`
 }
 
-// NewEndpointServer returns the server that feeds an endpoint agent.
+// NewEndpointServer returns a server that reports to agent.
 func NewEndpointServer(agent *endpointagent.Agent) *EndpointServer {
 	s := &EndpointServer{agent: agent}
-	s.handle("PUT /-/endpoints/{}", jsonHandler(finishLocally, s.recordHeartbeat))
-	s.handle("DELETE /-/endpoints/{}", jsonHandler(finishLocally, s.deregister))
+	s.handle("PUT /-/endpoints/{}", jsonHandler(writeResponse, s.recordHeartbeat))
+	s.handle("DELETE /-/endpoints/{}", jsonHandler(writeResponse, s.deregister))
 	return s
 }
 
@@ -44,7 +49,7 @@
 	}
 	s.agent.RecordHeartbeat(endpointagent.Heartbeat{
 		ID: r.name, Service: body.ServiceName, Addr: body.Address, Zone: body.ZoneName, SoftwareVersion: body.SoftwareVersion,
-		Slots: body.SlotCount, State: body.State, Warmup: seconds(body.WarmupSeconds), Seq: body.Sequence,
+		Slots: body.SlotCount, State: body.State, Warmup: durationFromSeconds(body.WarmupSeconds), Seq: body.Sequence,
 	})
 	return empty{}, nil
 }
@@ -54,4 +59,4 @@
 	return empty{}, nil
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controlapi/handler.go
+++ b/internal/controlapi/handler.go
@@ -9,51 +9,54 @@
 
 const (
 	contentTypeJSON = "application/json"
-	// maxBodyBytes bounds the body of all calls but those on the configuration.
+	// maxBodyBytes limits the body of every request except configuration changes.
 	maxBodyBytes = 1 << 20
 )
 
-// finish sends a response. retry repeats the call, for a response that another
-// member should give and that could not be had from there.
-type finish func(w http.ResponseWriter, r request, body []byte, answer response, retry func() response)
+// responder sends the response to a request with the given body. If another member
+// should answer and cannot be reached, retry runs the request on this member again.
+type responder func(w http.ResponseWriter, r request, body []byte, resp response, retry func() response)
 
-// finishLocally sends the response as it is.
-func finishLocally(w http.ResponseWriter, _ request, _ []byte, answer response, _ func() response) {
-	answer.write(w)
+// writeResponse is a responder that sends the response unchanged.
+func writeResponse(w http.ResponseWriter, _ request, _ []byte, resp response, _ func() response) {
+	resp.write(w)
 }
 
-// jsonHandler reads the body as a Q, calls, and answers with the result or the
-// error.
-func jsonHandler[Q, R any](send finish, call func(request, Q) (R, error)) handlerFunc {
+// jsonHandler returns a handler that decodes the request body as JSON into a Req,
+// passes it to call, and sends the result or the error through respond. The body may
+// be empty unless the method is PUT.
+func jsonHandler[Req, Resp any](respond responder, call func(request, Req) (Resp, error)) handlerFunc {
 	return func(w http.ResponseWriter, r request) {
 		body, err := readOptionalBody(w, r)
 		if err != nil {
 			errorResponse(err).write(w)
 			return
 		}
-		var query Q
+		var input Req
 		if len(body) > 0 || r.Method == http.MethodPut {
-			if err := json.Unmarshal(body, &query); err != nil {
+			if err := json.Unmarshal(body, &input); err != nil {
 				errorResponse(errMalformed(err.Error())).write(w)
 				return
 			}
 		}
-		answer := func() response { return newResponse(call(r, query)) }
-		send(w, r, body, answer(), answer)
+		invoke := func() response { return newResponse(call(r, input)) }
+		respond(w, r, body, invoke(), invoke)
 	}
 }
 
-// readOptionalBody reads nothing of a GET or DELETE that announces no body.
+// readOptionalBody reads the request body. It returns nil without reading if the
+// method is GET or DELETE and the request declares no body.
 func readOptionalBody(w http.ResponseWriter, r request) ([]byte, error) {
-	bodyless := r.Method == http.MethodGet || r.Method == http.MethodDelete
-	if bodyless && r.ContentLength <= 0 {
+	bodyOptional := r.Method == http.MethodGet || r.Method == http.MethodDelete
+	if bodyOptional && r.ContentLength <= 0 {
 		return nil, nil
 	}
 	return readBody(w, r, maxBodyBytes)
 }
 
-// readBody reads the body whole. Its errors say whether the body was too large
-// or ended early; in both cases nothing was done.
+// readBody reads the whole request body. The error is a statusError with
+// statusTooLarge if the body exceeds limit bytes, and errUnavailable if it cannot be
+// read to its end. In both cases the request has had no effect.
 func readBody(w http.ResponseWriter, r request, limit int64) ([]byte, error) {
 	var body bytes.Buffer
 	if r.ContentLength > 0 && r.ContentLength <= limit {
