--- a/internal/controlapi/forward.go
+++ b/internal/controlapi/forward.go
@@ -11,72 +11,81 @@
 	"time"
 )
 
-// forwardedHeader marks a request that another member has sent on: it is not
-// sent on again.
+// forwardedHeader marks a request that another member has forwarded. Such a request is
+// not forwarded again.
 const forwardedHeader = "X-Corkcove-Sent-On"
 
 const (
-	// forwardTimeout bounds a forwarded request, until its answer has come whole.
+	// forwardTimeout bounds one forwarded request, including reading the response.
 	forwardTimeout = 850 * time.Millisecond
-	// maxForwardHops is how many members a request is sent to, one after the other,
-	// as the owner changes.
+	// maxForwardHops is the number of members to which a request is forwarded, one after
+	// the other, if they redirect it because the owner has changed.
 	maxForwardHops = 2
-	// maxForwardedAnswer bounds an owner's answer in memory; a larger one the
-	// caller fetches itself.
-	maxForwardedAnswer = maxConfigBytes
+	// maxForwardedResponseBytes bounds the memory for an owner's response. If the
+	// response is larger, the caller is redirected and fetches it from the owner.
+	maxForwardedResponseBytes = maxConfigBytes
 )
 
-// What became of a forwarded request that brought no answer.
+// Errors of forwarded requests without a usable response.
 var (
-	errNotSent        = Error.New("the request did not reach the owner")
-	errNoAnswer       = Error.New("the owner may have carried out the request")
-	errAnswerTooLarge = Error.New("the owner's answer is too large to be sent on")
+	// errNotSent reports that the headers of the request were not sent, so that the
+	// owner cannot have executed it.
+	errNotSent = Error.New("the request was not sent to the owner")
+	// errNoResponse reports that at least the headers of the request were sent, so that
+	// its outcome is unknown.
+	errNoResponse = Error.New("no complete response from the owner, which may have executed the request")
+	// errResponseTooLarge reports a response above maxForwardedResponseBytes.
+	errResponseTooLarge = Error.New("the owner's response is too large to forward")
 )
 
-// ownerAnswer is a response of another member.
-type ownerAnswer struct {
+// ownerResponse is the response of another member to a forwarded request.
+type ownerResponse struct {
 	code   int
 	header http.Header
 	body   []byte
 }
 
-// redirect is the URL that the member names as the owner's; empty if it
-// answered itself.
-func (a ownerAnswer) redirect() string {
-	if a.code != http.StatusTemporaryRedirect {
+// redirectLocation returns the URL at the current owner if the member redirected the
+// request, and an empty string if it answered the request itself.
+func (r ownerResponse) redirectLocation() string {
+	if r.code != http.StatusTemporaryRedirect {
 		return ""
 	}
-	return a.header.Get("Location")
+	return r.header.Get("Location")
 }
 
-func (a ownerAnswer) write(w http.ResponseWriter) {
+// write sends the owner's response to the caller, with the headers that callers use.
+func (r ownerResponse) write(w http.ResponseWriter) {
 	header := w.Header()
 	header["Date"] = nil
 	for _, key := range []string{"Content-Type", "Retry-After"} {
-		if value := a.header.Get(key); value != "" {
+		if value := r.header.Get(key); value != "" {
 			header.Set(key, value)
 		}
 	}
-	w.WriteHeader(a.code)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(r.code)
+	_, _ = w.Write(r.body)
 }
 
-// forwardToOwner sends a response, or, if another member owns the shard, the
-// owner's answer to the same request. Callers may be far from all members, and
-// these near each other: a redirect costs the caller a connection and a round
-// trip more, this costs the members a call. retry repeats the call here, after
-// an owner could not be reached.
-func (s *CoreServer) forwardToOwner(w http.ResponseWriter, r request, body []byte, answer response, retry func() response) {
-	if answer.status != statusNotOwner || s.PeerTransport == nil || r.Header.Get(forwardedHeader) != "" {
-		answer.write(w)
+// forwardToOwner is a responder that forwards the request if another member owns the
+// shard, and sends the owner's response to the caller. Otherwise, or if the request
+// cannot be forwarded, it sends resp. If the owner cannot be reached, it calls retry,
+// which runs the request on this member again.
+//
+// Callers may be far from all members while the members are close to each other. A
+// redirect costs the caller another connection and round trip; forwarding costs only a
+// call between members.
+func (s *CoreServer) forwardToOwner(w http.ResponseWriter, r request, body []byte, resp response, retry func() response) {
+	if resp.status != statusNotOwner || s.PeerTransport == nil || r.Header.Get(forwardedHeader) != "" {
+		resp.write(w)
 		return
 	}
 	deadline := time.Now().Add(s.RetryTimeout)
-	// A watch may take the time that its caller lets it wait in addition.
+	// A watch may additionally take the time that its caller allows it to wait.
 	wait, _ := parseWatchWait(r.URL.Query())
 	timeout := forwardTimeout + wait
-	for hops := 0; answer.status == statusNotOwner && hops < maxForwardHops; {
-		forwarded, err := s.sendToOwner(r, answer.location, body, timeout)
+	for hops := 0; resp.status == statusNotOwner && hops < maxForwardHops; {
+		ownerResp, err := s.sendToOwner(r, resp.location, body, timeout)
 		switch {
 		case errors.Is(err, errNotSent):
 			if time.Now().After(deadline) || r.Context().Err() != nil {
@@ -84,67 +93,67 @@
 				return
 			}
 			time.Sleep(s.RetryInterval)
-			answer = retry()
+			resp = retry()
 			continue
-		case errors.Is(err, errAnswerTooLarge):
-			answer.write(w)
+		case errors.Is(err, errResponseTooLarge):
+			resp.write(w)
 			return
 		case err != nil:
 			errorResponse(errOutcomeUnknown).write(w)
 			return
 		}
-		location := forwarded.redirect()
+		location := ownerResp.redirectLocation()
 		if location == "" {
-			forwarded.write(w)
+			ownerResp.write(w)
 			return
 		}
 		hops++
-		answer.location = location
+		resp.location = location
 	}
-	answer.write(w)
+	resp.write(w)
 }
 
-// sendToOwner sends the request once. The error says whether it was not sent,
-// or may have been carried out.
-func (s *CoreServer) sendToOwner(r request, url string, body []byte, timeout time.Duration) (ownerAnswer, error) {
+// sendToOwner sends the request once. The error is errNotSent, errNoResponse or
+// errResponseTooLarge.
+func (s *CoreServer) sendToOwner(r request, url string, body []byte, timeout time.Duration) (ownerResponse, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
-	forwarded, err := newForwardedRequest(ctx, r.Method, url, body)
+	req, err := newForwardedRequest(ctx, r.Method, url, body)
 	if err != nil {
-		return ownerAnswer{}, errNotSent
+		return ownerResponse{}, errNotSent
 	}
-	answer, err := s.PeerTransport.RoundTrip(forwarded)
+	resp, err := s.PeerTransport.RoundTrip(req)
 	if err != nil {
 		if !sent.Load() {
-			return ownerAnswer{}, errNotSent
+			return ownerResponse{}, errNotSent
 		}
-		return ownerAnswer{}, errNoAnswer
+		return ownerResponse{}, errNoResponse
 	}
-	defer func() { _ = answer.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxForwardedAnswer+1))
+	defer func() { _ = resp.Body.Close() }()
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxForwardedResponseBytes+1))
 	if err != nil {
-		return ownerAnswer{}, errNoAnswer
+		return ownerResponse{}, errNoResponse
 	}
-	if len(content) > maxForwardedAnswer {
-		return ownerAnswer{}, errAnswerTooLarge
+	if len(respBody) > maxForwardedResponseBytes {
+		return ownerResponse{}, errResponseTooLarge
 	}
-	return ownerAnswer{answer.StatusCode, answer.Header, content}, nil
+	return ownerResponse{resp.StatusCode, resp.Header, respBody}, nil
 }
 
-// newForwardedRequest makes a request whose body cannot be read again, so that
-// the transport repeats none that may have been carried out.
+// newForwardedRequest returns a request whose body cannot be rewound, so that the
+// transport does not resend a request that the owner may have executed.
 func newForwardedRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
-	forwarded, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
+	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
 	}
-	forwarded.ContentLength = int64(len(body))
+	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
-		forwarded.Body = nil
+		req.Body = nil
 	}
-	forwarded.Header.Set("Content-Type", contentTypeJSON)
-	forwarded.Header.Set(forwardedHeader, "1")
-	return forwarded, nil
+	req.Header.Set("Content-Type", contentTypeJSON)
+	req.Header.Set(forwardedHeader, "1")
+	return req, nil
 }
--- a/internal/controlapi/forward_test.go
+++ b/internal/controlapi/forward_test.go
@@ -98,7 +98,7 @@
 		"refused, then broken off":        {answers: []answer{refusesConnection, breaksOffUnanswered}, code: 500, calls: 2},
 		"owner changed, then broken off":  {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n"), breaksOffUnanswered}, code: 500, calls: 2},
 		"half an answer":                  {answers: []answer{breaksOffInAnswer}, code: 500, calls: 1},
-		"answer too large":                {answers: []answer{answersWith(200, strings.Repeat(" ", maxForwardedAnswer+1), "")}, code: 307, calls: 1},
+		"answer too large":                {answers: []answer{answersWith(200, strings.Repeat(" ", maxForwardedResponseBytes+1), "")}, code: 307, calls: 1},
 		"owner changed, then unreachable": {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n"), refusesConnection}, code: 503, calls: 13},
 	} {
 		synctest.Test(t, func(t *testing.T) {
