--- a/internal/controlapi/cluster_test.go
+++ b/internal/controlapi/cluster_test.go
@@ -19,15 +19,16 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// memoryDisk holds the records of a member; it survives its restarts.
+// memoryDisk holds the log records of a member across its restarts.
 type memoryDisk struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// gate, if not nil, blocks writes until it is closed.
 	gate    chan struct{}
 	records [][]byte
 }
 
-// block holds up all writes until the returned function is called.
-func (d *memoryDisk) block() func() {
+// blockWrites blocks all writes until the returned function is called.
+func (d *memoryDisk) blockWrites() func() {
 	gate := make(chan struct{})
 	d.setGate(gate)
 	return func() { d.setGate(nil); close(gate) }
@@ -39,7 +40,7 @@
 	d.mu.Unlock()
 }
 
-func (d *memoryDisk) waitAtGate(stopped <-chan struct{}) {
+func (d *memoryDisk) waitForGate(stopped <-chan struct{}) {
 	d.mu.Lock()
 	gate := d.gate
 	d.mu.Unlock()
@@ -57,13 +58,16 @@
 	return append([][]byte(nil), d.records...)
 }
 
+// diskWrite is a pending write: a record to append, or a snapshot that replaces all
+// records.
 type diskWrite struct {
 	record   []byte
 	snapshot [][]byte
 	done     func(error)
 }
 
-// diskWriter is an incarnation's log on its member's disk.
+// diskWriter is the replication log of an incarnation. It writes to the member's disk
+// asynchronously.
 type diskWriter struct {
 	disk    *memoryDisk
 	mailbox *mailbox.Mailbox
@@ -76,7 +80,7 @@
 		case <-stopped:
 			return
 		case write := <-w.writes:
-			w.disk.waitAtGate(stopped)
+			w.disk.waitForGate(stopped)
 			w.disk.mu.Lock()
 			if write.snapshot != nil {
 				w.disk.records = append([][]byte(nil), write.snapshot...)
@@ -96,7 +100,7 @@
 	w.writes <- diskWrite{snapshot: snapshot, done: done}
 }
 
-// member is a core member, and its present or last incarnation.
+// member is a core member with its current or last incarnation.
 type member struct {
 	cluster *cluster
 	addr    string
@@ -104,6 +108,7 @@
 	incarnation
 }
 
+// incarnation is a process of a member, from start to kill.
 type incarnation struct {
 	mailbox *mailbox.Mailbox
 	replica *replication.Replica
@@ -111,19 +116,21 @@
 	stopped chan struct{}
 }
 
-// cluster is a core in memory: real servers over real replicas, on the clock of
-// synctest, with network and disks in memory.
+// cluster is a core whose servers and replicas are real, while its network and disks are
+// simulated in memory and its clock is that of synctest.
 type cluster struct {
-	t            *testing.T
-	mu           sync.Mutex
-	members      []*member
+	t       *testing.T
+	mu      sync.Mutex
+	members []*member
+	// disconnected holds the addresses that exchange no messages with others.
 	disconnected map[string]bool
 	lastID       int
 	started      time.Time
 	wg           sync.WaitGroup
 }
 
-// newCluster starts a core of size members, on the disks given or on empty ones.
+// newCluster starts a core with size members. Members without a given disk get an empty
+// one. The core is bootstrapped if no disks are given.
 func newCluster(t *testing.T, size int, disks ...*memoryDisk) *cluster {
 	c := &cluster{t: t, disconnected: map[string]bool{}, started: time.Now()}
 	for i := range size {
@@ -139,6 +146,7 @@
 	return c
 }
 
+// close stops all members and waits for the goroutines of the cluster.
 func (c *cluster) close() {
 	for _, m := range c.members {
 		m.kill()
@@ -146,31 +154,33 @@
 	c.wg.Wait()
 }
 
-func (m *member) start(first bool) {
+// start starts a new incarnation on the member's disk.
+func (m *member) start(bootstrap bool) {
 	c := m.cluster
 	var seeds []*meshpb.Member
 	for _, seed := range c.members {
 		seeds = append(seeds, &meshpb.Member{Addr: seed.addr, Control: seed.addr})
 	}
-	loop, stopped := mailbox.New(), make(chan struct{})
-	writer := diskWriter{m.disk, loop, make(chan diskWrite, 1<<16)}
+	mb, stopped := mailbox.New(), make(chan struct{})
+	writer := diskWriter{m.disk, mb, make(chan diskWrite, 1<<16)}
 	c.wg.Go(func() { writer.run(stopped) })
-	service := coordination.NewService(loop, 4)
-	replica, err := replication.New(replication.Options{Self: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, Bootstrap: first, Shards: 4,
+	service := coordination.NewService(mb, 4)
+	replica, err := replication.New(replication.Options{Self: &meshpb.Member{Addr: m.addr, Control: m.addr}, Seeds: seeds, Bootstrap: bootstrap, Shards: 4,
 		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, EvictionTimeout: 2 * time.Second, CheckpointBytes: 1 << 18,
 		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) },
 		NewID:           func() string { c.lastID++; return fmt.Sprint("id", c.lastID) },
 		Now:             func() time.Duration { return time.Since(c.started) }, Rand: func(int) int { return 0 },
-		OnCommit: service.OnCommit}, clusterTransport{m, loop}, writer, m.disk.readAll())
+		OnCommit: service.OnCommit}, clusterTransport{m, mb}, writer, m.disk.readAll())
 	qt.Assert(c.t, err, qt.IsNil)
 	service.Replica = replica
 	c.mu.Lock()
-	m.incarnation = incarnation{loop, replica, NewCoreServer(service, 650*time.Millisecond), stopped}
+	m.incarnation = incarnation{mb, replica, NewCoreServer(service, 650*time.Millisecond), stopped}
 	c.disconnected[m.addr] = false
 	c.mu.Unlock()
-	c.wg.Go(func() { loop.Run(50*time.Millisecond, replica.Tick) })
+	c.wg.Go(func() { mb.Run(50*time.Millisecond, replica.Tick) })
 }
 
+// kill disconnects the member and stops its incarnation without a shutdown.
 func (m *member) kill() {
 	m.cluster.setDisconnected(m.addr, true)
 	select {
@@ -188,8 +198,7 @@
 	c.mu.Unlock()
 }
 
-// incarnationAt returns the incarnation at an address, and whether it can be
-// reached.
+// incarnationAt returns the incarnation at an address, and whether it is connected.
 func (c *cluster) incarnationAt(addr string) (incarnation, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +210,9 @@
 	return incarnation{}, false
 }
 
-func (c *cluster) owner() *member {
+// waitForOwner returns the connected member that owns shard 0. It waits for one for up to
+// 20 seconds.
+func (c *cluster) waitForOwner() *member {
 	for range 400 {
 		for _, m := range c.members {
 			current, connected := c.incarnationAt(m.addr)
@@ -214,70 +225,75 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatal("nobody owns shard 0")
+	c.t.Fatal("no member owns shard 0")
 	return nil
 }
 
-// clusterTransport carries an incarnation's calls to the other members.
+// clusterTransport sends the replication calls of an incarnation to other members.
 type clusterTransport struct {
 	from    *member
 	mailbox *mailbox.Mailbox
 }
 
-func send[Q, R proto.Message](t clusterTransport, to string, message Q, done func(R), handle func(replication.Handler, context.Context, Q) (R, error)) {
+// send calls method on the replica at an address and passes the response to done on the
+// caller's mailbox. Without a response done gets nil, after a timeout if either member is
+// disconnected.
+func send[Q, R proto.Message](t clusterTransport, to string, message Q, done func(R), method func(replication.Handler, context.Context, Q) (R, error)) {
 	message = proto.Clone(message).(Q)
 	t.from.cluster.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 		defer cancel()
 		time.Sleep(time.Millisecond)
-		var noAnswer R
+		var noResponse R
 		target, reachable := t.from.cluster.incarnationAt(to)
 		_, connected := t.from.cluster.incarnationAt(t.from.addr)
 		if !reachable || !connected {
 			<-ctx.Done()
-			t.mailbox.Post(func() { done(noAnswer) })
+			t.mailbox.Post(func() { done(noResponse) })
 			return
 		}
-		answer, err := handle(replication.Handler{Mailbox: target.mailbox, Replica: target.replica}, ctx, message)
+		response, err := method(replication.Handler{Mailbox: target.mailbox, Replica: target.replica}, ctx, message)
 		if _, connected = t.from.cluster.incarnationAt(t.from.addr); err != nil || !connected {
-			answer = noAnswer
+			response = noResponse
 		}
-		t.mailbox.Post(func() { done(answer) })
+		t.mailbox.Post(func() { done(response) })
 	})
 }
 
-func (t clusterTransport) RenewLeases(to *meshpb.Member, q *meshpb.RenewLeasesRequest, done func(*meshpb.RenewLeasesResponse)) {
-	send(t, to.Addr, q, done, replication.Handler.RenewLeases)
+func (t clusterTransport) RenewLeases(to *meshpb.Member, req *meshpb.RenewLeasesRequest, done func(*meshpb.RenewLeasesResponse)) {
+	send(t, to.Addr, req, done, replication.Handler.RenewLeases)
 }
-func (t clusterTransport) Replicate(to *meshpb.Member, q *meshpb.ReplicateRequest, done func(*meshpb.ReplicateResponse)) {
-	send(t, to.Addr, q, done, replication.Handler.Replicate)
+func (t clusterTransport) Replicate(to *meshpb.Member, req *meshpb.ReplicateRequest, done func(*meshpb.ReplicateResponse)) {
+	send(t, to.Addr, req, done, replication.Handler.Replicate)
 }
-func (t clusterTransport) RequestVotes(to *meshpb.Member, q *meshpb.RequestVotesRequest, done func(*meshpb.RequestVotesResponse)) {
-	send(t, to.Addr, q, done, replication.Handler.RequestVotes)
+func (t clusterTransport) RequestVotes(to *meshpb.Member, req *meshpb.RequestVotesRequest, done func(*meshpb.RequestVotesResponse)) {
+	send(t, to.Addr, req, done, replication.Handler.RequestVotes)
 }
-func (t clusterTransport) TransferOwnership(to *meshpb.Member, q *meshpb.TransferOwnershipRequest, done func(*meshpb.TransferOwnershipResponse)) {
-	send(t, to.Addr, q, done, replication.Handler.TransferOwnership)
+func (t clusterTransport) TransferOwnership(to *meshpb.Member, req *meshpb.TransferOwnershipRequest, done func(*meshpb.TransferOwnershipResponse)) {
+	send(t, to.Addr, req, done, replication.Handler.TransferOwnership)
 }
-func (t clusterTransport) AcceptMembership(to *meshpb.Member, q *meshpb.AcceptMembershipRequest, done func(*meshpb.AcceptMembershipResponse)) {
-	send(t, to.Addr, q, done, replication.Handler.AcceptMembership)
+func (t clusterTransport) AcceptMembership(to *meshpb.Member, req *meshpb.AcceptMembershipRequest, done func(*meshpb.AcceptMembershipResponse)) {
+	send(t, to.Addr, req, done, replication.Handler.AcceptMembership)
 }
-func (t clusterTransport) Join(to string, q *meshpb.JoinRequest, done func(*meshpb.JoinResponse)) {
-	send(t, to, q, done, replication.Handler.Join)
+func (t clusterTransport) Join(to string, req *meshpb.JoinRequest, done func(*meshpb.JoinResponse)) {
+	send(t, to, req, done, replication.Handler.Join)
 }
 
-// operatorRequest is one call of an operator or an application.
+// operatorRequest is a request of an operator or an application. base is the If-Match
+// header; it is not sent if it is empty.
 type operatorRequest struct{ method, path, base, body string }
 
-// sendOnce sends to one member and follows two redirects, as callers do.
-func (c *cluster) sendOnce(to string, q operatorRequest) (int, string) {
+// sendOnce sends a request to one member and follows up to two redirects, as callers do.
+// The code is 0 if the member is disconnected.
+func (c *cluster) sendOnce(to string, req operatorRequest) (int, string) {
 	for hop := 0; ; hop++ {
 		target, connected := c.incarnationAt(to)
 		if !connected {
 			return 0, ""
 		}
-		httpRequest := httptest.NewRequest(q.method, q.path, strings.NewReader(q.body))
-		if q.base != "" {
-			httpRequest.Header.Set("If-Match", q.base)
+		httpRequest := httptest.NewRequest(req.method, req.path, strings.NewReader(req.body))
+		if req.base != "" {
+			httpRequest.Header.Set("If-Match", req.base)
 		}
 		time.Sleep(2 * time.Millisecond)
 		recorder := httptest.NewRecorder()
@@ -290,11 +306,11 @@
 	}
 }
 
-// sendUntilDecided sends to one member after the other until the answer is
-// definite.
-func (c *cluster) sendUntilDecided(from int, q operatorRequest) (int, string) {
+// sendUntilDecided sends a request to one member after the other until the response
+// tells whether it was executed. The code is 0 if none does within 200 attempts.
+func (c *cluster) sendUntilDecided(from int, req operatorRequest) (int, string) {
 	for i := range 200 {
-		code, body := c.sendOnce(c.members[(from+i)%len(c.members)].addr, q)
+		code, body := c.sendOnce(c.members[(from+i)%len(c.members)].addr, req)
 		if code != 0 && code != 307 && code < 500 {
 			return code, body
 		}
--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -29,7 +29,7 @@
 	if base == 0 {
 		baseText = "0"
 	}
-	return operatorRequest{"PUT", configPath, baseText, configText(formatVersion(version), host)}
+	return operatorRequest{"PUT", configPath, baseText, configJSON(formatVersion(version), host)}
 }
 
 func patchChange(version, base uint64, host string) operatorRequest {
@@ -87,22 +87,22 @@
 		"nothing": func(*cluster, *member) {},
 		"the owner is killed": func(core *cluster, m *member) {
 			m.kill()
-			core.owner()
+			core.waitForOwner()
 			m.start(false)
 		},
 		"the owner is cut off": func(core *cluster, m *member) {
 			core.setDisconnected(m.addr, true)
-			core.owner()
+			core.waitForOwner()
 			core.setDisconnected(m.addr, false)
 		},
 		"the owner loses its disk and the next one dies": func(core *cluster, m *member) {
 			m.kill()
 			m.disk = &memoryDisk{}
 			m.start(false)
-			next := core.owner()
+			next := core.waitForOwner()
 			time.Sleep(6 * time.Second)
 			next.kill()
-			core.owner()
+			core.waitForOwner()
 			next.start(false)
 		},
 		"all restart": func(core *cluster, _ *member) {
@@ -127,7 +127,7 @@
 				comment := qt.Commentf("%s, pair %d", name, i)
 				code, _ := core.sendUntilDecided(i, pair.one)
 				qt.Assert(t, code, qt.Equals, 200, comment)
-				inject(core, core.owner())
+				inject(core, core.waitForOwner())
 				code, _ = core.sendUntilDecided(i+1, pair.two)
 				qt.Assert(t, code, qt.Equals, 412, comment)
 				code, _ = core.sendUntilDecided(i+2, pair.one)
@@ -151,7 +151,7 @@
 			core.expectAll(changeSequence(1), 200, "at first")
 			if row.stalled {
 				synctest.Wait()
-				defer core.members[0].disk.block()()
+				defer core.members[0].disk.blockWrites()()
 			}
 			var got, want [8]int
 			var wg sync.WaitGroup
@@ -188,7 +188,7 @@
 			code, _ := core.sendUntilDecided(0, row.setup)
 			qt.Assert(t, code, qt.Equals, 200)
 			synctest.Wait()
-			unblock := core.members[0].disk.block()
+			unblock := core.members[0].disk.blockWrites()
 			for i := range 3 {
 				code, _ = core.sendOnce("m0", row.change)
 				qt.Check(t, code, qt.Equals, 500, qt.Commentf("%s, sending %d", name, i))
@@ -329,7 +329,7 @@
 			disk.records = append(disk.records, record)
 			core := newCluster(t, 1, disk)
 			defer core.close()
-			core.owner()
+			core.waitForOwner()
 			for i, row := range []struct {
 				request operatorRequest
 				code    int
--- a/internal/controlapi/config_growth_test.go
+++ b/internal/controlapi/config_growth_test.go
@@ -57,7 +57,7 @@
 				code, body := core.sendUntilDecided(0, operatorRequest{"PATCH", "/-/configuration", fmt.Sprintf("r%d", i+1), patch})
 				qt.Assert(t, code, qt.Equals, 200, qt.Commentf(body))
 			}
-			owner := core.owner()
+			owner := core.waitForOwner()
 			records = owner.disk.readAll()
 			started := time.Now()
 			stopped.start(false)
--- a/internal/controlapi/forward_test.go
+++ b/internal/controlapi/forward_test.go
@@ -18,32 +18,36 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeOwners answers for the members, in the order of the requests.
-type fakeOwners struct {
-	answers  []func(q *http.Request) (*http.Response, error)
+// fakeTransport takes the place of the other members. The nth request gets the nth
+// response, and further requests the last one.
+type fakeTransport struct {
+	responses []func(r *http.Request) (*http.Response, error)
+	// requests lists the method, URL, body and forwardedHeader of each request.
 	requests []string
 }
 
-func (o *fakeOwners) RoundTrip(q *http.Request) (*http.Response, error) {
+func (f *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body := ""
-	if q.Body != nil {
-		data, _ := io.ReadAll(q.Body)
+	if r.Body != nil {
+		data, _ := io.ReadAll(r.Body)
 		body = string(data)
 	}
-	o.requests = append(o.requests, q.Method+" "+q.URL.String()+" "+body+" "+q.Header.Get(forwardedHeader))
-	answer := o.answers[min(len(o.requests), len(o.answers))-1]
-	return answer(q)
+	f.requests = append(f.requests, r.Method+" "+r.URL.String()+" "+body+" "+r.Header.Get(forwardedHeader))
+	respond := f.responses[min(len(f.requests), len(f.responses))-1]
+	return respond(r)
 }
 
-func reportSent(q *http.Request) {
-	if trace := httptrace.ContextClientTrace(q.Context()); trace != nil {
+// traceHeadersSent reports to the request's client trace that the headers were sent, as
+// http.Transport does.
+func traceHeadersSent(r *http.Request) {
+	if trace := httptrace.ContextClientTrace(r.Context()); trace != nil {
 		trace.WroteHeaders()
 	}
 }
 
-func answersWith(code int, body, location string) func(*http.Request) (*http.Response, error) {
-	return func(q *http.Request) (*http.Response, error) {
-		reportSent(q)
+func respondWith(code int, body, location string) func(*http.Request) (*http.Response, error) {
+	return func(r *http.Request) (*http.Response, error) {
+		traceHeadersSent(r)
 		header := http.Header{"Content-Type": {"application/json"}}
 		if location != "" {
 			header.Set("Location", location)
@@ -52,17 +56,17 @@
 	}
 }
 
-func refusesConnection(*http.Request) (*http.Response, error) {
+func refuseConnection(*http.Request) (*http.Response, error) {
 	return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 }
 
-func breaksOffUnanswered(q *http.Request) (*http.Response, error) {
-	reportSent(q)
+func resetBeforeResponse(r *http.Request) (*http.Response, error) {
+	traceHeadersSent(r)
 	return nil, errors.New("reset")
 }
 
-func breaksOffInAnswer(q *http.Request) (*http.Response, error) {
-	reportSent(q)
+func failDuringResponse(r *http.Request) (*http.Response, error) {
+	traceHeadersSent(r)
 	return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(io.MultiReader(strings.NewReader(`{"pay`), failingReader{}))}, nil
 }
 
@@ -70,40 +74,43 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func neverAnswers(q *http.Request) (*http.Response, error) {
-	reportSent(q)
-	<-q.Context().Done()
-	return nil, q.Context().Err()
+func hangUntilCanceled(r *http.Request) (*http.Response, error) {
+	traceHeadersSent(r)
+	<-r.Context().Done()
+	return nil, r.Context().Err()
 }
 
-func TestForwardedRequestsGetTheOwnersAnswerAndNoFalsePromise(t *testing.T) {
-	type answer = func(*http.Request) (*http.Response, error)
+// A forwarded request gets the owner's whole response, or a redirect if the response is
+// too large. Without a response, it gets status 503 only if the owner cannot have executed
+// it, and 500 if the outcome is unknown.
+func TestForwardingNeverMisreportsOutcome(t *testing.T) {
+	type roundTrip = func(*http.Request) (*http.Response, error)
 	for name, row := range map[string]struct {
-		answers   []answer
+		responses []roundTrip
 		forwarded string
 		code      int
 		contains  string
 		calls     int
 	}{
-		"the owner's answer":              {answers: []answer{answersWith(200, `{"payload":7}`, "")}, code: 200, contains: `{"payload":7}`, calls: 1},
-		"lock held by another":            {answers: []answer{answersWith(409, `{}`, "")}, code: 409, calls: 1},
-		"a promise is the owner's":        {answers: []answer{answersWith(503, `{}`, "")}, code: 503, calls: 1},
-		"owner changed":                   {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n"), answersWith(200, `{"payload":8}`, "")}, code: 200, contains: "8", calls: 2},
-		"owner changes again and again":   {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n")}, code: 307, calls: 2},
-		"owner unreachable":               {answers: []answer{refusesConnection}, code: 503, calls: 12},
-		"reachable after a while":         {answers: []answer{refusesConnection, refusesConnection, answersWith(200, `{"payload":9}`, "")}, code: 200, contains: "9", calls: 3},
-		"broken off":                      {answers: []answer{breaksOffUnanswered}, code: 500, calls: 1},
-		"no answer":                       {answers: []answer{neverAnswers}, code: 500, calls: 1},
-		"forwarded before":                {answers: []answer{breaksOffUnanswered}, forwarded: "1", code: 307, calls: 0},
-		"refused, then broken off":        {answers: []answer{refusesConnection, breaksOffUnanswered}, code: 500, calls: 2},
-		"owner changed, then broken off":  {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n"), breaksOffUnanswered}, code: 500, calls: 2},
-		"half an answer":                  {answers: []answer{breaksOffInAnswer}, code: 500, calls: 1},
-		"answer too large":                {answers: []answer{answersWith(200, strings.Repeat(" ", maxForwardedResponseBytes+1), "")}, code: 307, calls: 1},
-		"owner changed, then unreachable": {answers: []answer{answersWith(307, "", "http://o2:1/-/numbers/n"), refusesConnection}, code: 503, calls: 13},
+		"owner responds":                       {responses: []roundTrip{respondWith(200, `{"payload":7}`, "")}, code: 200, contains: `{"payload":7}`, calls: 1},
+		"owner responds with a conflict":       {responses: []roundTrip{respondWith(409, `{}`, "")}, code: 409, calls: 1},
+		"owner is unavailable":                 {responses: []roundTrip{respondWith(503, `{}`, "")}, code: 503, calls: 1},
+		"owner changed":                        {responses: []roundTrip{respondWith(307, "", "http://o2:1/-/numbers/n"), respondWith(200, `{"payload":8}`, "")}, code: 200, contains: "8", calls: 2},
+		"owner changes repeatedly":             {responses: []roundTrip{respondWith(307, "", "http://o2:1/-/numbers/n")}, code: 307, calls: 2},
+		"owner unreachable":                    {responses: []roundTrip{refuseConnection}, code: 503, calls: 12},
+		"owner reachable after two attempts":   {responses: []roundTrip{refuseConnection, refuseConnection, respondWith(200, `{"payload":9}`, "")}, code: 200, contains: "9", calls: 3},
+		"connection reset":                     {responses: []roundTrip{resetBeforeResponse}, code: 500, calls: 1},
+		"no response":                          {responses: []roundTrip{hangUntilCanceled}, code: 500, calls: 1},
+		"already forwarded":                    {responses: []roundTrip{resetBeforeResponse}, forwarded: "1", code: 307, calls: 0},
+		"connection refused, then reset":       {responses: []roundTrip{refuseConnection, resetBeforeResponse}, code: 500, calls: 2},
+		"owner changed, then connection reset": {responses: []roundTrip{respondWith(307, "", "http://o2:1/-/numbers/n"), resetBeforeResponse}, code: 500, calls: 2},
+		"incomplete response":                  {responses: []roundTrip{failDuringResponse}, code: 500, calls: 1},
+		"response too large":                   {responses: []roundTrip{respondWith(200, strings.Repeat(" ", maxForwardedResponseBytes+1), "")}, code: 307, calls: 1},
+		"owner changed, then unreachable":      {responses: []roundTrip{respondWith(307, "", "http://o2:1/-/numbers/n"), refuseConnection}, code: 503, calls: 13},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			owners := &fakeOwners{answers: row.answers}
-			server := &CoreServer{RetryTimeout: 200 * time.Millisecond, RetryInterval: 20 * time.Millisecond, PeerTransport: owners}
+			transport := &fakeTransport{responses: row.responses}
+			server := &CoreServer{RetryTimeout: 200 * time.Millisecond, RetryInterval: 20 * time.Millisecond, PeerTransport: transport}
 			server.handle("POST /-/numbers/{}", jsonHandler(server.forwardToOwner, func(r request, _ empty) (empty, error) {
 				return empty{}, &notOwnerError{location: "http://o1:1" + r.RequestURI}
 			}))
@@ -112,26 +119,26 @@
 				r.Header.Set(forwardedHeader, row.forwarded)
 			}
 			recorder := httptest.NewRecorder()
-			started := time.Now()
+			start := time.Now()
 			server.ServeHTTP(recorder, r)
-			comment := qt.Commentf("%s: %d calls", name, len(owners.requests))
+			comment := qt.Commentf("%s: %d calls", name, len(transport.requests))
 			qt.Check(t, recorder.Code, qt.Equals, row.code, comment)
 			qt.Check(t, strings.Contains(recorder.Body.String(), row.contains), qt.IsTrue, comment)
-			qt.Check(t, len(owners.requests) >= min(row.calls, 5) && len(owners.requests) <= row.calls, qt.IsTrue, comment)
-			qt.Check(t, time.Since(started) < time.Second, qt.IsTrue, comment)
-			if len(owners.requests) > 0 {
-				qt.Check(t, owners.requests[0], qt.Equals, "POST http://o1:1/-/numbers/n {} 1")
+			qt.Check(t, len(transport.requests) >= min(row.calls, 5) && len(transport.requests) <= row.calls, qt.IsTrue, comment)
+			qt.Check(t, time.Since(start) < time.Second, qt.IsTrue, comment)
+			if len(transport.requests) > 0 {
+				qt.Check(t, transport.requests[0], qt.Equals, "POST http://o1:1/-/numbers/n {} 1")
 			}
 		})
 	}
 }
 
-// breakOffSecondRequest answers the first request on a connection. The second
-// one it reads; then it closes the connection, or waits until the other side
-// does.
-func breakOffSecondRequest(connection net.Conn, hangs bool, calls, closed *atomic.Int64) {
-	defer func() { _ = connection.Close() }()
-	reader := bufio.NewReader(connection)
+// abortSecondRequest responds to the first request on a connection. It reads the second
+// one without responding, and then closes the connection or, if hangs is set, waits
+// until the peer closes it.
+func abortSecondRequest(conn net.Conn, hangs bool, calls, closed *atomic.Int64) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for n := 0; ; n++ {
 		r, err := http.ReadRequest(reader)
 		if err != nil {
@@ -140,25 +147,27 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		calls.Add(1)
 		if n == 0 {
-			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 			continue
 		}
 		if hangs {
-			_, _ = io.Copy(io.Discard, connection)
+			_, _ = io.Copy(io.Discard, conn)
 			closed.Add(1)
 		}
 		return
 	}
 }
 
-// TestConnectionsBetweenMembersRepeatNoChange has the owner answer the first
-// request on a connection, and read the second and break off.
-func TestConnectionsBetweenMembersRepeatNoChange(t *testing.T) {
+// http.Transport resends some requests when a reused connection breaks before the
+// response. A forwarded change must not be resent, because the owner may have executed
+// it. The owner responds to the first request on a connection, reads the second one and
+// then closes the connection or hangs.
+func TestForwardedChangesAreNotResent(t *testing.T) {
 	for method, want := range map[string]struct{ code, calls int }{
 		"POST":   {500, 1},
 		"PUT":    {500, 1},
 		"DELETE": {500, 1},
-		// A read that comes twice does nothing.
+		// A read has no effect, so it may be executed twice.
 		"GET": {200, 2},
 	} {
 		for _, hangs := range []bool{false, true} {
@@ -166,7 +175,7 @@
 				var calls, closed atomic.Int64
 				transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 					client, owner := net.Pipe()
-					go breakOffSecondRequest(owner, hangs, &calls, &closed)
+					go abortSecondRequest(owner, hangs, &calls, &closed)
 					return client, nil
 				}}
 				defer transport.CloseIdleConnections()
@@ -192,7 +201,7 @@
 					qt.Check(t, do(), qt.Equals, 500, comment)
 					qt.Check(t, calls.Load(), qt.Equals, int64(1), comment)
 					synctest.Wait()
-					qt.Check(t, closed.Load(), qt.Equals, int64(1), qt.Commentf("%v: the connection of an abandoned request stayed open", comment))
+					qt.Check(t, closed.Load(), qt.Equals, int64(1), qt.Commentf("%v: the connection of a canceled request stayed open", comment))
 					return
 				}
 				qt.Check(t, do(), qt.Equals, want.code, comment)
--- a/internal/controlapi/operators_test.go
+++ b/internal/controlapi/operators_test.go
@@ -142,7 +142,7 @@
 			sleepUpTo(2500)
 			c.setDisconnected(m.addr, false)
 		case 2:
-			unblock := m.disk.block()
+			unblock := m.disk.blockWrites()
 			sleepUpTo(2500)
 			unblock()
 		case 3:
--- a/internal/controlapi/server_test.go
+++ b/internal/controlapi/server_test.go
@@ -18,55 +18,60 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// instantLog is a replication log that stores nothing and completes writes at once.
 type instantLog struct{ mailbox *mailbox.Mailbox }
 
-func (s instantLog) Append(_ []byte, done func(error))       { go s.mailbox.Post(func() { done(nil) }) }
-func (s instantLog) Checkpoint(_ [][]byte, done func(error)) { go s.mailbox.Post(func() { done(nil) }) }
+func (l instantLog) Append(_ []byte, done func(error))       { go l.mailbox.Post(func() { done(nil) }) }
+func (l instantLog) Checkpoint(_ [][]byte, done func(error)) { go l.mailbox.Post(func() { done(nil) }) }
 
+// singleServer is the server of a core with one member.
 type singleServer struct {
 	server  *CoreServer
 	mailbox *mailbox.Mailbox
 }
 
 func newSingleServer(t *testing.T) *singleServer {
-	loop := mailbox.New()
-	started := time.Now()
+	mb := mailbox.New()
+	start := time.Now()
 	self := &meshpb.Member{Addr: "a", Control: "c"}
-	service := coordination.NewService(loop, 4)
+	service := coordination.NewService(mb, 4)
 	replica, err := replication.New(replication.Options{Self: self, Seeds: []*meshpb.Member{self}, Bootstrap: true, Shards: 4,
 		LeaseDuration: 900 * time.Millisecond, HeartbeatInterval: 250 * time.Millisecond, RequestTimeout: 900 * time.Millisecond, CheckpointBytes: 1 << 20,
 		NewStateMachine: func() replication.StateMachine { return coordination.NewTable(20 * time.Second) }, NewID: func() string { return "x" },
-		Now: func() time.Duration { return time.Since(started) }, Rand: func(int) int { return 0 },
-		OnCommit: service.OnCommit}, replication.PeerClient{Mailbox: loop}, instantLog{loop}, nil)
+		Now: func() time.Duration { return time.Since(start) }, Rand: func(int) int { return 0 },
+		OnCommit: service.OnCommit}, replication.PeerClient{Mailbox: mb}, instantLog{mb}, nil)
 	qt.Assert(t, err, qt.IsNil)
 	service.Replica = replica
-	go loop.Run(50*time.Millisecond, replica.Tick)
-	return &singleServer{NewCoreServer(service, 650*time.Millisecond), loop}
+	go mb.Run(50*time.Millisecond, replica.Tick)
+	return &singleServer{NewCoreServer(service, 650*time.Millisecond), mb}
 }
 
-func (s *singleServer) do(method, path, body, match string) (int, string) {
+// do sends a request and returns the status code and body of the response. It sets the
+// If-Match header unless ifMatch is empty.
+func (s *singleServer) do(method, path, body, ifMatch string) (int, string) {
 	httpRequest := httptest.NewRequest(method, path, strings.NewReader(body))
-	if match != "" {
-		httpRequest.Header.Set("If-Match", match)
+	if ifMatch != "" {
+		httpRequest.Header.Set("If-Match", ifMatch)
 	}
 	recorder := httptest.NewRecorder()
 	s.server.ServeHTTP(recorder, httpRequest)
 	return recorder.Code, recorder.Body.String()
 }
 
-func configText(version, host string) string {
+// configJSON returns a valid configuration with the given version and hostname.
+func configJSON(version, host string) string {
 	return `{"stamp":"` + version + `","resourceList":[{"variant":"bindingList","metadata":{"name":"b"},"specification":{"hostname":"` + host +
 		`","pathPrefix":"/","bindingKind":"pure","serviceName":"s"}},{"variant":"serviceList","metadata":{"name":"s"},"specification":{}}]}`
 }
 
-func TestRequestsGetTheStatusOfTheirResult(t *testing.T) {
+func TestRequestStatusCodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newSingleServer(t)
 		defer server.mailbox.Close()
 		for _, row := range []struct {
-			call, body, match string
-			code              int
-			has               string
+			request, body, ifMatch string
+			code                   int
+			contains               string
 		}{
 			{"POST /-/locks/l", `{"holderId":"a","holdS":3}`, "", 200, `{"fenceNo":1}`},
 			{"POST /-/locks/l", `{"holderId":"b","holdS":3}`, "", 409, ""},
@@ -90,68 +95,70 @@
 			{"GET /-/watch/g.?after=x", ``, "", 400, "after"},
 			{"GET /-/watch/g.?after=0&waitMs=100", ``, "", 200, `{"eventList":[],"revision":1}`},
 			{"GET /-/configuration", ``, "", 404, ""},
-			{"PUT /-/configuration", configText("r5", "h"), "", 400, "If-Match"},
-			{"PUT /-/configuration", configText("r5", "h")[:80], "0", 400, ""},
-			{"PUT /-/configuration", configText("r5", "h"), "0", 200, ""},
-			{"PUT /-/configuration", configText("r5", "h"), "0", 200, ""},
-			{"PUT /-/configuration", configText("r7", "i"), "0", 412, "r5"},
-			{"PUT /-/configuration", configText("r4", "i"), "r5", 400, "not above"},
-			{"PUT /-/configuration", configText("r7", "i"), "r5", 200, ""},
-			{"PUT /-/configuration", configText("r5", "h"), "0", 200, ""},
+			{"PUT /-/configuration", configJSON("r5", "h"), "", 400, "If-Match"},
+			{"PUT /-/configuration", configJSON("r5", "h")[:80], "0", 400, ""},
+			{"PUT /-/configuration", configJSON("r5", "h"), "0", 200, ""},
+			{"PUT /-/configuration", configJSON("r5", "h"), "0", 200, ""},
+			{"PUT /-/configuration", configJSON("r7", "i"), "0", 412, "r5"},
+			{"PUT /-/configuration", configJSON("r4", "i"), "r5", 400, "not above"},
+			{"PUT /-/configuration", configJSON("r7", "i"), "r5", 200, ""},
+			{"PUT /-/configuration", configJSON("r5", "h"), "0", 200, ""},
 			{"PATCH /-/configuration", `{"stamp":"r9","removals":{"serviceList":["s"]}}`, "r7", 400, "unknown"},
-			{"GET /-/configuration", ``, "", 200, configText("r7", "i")},
+			{"GET /-/configuration", ``, "", 200, configJSON("r7", "i")},
 			{"GET /-/nothing", ``, "", 404, ""},
 		} {
-			method, path, _ := strings.Cut(row.call, " ")
-			code, body := server.do(method, path, row.body, row.match)
-			qt.Check(t, code, qt.Equals, row.code, qt.Commentf("%s %s: %s", row.call, row.body, body))
-			qt.Check(t, strings.Contains(body, row.has), qt.IsTrue, qt.Commentf("%s %s: %s", row.call, row.body, body))
+			method, path, _ := strings.Cut(row.request, " ")
+			code, body := server.do(method, path, row.body, row.ifMatch)
+			qt.Check(t, code, qt.Equals, row.code, qt.Commentf("%s %s: %s", row.request, row.body, body))
+			qt.Check(t, strings.Contains(body, row.contains), qt.IsTrue, qt.Commentf("%s %s: %s", row.request, row.body, body))
 		}
 	})
 }
 
-func TestOneOfConcurrentChangesToOneVersionIsAccepted(t *testing.T) {
+// Of several changes to the same base version that are sent concurrently, one is accepted
+// and the others are refused with status 412.
+func TestOnlyOneOfConcurrentChangesIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newSingleServer(t)
 		defer server.mailbox.Close()
-		code, _ := server.do("PUT", "/-/configuration", configText("r1", "h"), "0")
+		code, _ := server.do("PUT", "/-/configuration", configJSON("r1", "h"), "0")
 		qt.Assert(t, code, qt.Equals, 200)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		count := map[int]int{}
+		codeCounts := map[int]int{}
 		for i := range 6 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c, _ := server.do("PUT", "/-/configuration", configText(fmt.Sprint("r", 2+i%3), fmt.Sprint("h", i)), "r1")
+				c, _ := server.do("PUT", "/-/configuration", configJSON(fmt.Sprint("r", 2+i%3), fmt.Sprint("h", i)), "r1")
 				mu.Lock()
-				count[c]++
+				codeCounts[c]++
 				mu.Unlock()
 			}()
 		}
 		wg.Wait()
-		qt.Assert(t, count, qt.DeepEquals, map[int]int{200: 1, 412: 5})
+		qt.Assert(t, codeCounts, qt.DeepEquals, map[int]int{200: 1, 412: 5})
 	})
 }
 
-func TestWatchReturnsAtTheFirstPut(t *testing.T) {
+func TestWatchReturnsOnFirstPutInGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newSingleServer(t)
 		defer server.mailbox.Close()
 		server.do("PUT", "/-/cells/g.a", `{"payload":"v1"}`, "")
-		started := time.Now()
-		answer := make(chan string)
+		start := time.Now()
+		watchBody := make(chan string)
 		go func() {
 			_, body := server.do("GET", "/-/watch/g.?after=1&waitMs=60000", "", "")
-			answer <- body
+			watchBody <- body
 		}()
 		synctest.Wait()
 		server.do("PUT", "/-/cells/h.a", `{"payload":"other"}`, "")
 		server.do("PUT", "/-/cells/g.b", `{"payload":"v2"}`, "")
 		var result watchResponse
-		qt.Assert(t, json.Unmarshal([]byte(<-answer), &result), qt.IsNil)
+		qt.Assert(t, json.Unmarshal([]byte(<-watchBody), &result), qt.IsNil)
 		qt.Assert(t, result, qt.DeepEquals, watchResponse{[]watchEvent{{"g.b", "v2", 2}}, 2})
-		qt.Assert(t, time.Since(started) < time.Second, qt.IsTrue)
+		qt.Assert(t, time.Since(start) < time.Second, qt.IsTrue)
 		_, body := server.do("GET", "/-/watch/g.?after=2&waitMs=500", "", "")
 		qt.Assert(t, body, qt.Equals, `{"eventList":[],"revision":2}`)
 	})
