--- a/internal/controlapi/cells.go
+++ b/internal/controlapi/cells.go
@@ -10,8 +10,8 @@
 type putCellRequest struct {
 	// Payload is the new value. It is required.
 	Payload *string `json:"payload"`
-	// ExpectedRevision, if present, makes the request conditional: it is the current
-	// revision of the key, or 0 if the key has no value.
+	// ExpectedRevision, if present, must be the current revision of the key, or 0 if the
+	// key has no value. Otherwise the put is refused.
 	ExpectedRevision *uint64 `json:"topic"`
 }
 
--- a/internal/controlapi/locks.go
+++ b/internal/controlapi/locks.go
@@ -17,7 +17,7 @@
 	Owner string `json:"holderId"`
 	// TTLSeconds is the time to live of the lock. Releases ignore it.
 	TTLSeconds *float64 `json:"holdS"`
-	// FencingToken is the token of the lock to renew or release.
+	// FencingToken is the token of the lock to renew or release. Acquisitions ignore it.
 	FencingToken uint64 `json:"fenceNo"`
 }
 
