--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -11,28 +11,31 @@
 )
 
 const (
-	// noEndpointPoll is how often a request that finds no endpoint looks again.
-	noEndpointPoll = 20 * time.Millisecond
-	// slowEjection is for how long an endpoint that did not answer in time is not
-	// chosen.
-	slowEjection = time.Second
+	// noEndpointRetryDelay is the pause before a request that found no endpoint
+	// tries to choose one again.
+	noEndpointRetryDelay = 20 * time.Millisecond
+	// slowEjectionTime is how long a direct endpoint is ejected if it does not
+	// respond within retry.SlowLimit.
+	slowEjectionTime = time.Second
 )
 
-// attemptResult is how one attempt ended; one that was answered still holds its
-// connection.
+// attemptResult is the result of one attempt. An answered attempt keeps its
+// connection until the response body is closed.
 type attemptResult struct {
 	endpoint *loadbalancer.Endpoint
 	outcome  retry.Outcome
 	response *http.Response
-	// prefix is the start of the response's body, all of it if complete.
+	// prefix is the start of the response body, or all of it if complete is set.
 	prefix   []byte
 	complete bool
-	took     time.Duration
-	// cancel ends the attempt's context, where it has one of its own.
+	// duration is the time until the prefix was read or the attempt failed.
+	duration time.Duration
+	// cancel cancels the context of a hedgeable attempt; nil if the attempt uses
+	// the request's context.
 	cancel func()
 }
 
-// discard gives up the answer of an attempt that is not needed.
+// discard releases the resources of an attempt whose response is not needed.
 func (r attemptResult) discard() {
 	if r.response != nil {
 		discard(r.response, maxDrained)
@@ -42,16 +45,18 @@
 	}
 }
 
-// sendToEndpoints makes attempts until an endpoint answers or the plan gives up.
+// sendToEndpoints makes attempts until a response has been relayed or the plan
+// gives up. If the session's endpoint no longer accepts requests, it looks up the
+// session's new endpoint and starts over with a new plan.
 func (r *outboundRequest) sendToEndpoints() (done bool) {
 	r.outbound.options.RetryBudget.RecordRequest(r.service)
 	for moves := 0; ; moves++ {
-		r.startPlan()
-		reply, answered := r.followPlan()
+		r.resetPlan()
+		reply, answered := r.executePlan()
 		if answered {
 			return true
 		}
-		if !r.maySessionMove(reply, moves) {
+		if !r.sessionMayMove(reply, moves) {
 			return r.giveUp(reply)
 		}
 		if r.findSessionEndpoint() {
@@ -60,18 +65,22 @@
 	}
 }
 
-func (r *outboundRequest) startPlan() {
+// resetPlan replaces the plan, keeping the number of attempts that reached an
+// endpoint under the earlier plan.
+func (r *outboundRequest) resetPlan() {
 	earlier := r.plan
-	bulk := loadbalancer.IsBulk(r.route.Kind, int64(len(r.body.kept)))
+	bulk := loadbalancer.IsBulk(r.route.Kind, int64(len(r.body.buffered)))
 	r.plan = retry.NewPlan(r.outbound.options.Balancer, r.outbound.options.RetryBudget, r.route, r.service, bulk)
 	r.plan.ContinueFrom(earlier)
 	r.plan.PinTo(r.session.endpoint)
 	r.plan.SetKey(r.hotKey)
 }
 
-// maySessionMove tells that the session's endpoint is leaving and has not run
-// the request.
-func (r *outboundRequest) maySessionMove(reply localreply.Reply, moves int) bool {
+// sessionMayMove reports whether the request may follow its session to another
+// endpoint: the pinned one no longer accepts requests and has not run this one,
+// no part of the body that can't be resent was sent, and the limit on moves is
+// not reached.
+func (r *outboundRequest) sessionMayMove(reply localreply.Reply, moves int) bool {
 	if r.session.endpoint == "" || r.plan.MayHaveRun() || r.body.remaining.endAttempt() {
 		return false
 	}
@@ -82,16 +91,16 @@
 	return !accepts
 }
 
-// followPlan makes the plan's attempts until an endpoint's answer has been
-// relayed, or returns the reply with which the plan ends.
-func (r *outboundRequest) followPlan() (reply localreply.Reply, answered bool) {
+// executePlan makes the plan's attempts. It returns true once an endpoint's
+// response has been relayed, or the reply for the client if the plan gives up.
+func (r *outboundRequest) executePlan() (reply localreply.Reply, answered bool) {
 	for time.Now().Before(r.deadline) && r.ctx.Err() == nil {
 		endpoint, action := r.plan.Next()
 		if action == retry.GiveUp {
 			break
 		}
 		if action == retry.Wait {
-			if !r.sleep(noEndpointPoll) {
+			if !r.sleep(noEndpointRetryDelay) {
 				break
 			}
 			continue
@@ -112,50 +121,52 @@
 	return localreply.NoEndpoint, false
 }
 
-// attempt sends the request to an endpoint and reads the start of its answer.
-// ShortWait tells that the request should not wait for long in the endpoint's
-// queue, mayRetry that another endpoint may be tried.
+// attempt sends the request to an endpoint and reads the start of its response.
+// If shortWait is set, the request should not wait long in the endpoint's queue;
+// if mayRetry is set, another endpoint may be tried after this one.
 func (r *outboundRequest) attempt(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait, mayRetry bool) attemptResult {
 	endpoint.BeginAttempt()
 	defer endpoint.EndAttempt()
-	usual := r.usualTime()
-	slow := time.AfterFunc(retry.SlowLimit(usual), func() { recordSlowEndpoint(endpoint) })
+	average := r.averageResponseTime()
+	slowTimer := time.AfterFunc(retry.SlowLimit(average), func() { ejectSlowEndpoint(endpoint) })
 	started := time.Now()
 	result := attemptResult{endpoint: endpoint}
 	if endpoint.IsDirect() {
 		result.response, result.outcome = r.callEndpoint(ctx, endpoint)
 	} else {
-		result.response, result.outcome = r.callNode(ctx, endpoint, shortWait)
+		result.response, result.outcome = r.callSidecar(ctx, endpoint, shortWait)
 	}
 	if result.outcome == retry.Answered {
-		r.readAnswer(ctx, &result, mayRetry, usual)
+		r.readResponseStart(ctx, &result, mayRetry, average)
 	}
-	result.took = time.Since(started)
-	inTime := slow.Stop()
+	result.duration = time.Since(started)
+	inTime := slowTimer.Stop()
 	r.record.addAttempt(r, result, started)
 	if result.outcome == retry.Answered {
-		r.recordAnswer(result)
+		r.recordAnsweredAttempt(result)
 	}
 	if endpoint.IsDirect() {
-		recordDirectResult(result, usual, inTime)
+		recordDirectResult(result, average, inTime)
 	}
 	return result
 }
 
-// recordSlowEndpoint ejects an endpoint that has not answered for too long. An
-// endpoint with a sidecar is judged by that sidecar instead.
-func recordSlowEndpoint(endpoint *loadbalancer.Endpoint) {
+// ejectSlowEndpoint records a failure of a direct endpoint that exceeded
+// retry.SlowLimit, and ejects it. The health of other endpoints is tracked by
+// their sidecars.
+func ejectSlowEndpoint(endpoint *loadbalancer.Endpoint) {
 	if endpoint.IsDirect() {
 		endpoint.RecordResult(false, time.Now())
-		endpoint.EjectFor(slowEjection)
+		endpoint.EjectFor(slowEjectionTime)
 	}
 }
 
-// readAnswer reads the start of an answer's body, unless it is a server error
-// that another endpoint may not have.
-func (r *outboundRequest) readAnswer(ctx context.Context, result *attemptResult, mayRetry bool, usual time.Duration) {
+// readResponseStart reads the start of the response body into result. If the
+// response is a server error that should be retried on another endpoint, it is
+// discarded and the outcome becomes Failed.
+func (r *outboundRequest) readResponseStart(ctx context.Context, result *attemptResult, mayRetry bool, average time.Duration) {
 	response := result.response
-	if mayRetry && r.shouldRetryError(response, usual) {
+	if mayRetry && r.shouldRetryServerError(response, average) {
 		discard(response, maxDrained)
 		result.outcome = retry.Failed
 		return
@@ -168,16 +179,18 @@
 	}
 }
 
-// shouldRetryError tells whether an endpoint's error should be tried elsewhere: the
-// request may run twice, and there are time and budget for it.
-func (r *outboundRequest) shouldRetryError(response *http.Response, usual time.Duration) bool {
+// shouldRetryServerError reports whether the response is a server error and the
+// request should be retried on another endpoint: its route is idempotent, more
+// than twice the average response time is left, and the retry budget allows it.
+func (r *outboundRequest) shouldRetryServerError(response *http.Response, average time.Duration) bool {
 	return response.StatusCode >= 500 &&
 		r.route.Kind.Idempotent() &&
-		time.Until(r.deadline) > 2*usual &&
+		time.Until(r.deadline) > 2*average &&
 		r.outbound.options.RetryBudget.CanSpend(r.service)
 }
 
-// failureOutcome tells how an attempt ended that broke off.
+// failureOutcome returns the outcome of an attempt that was interrupted after the
+// request may have been read.
 func (r *outboundRequest) failureOutcome(ctx context.Context) retry.Outcome {
 	switch {
 	case r.isCanceled():
@@ -188,8 +201,10 @@
 	return retry.Failed
 }
 
-func (r *outboundRequest) recordAnswer(result attemptResult) {
-	r.outbound.routeStats.recordAnswer(r.route.Name, result.took)
+// recordAnsweredAttempt adds an answered attempt to the route's average response
+// time and to the flows.
+func (r *outboundRequest) recordAnsweredAttempt(result attemptResult) {
+	r.outbound.routeStats.recordDuration(r.route.Name, result.duration)
 	r.outbound.Flows.add(flowKey{
 		route:    r.route.Name,
 		kind:     r.route.Kind,
@@ -197,11 +212,13 @@
 		endpoint: result.endpoint.ID(),
 		node:     result.endpoint.Node(),
 		target:   r.route.LatencyTarget,
-	}, result.took)
+	}, result.duration)
 }
 
-// recordDirectResult notes how an endpoint without a node of its own answered.
-func recordDirectResult(result attemptResult, usual time.Duration, inTime bool) {
+// recordDirectResult updates the health state of an endpoint without a sidecar
+// after an attempt. InTime reports whether the attempt ended within
+// retry.SlowLimit.
+func recordDirectResult(result attemptResult, average time.Duration, inTime bool) {
 	endpoint, now := result.endpoint, time.Now()
 	switch result.outcome {
 	case retry.Answered:
@@ -209,8 +226,8 @@
 		endpoint.RecordResult(success && inTime, now)
 		if success {
 			endpoint.ClearFailures()
-			if usual > 0 {
-				endpoint.RecordSlowness(float64(result.took)/float64(usual), now)
+			if average > 0 {
+				endpoint.RecordSlowness(float64(result.duration)/float64(average), now)
 			}
 			return
 		}
@@ -222,7 +239,7 @@
 	endpoint.DirectFailed()
 }
 
-// relay passes an endpoint's answer on to the client.
+// relay sends an endpoint's response to the client.
 func (r *outboundRequest) relay(result attemptResult) {
 	if result.cancel != nil {
 		r.onClose(result.cancel)
@@ -230,7 +247,7 @@
 	defer closeBody(result.response)
 	r.outbound.pending.remove(r.pending)
 	defer r.recordResponseTime()
-	r.record.setReply(result.response.StatusCode, "")
+	r.record.setResponse(result.response.StatusCode, "")
 	writeResponseHead(r.writer, r.request.Method, result.response, result.prefix, result.complete)
 	writeResponseBody(r.writer, result.response, result.prefix, result.complete, r.outbound.options.Pacer, r.deadline)
 }
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -16,13 +16,14 @@
 	"corkcove/internal/routeconfig"
 )
 
-// attemptHeaders is how many headers an attempt adds at most; the header map is
-// allocated for them.
-const attemptHeaders = 6
+// extraHeaderCapacity is the capacity reserved in an attempt's header map for the
+// headers that the attempt adds.
+const extraHeaderCapacity = 6
 
-// newHeaders returns the headers of an attempt at an endpoint.
+// newHeaders returns the request headers common to direct calls and calls through
+// a sidecar.
 func (r *outboundRequest) newHeaders(endpoint *loadbalancer.Endpoint) http.Header {
-	h := forwardedHeaders(r.request, attemptHeaders)
+	h := forwardedHeaders(r.request, extraHeaderCapacity)
 	delete(h, headerCaller)
 	if service := r.outbound.options.Service; service != "" {
 		h[headerCaller] = []string{service}
@@ -31,24 +32,25 @@
 	return h
 }
 
-// newRequest returns the request of an attempt to the address.
+// newRequest returns the request of one attempt, addressed to addr. If the body
+// is not buffered as a whole, it adds an Expect header to headers.
 func (r *outboundRequest) newRequest(ctx context.Context, addr string, headers http.Header) *http.Request {
 	attempt := forwardedRequest(ctx, r.request, addr, headers)
 	if r.body.complete {
-		attempt.Body = singleUseBody{bytes.NewReader(r.body.kept)}
+		attempt.Body = singleUseBody{bytes.NewReader(r.body.buffered)}
 		if attempt.ContentLength < 0 {
-			attempt.ContentLength = int64(len(r.body.kept))
+			attempt.ContentLength = int64(len(r.body.buffered))
 		}
 		return attempt
 	}
-	// The body is sent once the other side wants it, since it can't be sent again.
+	// The body can't be resent, so send it only once the receiver asks for it.
 	headers["Expect"] = []string{"100-continue"}
-	attempt.Body = singleUseBody{io.MultiReader(bytes.NewReader(r.body.kept), r.body.remaining.forAttempt())}
+	attempt.Body = singleUseBody{io.MultiReader(bytes.NewReader(r.body.buffered), r.body.remaining.forAttempt())}
 	return attempt
 }
 
-// forwardedRequest returns a request to the address with the method, target and
-// length of one that is forwarded; its body is not set.
+// forwardedRequest returns a request to addr with the method, target, host and
+// content length of from. The body is not set.
 func forwardedRequest(ctx context.Context, from *http.Request, addr string, headers http.Header) *http.Request {
 	r := &http.Request{
 		Method:        from.Method,
@@ -63,7 +65,8 @@
 	return r.WithContext(ctx)
 }
 
-// callEndpoint dials the endpoint itself.
+// callEndpoint sends an attempt directly to an endpoint without a sidecar. The
+// response is nil unless the outcome is Answered.
 func (r *outboundRequest) callEndpoint(ctx context.Context, endpoint *loadbalancer.Endpoint) (*http.Response, retry.Outcome) {
 	headers := r.newHeaders(endpoint)
 	headers[headerDeadline] = []string{formatMillis(time.Until(r.deadline) - r.outbound.options.DeadlineMargin)}
@@ -85,19 +88,20 @@
 	}
 	failure := r.failureOutcome(ctx)
 	if failure == retry.Failed {
-		r.outbound.options.Log.Warn("endpoint closed its connection early", "endpoint", endpoint.ID(), "error", err)
+		r.outbound.options.Log.Warn("no valid response from endpoint", "endpoint", endpoint.ID(), "error", err)
 	}
 	return nil, failure
 }
 
-// callNode sends the request to the node beside the endpoint.
-func (r *outboundRequest) callNode(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait bool) (*http.Response, retry.Outcome) {
+// callSidecar sends an attempt to the endpoint's sidecar. The response is nil
+// unless the outcome is Answered.
+func (r *outboundRequest) callSidecar(ctx context.Context, endpoint *loadbalancer.Endpoint, shortWait bool) (*http.Response, retry.Outcome) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }})
-	request := r.newRequest(ctx, endpoint.InboundAddr(), r.newNodeHeaders(endpoint, shortWait))
+	request := r.newRequest(ctx, endpoint.InboundAddr(), r.newSidecarHeaders(endpoint, shortWait))
 	response, err := r.outbound.options.Transport.RoundTrip(request)
 	if err != nil {
-		return nil, r.nodeCallFailed(ctx, endpoint, sent.Load(), err)
+		return nil, r.sidecarErrorOutcome(ctx, endpoint, sent.Load(), err)
 	}
 	endpoint.ClearFailures()
 	if load, ok := loadbalancer.ParseLoadReport(response.Header.Get(headerLoad)); ok {
@@ -105,25 +109,27 @@
 	}
 	if outcome := response.Header.Get(headerOutcome); outcome != "" {
 		closeBody(response)
-		return nil, applyNodeOutcome(endpoint, nodeOutcome(outcome), response.Header.Get(headerReason))
+		return nil, applySidecarOutcome(endpoint, nodeOutcome(outcome), response.Header.Get(headerReason))
 	}
 	if reason := invalidReason(response, r.request.Header.Get(headerRequestID), r.route.Kind.Idempotent()); reason != "" {
 		closeBody(response)
 		endpoint.NodeFailed()
-		r.outbound.options.Log.Warn("rejected an invalid response of a peer node", "endpoint", endpoint.ID(), "reason", reason)
+		r.outbound.options.Log.Warn("rejected an invalid response from a peer node", "endpoint", endpoint.ID(), "reason", reason)
 		return nil, retry.Failed
 	}
 	return response, retry.Answered
 }
 
-func (r *outboundRequest) newNodeHeaders(endpoint *loadbalancer.Endpoint, shortWait bool) http.Header {
+// newSidecarHeaders adds to newHeaders what the endpoint's sidecar needs to queue
+// and forward the request.
+func (r *outboundRequest) newSidecarHeaders(endpoint *loadbalancer.Endpoint, shortWait bool) http.Header {
 	h := r.newHeaders(endpoint)
 	remaining := time.Until(r.deadline) - r.outbound.options.DeadlineMargin
 	wait := retry.QueueWait{
 		Target:    r.route.LatencyTarget,
 		Passed:    time.Since(r.started),
 		Remaining: remaining,
-		Usual:     r.usualTime(),
+		Usual:     r.averageResponseTime(),
 		FirstSeen: r.firstSeen,
 		Short:     shortWait,
 	}
@@ -140,21 +146,24 @@
 		h[headerOnce] = []string{headerSet}
 	}
 	if r.route.Kind == routeconfig.KindDownload {
-		h[headerBulk] = []string{bulkWait(shortWait)}
+		h[headerBulk] = []string{bulkHeaderValue(shortWait)}
 	}
 	return h
 }
 
-func bulkWait(short bool) string {
+// bulkHeaderValue returns the value of headerBulk.
+func bulkHeaderValue(short bool) string {
 	if short {
 		return bulkShortWait
 	}
 	return bulkLongWait
 }
 
-// nodeCallFailed tells how an attempt ended that got no response from the node
-// beside the endpoint; sent tells that the node may have read it.
-func (r *outboundRequest) nodeCallFailed(ctx context.Context, endpoint *loadbalancer.Endpoint, sent bool, err error) retry.Outcome {
+// sidecarErrorOutcome returns the outcome of an attempt that failed with err
+// before the endpoint's sidecar responded. Sent reports whether the request
+// headers were written, in which case the sidecar may have read them. If the
+// sidecar is to blame, the failure is recorded on the endpoint.
+func (r *outboundRequest) sidecarErrorOutcome(ctx context.Context, endpoint *loadbalancer.Endpoint, sent bool, err error) retry.Outcome {
 	switch {
 	case r.isCanceled():
 		return retry.Canceled
@@ -171,35 +180,37 @@
 }
 
 const (
-	// unhealthyEjection is for how long an endpoint is not chosen whose node does
-	// not admit requests.
-	unhealthyEjection = 200 * time.Millisecond
-	// unreachableEjection is for how long an endpoint is not chosen that its node
-	// did not reach.
-	unreachableEjection = 300 * time.Millisecond
+	// unhealthyEjectionTime is how long an endpoint is ejected if its sidecar
+	// rejects requests because the endpoint is unhealthy or missing, or the
+	// sidecar is stopping.
+	unhealthyEjectionTime = 200 * time.Millisecond
+	// unreachableEjectionTime is how long an endpoint is ejected if its sidecar
+	// could not connect to it.
+	unreachableEjectionTime = 300 * time.Millisecond
 )
 
-// misdirected is the reason of a declined attempt whose endpoint is another
-// incarnation than the one that was meant.
-var misdirected = strconv.Itoa(http.StatusMisdirectedRequest)
+// misdirectedReason is the reason that a sidecar reports for a declined attempt
+// if the endpoint is not the incarnation that the request was addressed to.
+var misdirectedReason = strconv.Itoa(http.StatusMisdirectedRequest)
 
-// applyNodeOutcome takes in what the node beside an endpoint says of an attempt
-// that brought no answer.
-func applyNodeOutcome(endpoint *loadbalancer.Endpoint, outcome nodeOutcome, reason string) retry.Outcome {
+// applySidecarOutcome updates the endpoint's state after its sidecar reported an
+// attempt without a response from the endpoint, and returns the attempt's
+// outcome.
+func applySidecarOutcome(endpoint *loadbalancer.Endpoint, outcome nodeOutcome, reason string) retry.Outcome {
 	switch outcome {
 	case nodeRejected:
 		switch endpointagent.RejectReason(reason) {
 		case endpointagent.RejectedDraining, endpointagent.RejectedOtherIncarnation:
 			endpoint.SetDraining()
 		case endpointagent.RejectedUnhealthy, endpointagent.RejectedNoEndpoint, endpointagent.RejectedStopping:
-			endpoint.EjectFor(unhealthyEjection)
+			endpoint.EjectFor(unhealthyEjectionTime)
 		}
 		return retry.Rejected
 	case nodeUnreachable:
-		endpoint.EjectFor(unreachableEjection)
+		endpoint.EjectFor(unreachableEjectionTime)
 		return retry.Rejected
 	case nodeDeclined:
-		if reason == misdirected {
+		if reason == misdirectedReason {
 			endpoint.SetDraining()
 		}
 		return retry.Declined
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -52,9 +52,9 @@
 		return
 	}
 	path, query, _ := strings.Cut(r.request.RequestURI, "?")
-	key := route.HotKey.Extract(route.Prefix, path, query, r.record.keepHeader(r.request.Header.Get))
+	key := route.HotKey.Extract(route.Prefix, path, query, r.record.recordHeaders(r.request.Header.Get))
 	r.hotKey = hotkeys.Hash(r.service, key)
-	r.outbound.options.KeyMeter.Record(r.hotKey, route.Name, r.service, r.usualTime())
+	r.outbound.options.KeyMeter.Record(r.hotKey, route.Name, r.service, r.averageResponseTime())
 }
 
 // applyPolicy refuses requests that the route's policy does not allow.
@@ -69,7 +69,7 @@
 		Query:     query,
 		Caller:    r.outbound.options.Service,
 		BodyBytes: int(r.request.ContentLength),
-		Header:    r.record.keepHeader(r.request.Header.Get),
+		Header:    r.record.recordHeaders(r.request.Header.Get),
 	})
 	if err != nil {
 		r.outbound.options.Log.Warn("failed to evaluate policy", "route", r.route.Name, "error", err)
@@ -88,7 +88,7 @@
 func (r *outboundRequest) setDeadline() (done bool) {
 	timeout := r.timeout()
 	r.deadline = r.started.Add(timeout)
-	if !r.outbound.endsInTime(r.route.Name, r.deadline) {
+	if !r.outbound.completesInTime(r.route.Name, r.deadline) {
 		return r.reply(localreply.NotReady)
 	}
 	r.firstSeen = r.outbound.routeStats.isFirstSeen(r.route.Name, timeout)
@@ -126,7 +126,7 @@
 	if err != nil {
 		return r.reply(r.bodyError(err))
 	}
-	r.body = requestBody{kept: kept, complete: complete}
+	r.body = requestBody{buffered: kept, complete: complete}
 	if !complete {
 		r.body.remaining = &remainingBody{reader: source}
 	}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -8,56 +8,60 @@
 	"corkcove/internal/proxy/retry"
 )
 
-// attemptWithHedge makes an attempt. A request that may run twice gets a hedged
-// attempt beside it, paid by the budget, once the first has been silent for much
-// longer than usual; the first good answer counts, and the other is let end by
-// itself.
+// attemptWithHedge makes an attempt. If the request may be hedged and the attempt
+// has not ended after retry.HedgeDelay, or after half of the remaining time if
+// that is shorter, a second attempt is made at another endpoint, subject to the
+// retry budget. The first response wins; the other attempt is not canceled, and
+// its result is discarded.
 func (r *outboundRequest) attemptWithHedge(endpoint *loadbalancer.Endpoint) attemptResult {
 	shortWait := r.plan.ShortWait()
 	if !r.body.complete || !r.plan.MayHedge() {
 		return r.attempt(r.ctx, endpoint, shortWait, r.plan.MayRetry())
 	}
-	pair := hedgedPair{request: r, shortWait: shortWait, results: make(chan hedgedResult, 2)}
-	pair.start(0, endpoint)
-	delay := time.NewTimer(min(retry.HedgeDelay(r.usualTime()), time.Until(r.deadline)/2))
+	attempts := hedgedAttempts{request: r, shortWait: shortWait, results: make(chan hedgedResult, 2)}
+	attempts.start(0, endpoint)
+	delay := time.NewTimer(min(retry.HedgeDelay(r.averageResponseTime()), time.Until(r.deadline)/2))
 	defer delay.Stop()
 	select {
-	case only := <-pair.results:
+	case only := <-attempts.results:
 		return only.attemptResult
 	case <-delay.C:
 	}
 	if r.ctx.Err() != nil {
-		return (<-pair.results).attemptResult
+		return (<-attempts.results).attemptResult
 	}
 	second, ok := r.plan.NextHedge()
 	if !ok {
-		return (<-pair.results).attemptResult
+		return (<-attempts.results).attemptResult
 	}
-	pair.start(1, second)
-	return pair.wait()
+	attempts.start(1, second)
+	return attempts.wait()
 }
 
-// hedgedPair is up to two attempts of one request under way at once.
-type hedgedPair struct {
+// hedgedAttempts runs up to two concurrent attempts of one request.
+type hedgedAttempts struct {
 	request   *outboundRequest
 	shortWait bool
 	results   chan hedgedResult
-	// detach keeps an attempt from being canceled with the request.
+	// detach holds functions that keep an attempt from being canceled when the
+	// request's context ends.
 	detach [2]func() bool
 }
 
+// hedgedResult is the result of the attempt started with index.
 type hedgedResult struct {
 	attemptResult
 	index int
 }
 
-// start makes an attempt on a goroutine of its own, which ends with the attempt:
-// at the request's deadline at the latest.
-func (p *hedgedPair) start(index int, endpoint *loadbalancer.Endpoint) {
-	// The goroutine gets these rather than p, which so needs no heap.
-	request, shortWait, results := p.request, p.shortWait, p.results
+// start makes an attempt on a new goroutine, which ends with the attempt, no
+// later than the request's deadline.
+func (h *hedgedAttempts) start(index int, endpoint *loadbalancer.Endpoint) {
+	// Copied so that the goroutine does not capture h, which would move h to the
+	// heap.
+	request, shortWait, results := h.request, h.shortWait, h.results
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(request.request.Context()), request.deadline)
-	p.detach[index] = context.AfterFunc(request.ctx, cancel)
+	h.detach[index] = context.AfterFunc(request.ctx, cancel)
 	go func() {
 		result := request.attempt(ctx, endpoint, shortWait, true)
 		result.cancel = cancel
@@ -68,15 +72,16 @@
 	}()
 }
 
-// wait returns the result that counts of two attempts under way.
-func (p *hedgedPair) wait() attemptResult {
-	first := <-p.results
+// wait returns the first result that ends the request, or the second result if
+// the first attempt failed.
+func (h *hedgedAttempts) wait() attemptResult {
+	first := <-h.results
 	if first.outcome == retry.Answered || first.outcome == retry.Canceled {
-		p.detach[1-first.index]()
-		results := p.results
+		h.detach[1-first.index]()
+		results := h.results
 		go func() { (<-results).discard() }()
 		return first.attemptResult
 	}
-	p.request.plan.HedgeFailed(first.endpoint, first.outcome)
-	return (<-p.results).attemptResult
+	h.request.plan.HedgeFailed(first.endpoint, first.outcome)
+	return (<-h.results).attemptResult
 }
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -234,7 +234,7 @@
 // interrupted answers a request whose context ended while the endpoint may have
 // been running it.
 func (r *inboundRequest) interrupted() (done bool) {
-	if isShutdown(r.ctx) {
+	if canceledByShutdown(r.ctx) {
 		return r.reply(nodeFailed, reasonShutdown)
 	}
 	if time.Now().After(r.deadline) {
@@ -302,7 +302,7 @@
 // relayFailed answers a request whose response broke off at its start.
 func (r *inboundRequest) relayFailed(err error) (done bool) {
 	switch {
-	case isShutdown(r.ctx):
+	case canceledByShutdown(r.ctx):
 		return r.reply(nodeFailed, reasonShutdown)
 	case r.ctx.Err() != nil:
 		return r.reply(nodeTimedOut, reasonDeadline)
--- a/internal/proxy/pending.go
+++ b/internal/proxy/pending.go
@@ -7,41 +7,45 @@
 	"time"
 )
 
-// errShutdown is the cause of a context that was cancelled because the process
-// ends.
+// errShutdown is the cause of contexts canceled because the process is shutting
+// down.
 var errShutdown = errors.New("the process is shutting down")
 
-// isShutdown tells that ctx was cancelled because the process ends.
-func isShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
+// canceledByShutdown reports whether ctx was canceled because the process is
+// shutting down.
+func canceledByShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
-// pendingRequest is an accepted request whose answer has not begun.
+// pendingRequest is an accepted request whose response has not started.
 type pendingRequest struct {
-	route  string
-	since  time.Time
-	cancel context.CancelCauseFunc
+	route   string
+	started time.Time
+	cancel  context.CancelCauseFunc
 }
 
-// pendingRequests are the requests of one chain whose answers have not begun.
-// The zero value is ready for use.
+// pendingRequests is the set of a chain's requests whose responses have not
+// started. The zero value is ready to use.
 type pendingRequests struct {
-	mu        sync.Mutex
-	set       map[*pendingRequest]struct{}
-	cancelled bool
+	mu       sync.Mutex
+	requests map[*pendingRequest]struct{}
+	// canceled is set once cancelAll was called.
+	canceled bool
 }
 
-// add gives the context for a request's work, which ends at its deadline or
-// with cancelAll, and a function that releases both.
-func (p *pendingRequests) add(parent context.Context, route string, due time.Time) (context.Context, *pendingRequest, func()) {
-	cancellable, cancel := context.WithCancelCause(parent)
-	ctx, stop := context.WithDeadline(cancellable, due)
-	request := &pendingRequest{route: route, since: time.Now(), cancel: cancel}
+// add adds a request to the set. It returns the request's context, which ends at
+// the deadline or when cancelAll is called, the request's entry, and a function
+// that removes the entry and releases the context. After cancelAll, the context
+// is canceled from the start.
+func (p *pendingRequests) add(parent context.Context, route string, deadline time.Time) (context.Context, *pendingRequest, func()) {
+	cancelCtx, cancel := context.WithCancelCause(parent)
+	ctx, stop := context.WithDeadline(cancelCtx, deadline)
+	request := &pendingRequest{route: route, started: time.Now(), cancel: cancel}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.set == nil {
-		p.set = map[*pendingRequest]struct{}{}
+	if p.requests == nil {
+		p.requests = map[*pendingRequest]struct{}{}
 	}
-	p.set[request] = struct{}{}
-	if p.cancelled {
+	p.requests[request] = struct{}{}
+	if p.canceled {
 		cancel(errShutdown)
 	}
 	return ctx, request, func() {
@@ -51,34 +55,35 @@
 	}
 }
 
-// remove takes a request out, at the latest once its answer begins: a body that
-// is on its way is not cancelled.
+// remove removes a request. It is called before the response is written, so that
+// cancelAll does not cancel a response body that is being sent.
 func (p *pendingRequests) remove(request *pendingRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.set, request)
+	delete(p.requests, request)
 }
 
-// oldest is how long the route's oldest pending request has been at work.
-func (p *pendingRequests) oldest(route string, now time.Time) time.Duration {
+// oldestAge returns the age of the route's oldest pending request, or 0 if there
+// is none.
+func (p *pendingRequests) oldestAge(route string, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var longest time.Duration
-	for request := range p.set {
+	for request := range p.requests {
 		if request.route == route {
-			longest = max(longest, now.Sub(request.since))
+			longest = max(longest, now.Sub(request.started))
 		}
 	}
 	return longest
 }
 
-// cancelAll cancels the work on all pending requests, so that their handlers
-// still write a complete answer before the process exits.
+// cancelAll cancels the contexts of all pending and later requests, so that their
+// handlers can still write a complete response before the process exits.
 func (p *pendingRequests) cancelAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cancelled = true
-	for request := range p.set {
+	p.canceled = true
+	for request := range p.requests {
 		request.cancel(errShutdown)
 	}
 }
--- a/internal/proxy/responsetimes.go
+++ b/internal/proxy/responsetimes.go
@@ -7,29 +7,32 @@
 
 const (
 	// minTailSamples is how many requests of a route must have ended before its
-	// slow tail counts as known.
+	// tail latency is considered known.
 	minTailSamples = 50
-	// Each quicker request lowers a route's tail by their difference divided by
-	// tailDecayDivisor: a slow one counts for some hundreds of requests.
+	// tailDecayDivisor is the divisor of the difference by which each faster
+	// request lowers a route's peak, so that a slow request has an effect for
+	// some hundreds of requests.
 	tailDecayDivisor = 256
 )
 
-// responseTimes keeps the slow tail of each route's response times. A mean
-// would not do: a few in a hundred requests may take many times as long. The
-// zero value is ready for use.
+// responseTimes tracks the tail latency of each route. A mean would be too low,
+// since a few percent of the requests may take many times as long. The zero value
+// is ready to use.
 type responseTimes struct {
 	mu     sync.Mutex
 	routes map[string]*responseTail
 }
 
+// responseTail is the tail latency of one route.
 type responseTail struct {
 	samples int
-	slowest time.Duration
+	// peak is the decaying maximum of the response times.
+	peak time.Duration
 }
 
-// record takes in how long a request took, whether or not it got an endpoint's
-// answer; one that was refused does not count.
-func (r *responseTimes) record(route string, took time.Duration) {
+// record adds the duration of a request, whether or not an endpoint responded.
+// Callers don't record requests that were refused.
+func (r *responseTimes) record(route string, duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routes == nil {
@@ -41,20 +44,21 @@
 		r.routes[route] = tail
 	}
 	tail.samples++
-	if took >= tail.slowest {
-		tail.slowest = took
+	if duration >= tail.peak {
+		tail.peak = duration
 		return
 	}
-	tail.slowest -= (tail.slowest - took) / tailDecayDivisor
+	tail.peak -= (tail.peak - duration) / tailDecayDivisor
 }
 
-// tail gives the route's slow tail; false means that too little is known.
-func (r *responseTimes) tail(route string) (time.Duration, bool) {
+// tailLatency returns the route's tail latency, or false if there are fewer than
+// minTailSamples samples.
+func (r *responseTimes) tailLatency(route string) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tail := r.routes[route]
 	if tail == nil || tail.samples < minTailSamples {
 		return 0, false
 	}
-	return tail.slowest, true
+	return tail.peak, true
 }
--- a/internal/proxy/routestats.go
+++ b/internal/proxy/routestats.go
@@ -6,47 +6,49 @@
 )
 
 const (
-	// usualTimeSpan is the divisor of the moving average of a route's response
-	// times.
-	usualTimeSpan = 16
-	// A request counts as a first attempt if its timeout is above this share of the
-	// longest one seen on its route.
+	// averageDivisor is the divisor by which a new response time changes a
+	// route's exponential moving average.
+	averageDivisor = 16
+	// A request is taken for a first attempt by its client if its timeout is more
+	// than firstAttemptNumerator/firstAttemptDenominator of the longest timeout
+	// seen on its route.
 	firstAttemptNumerator   = 19
 	firstAttemptDenominator = 20
 )
 
-// routeStats keeps the longest time that clients of each route had: a request
-// with less has been tried before, or is part of another. It also keeps how long
-// the route's requests usually take. The zero value is ready for use.
+// routeStats tracks the longest timeout and the average response time of each
+// route. A request with a shorter timeout than the longest is probably a client's
+// retry, or was made while serving another request whose deadline it inherits.
+// The zero value is ready to use.
 type routeStats struct {
 	mu             sync.Mutex
 	longestTimeout map[string]time.Duration
-	usualTime      map[string]time.Duration
+	averages       map[string]time.Duration
 }
 
-func (s *routeStats) recordAnswer(route string, took time.Duration) {
+// recordDuration adds the duration of an answered attempt to the route's average.
+func (s *routeStats) recordDuration(route string, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.usualTime == nil {
-		s.usualTime = map[string]time.Duration{}
+	if s.averages == nil {
+		s.averages = map[string]time.Duration{}
 	}
-	usual, ok := s.usualTime[route]
+	average, ok := s.averages[route]
 	if !ok {
-		usual = took
+		average = duration
 	}
-	s.usualTime[route] = usual + (took-usual)/usualTimeSpan
+	s.averages[route] = average + (duration-average)/averageDivisor
 }
 
-// usual returns how long the route's requests usually take, 0 if that is not
-// known.
-func (s *routeStats) usual(route string) time.Duration {
+// average returns the route's average response time, or 0 if it is unknown.
+func (s *routeStats) average(route string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.usualTime[route]
+	return s.averages[route]
 }
 
-// isFirstSeen tells whether a request with that timeout is probably one that its
-// client has not tried before.
+// isFirstSeen reports whether a request with the given timeout is probably not a
+// retry by its client, and updates the route's longest timeout.
 func (s *routeStats) isFirstSeen(route string, timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -10,55 +10,61 @@
 	"corkcove/internal/routeconfig"
 )
 
-// MaxSessionMoves is how often one request may find its session moved.
+// MaxSessionMoves limits how many times one request follows its session to
+// another endpoint.
 const MaxSessionMoves = 3
 
 const (
-	// minSessionPoll keeps a request from asking in a tight loop where its
-	// session's endpoint is.
-	minSessionPoll = 5 * time.Millisecond
-	// minSessionWait is how long a request waits at least for its session's move;
-	// it waits for half of its route's latency target where that is longer.
-	minSessionWait = 100 * time.Millisecond
+	// minSessionPollInterval is the shortest pause between two lookups of a
+	// session's endpoint, so that a request does not poll in a tight loop.
+	minSessionPollInterval = 5 * time.Millisecond
+	// minSessionMoveWait is the minimum time, from the start of a request, that
+	// it waits for its session to move. The limit is half of the route's latency
+	// target if that is longer.
+	minSessionMoveWait = 100 * time.Millisecond
 )
 
-// sessionPin is the session of a request, if it has one.
+// sessionPin is the session of a request and the endpoint it is pinned to.
 type sessionPin struct {
+	// key is the session key; empty if the request has no session.
 	key string
-	// endpoint is the only endpoint that the request may go to.
+	// endpoint is the ID of the only endpoint that the request may be sent to.
 	endpoint string
-	// retryAfter is after what time a session that is moving may be asked for
-	// again.
+	// retryAfter is the time after which the endpoint of a moving session may be
+	// looked up again; 0 if the session is not moving.
 	retryAfter time.Duration
 }
 
-// earlierServices remembers the services that each route led to by the versions
-// seen here, to tell a session that a version moved from a new one. The zero
-// value is ready for use.
-type earlierServices struct {
-	mu       sync.Mutex
+// serviceHistory holds, for each route, the services that it has led to in any
+// configuration version seen by this node. It distinguishes a session that a new
+// version moves to another service from a new session. The zero value is ready to
+// use.
+type serviceHistory struct {
+	mu sync.Mutex
+	// services is keyed by the route's host and path prefix.
 	services map[string][]string
 }
 
-// add adds the services that the route leads to now and returns all it led to.
-func (e *earlierServices) add(route *routeconfig.CompiledRoute, active []string) []string {
+// add adds the active services of the route and returns all services in its
+// history.
+func (h *serviceHistory) add(route *routeconfig.CompiledRoute, active []string) []string {
 	key := route.Host + route.Prefix
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.services == nil {
-		e.services = map[string][]string{}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.services == nil {
+		h.services = map[string][]string{}
 	}
-	known := e.services[key]
+	known := h.services[key]
 	for _, service := range active {
 		if !slices.Contains(known, service) {
 			known = append(slices.Clone(known), service)
 		}
 	}
-	e.services[key] = known
+	h.services[key] = known
 	return known
 }
 
-// sessionKey returns the key of the request's session, empty if it has none.
+// sessionKey returns the key of the request's session, or "" if it has none.
 func (r *outboundRequest) sessionKey() string {
 	source := r.route.SessionKey
 	if source.Name == "" || r.outbound.options.Sessions == nil {
@@ -78,7 +84,7 @@
 	return affinity.SessionKey(source.String(), value)
 }
 
-// pinSession leads a session's request to the endpoint that knows the session.
+// pinSession looks up the endpoint that the request's session is pinned to.
 func (r *outboundRequest) pinSession() (done bool) {
 	r.session.key = r.sessionKey()
 	if r.session.key == "" {
@@ -87,11 +93,12 @@
 	return r.findSessionEndpoint()
 }
 
-// findSessionEndpoint waits for a session that is moving, as long as the request
-// has time.
+// findSessionEndpoint looks up the session's service and endpoint. While the
+// session is moving, it polls until the wait limit is reached and then fails the
+// request.
 func (r *outboundRequest) findSessionEndpoint() (done bool) {
 	query := r.sessionQuery()
-	end := r.started.Add(max(r.route.LatencyTarget/2, minSessionWait))
+	waitDeadline := r.started.Add(max(r.route.LatencyTarget/2, minSessionMoveWait))
 	for {
 		found := r.outbound.options.Sessions.Find(r.ctx, query, r.outbound.options.Balancer)
 		if found.State != affinity.Pending {
@@ -99,12 +106,15 @@
 			return false
 		}
 		r.session.retryAfter = found.RetryAfter
-		if time.Now().Add(found.RetryAfter).After(end) || !r.sleep(max(found.RetryAfter, minSessionPoll)) {
+		if time.Now().Add(found.RetryAfter).After(waitDeadline) || !r.sleep(max(found.RetryAfter, minSessionPollInterval)) {
 			return r.giveUp(localreply.NoEndpoint)
 		}
 	}
 }
 
+// sessionQuery returns the affinity query for the request's session. The service
+// for a new session is picked by the hash of the session key, not by the
+// request's draw.
 func (r *outboundRequest) sessionQuery() affinity.Query {
 	active := r.routes.ActiveServices(r.route)
 	service := r.service
@@ -115,6 +125,6 @@
 		SessionKey:      r.session.key,
 		AllowedServices: active,
 		Service:         service,
-		EarlierServices: r.outbound.earlierServices.add(r.route, active),
+		EarlierServices: r.outbound.serviceHistory.add(r.route, active),
 	}
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -72,7 +72,7 @@
 	finalAnswers := s.Grace - finalAnswerLead
 	stages := []shutdownStage{
 		{0, s.Outbound.Drain},
-		{selectiveAfter, func() { s.Outbound.AcceptUntil(start.Add(finalAnswers)) }},
+		{selectiveAfter, func() { s.Outbound.RequireCompletionBy(start.Add(finalAnswers)) }},
 		{s.Grace - closeLead, s.Outbound.StopAccepting},
 		{finalAnswers, s.Outbound.pending.cancelAll},
 	}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -275,15 +275,15 @@
 	for range minTailSamples - 2 {
 		times.record("r", 100*time.Millisecond)
 	}
-	_, known := times.tail("r")
+	_, known := times.tailLatency("r")
 	qt.Assert(t, known, qt.IsFalse)
 	times.record("r", 100*time.Millisecond)
-	tail, known := times.tail("r")
+	tail, known := times.tailLatency("r")
 	qt.Assert(t, known, qt.IsTrue)
 	qt.Assert(t, tail > 2*time.Second, qt.IsTrue, qt.Commentf("%v", tail))
 	for range 10 * tailDecayDivisor {
 		times.record("r", 100*time.Millisecond)
 	}
-	tail, _ = times.tail("r")
+	tail, _ = times.tailLatency("r")
 	qt.Assert(t, tail < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", tail))
 }
