--- a/internal/clustercontroller/leadership.go
+++ b/internal/clustercontroller/leadership.go
@@ -43,7 +43,7 @@
 	m.userStates, m.membership = userStates, membership
 	m.progress = map[string]*nodeProgress{}
 	m.merge.changedAt = now
-	m.views = viewState{current: m.views.current, lastAt: now}
+	m.views = viewState{current: m.views.current, lastAttemptAt: now}
 	m.hotKeys.current = m.views.current.HotKeys
 	m.hotKeys.tracker.Restore(m.views.current.HotKeys, now)
 	m.restoreEndpoints(m.views.current, now)
@@ -60,7 +60,7 @@
 func (m *Master) forgetNodesNotIn(view *meshpb.View) {
 	inView := make(map[string]bool, len(view.NodeAddresses)+len(view.Endpoints))
 	for _, a := range view.NodeAddresses {
-		name, _ := splitNodeAddress(a)
+		name, _ := parseNodeAddress(a)
 		inView[name] = true
 	}
 	for _, e := range view.Endpoints {
@@ -112,7 +112,7 @@
 // can be polled before they register.
 func (m *Master) restoreAddresses(view *meshpb.View, now time.Duration) {
 	for _, a := range view.NodeAddresses {
-		name, addr := splitNodeAddress(a)
+		name, addr := parseNodeAddress(a)
 		history := m.histories[name]
 		if history == nil {
 			history = &nodeHistory{state: &meshpb.NodeState{Name: name}, lastContact: now}
