--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -161,8 +161,8 @@
 
 // sidecarErrorOutcome returns the outcome of an attempt that failed with err
 // before the endpoint's sidecar responded. Sent reports whether the request
-// headers were written, in which case the sidecar may have read them. If the
-// sidecar is to blame, the failure is recorded on the endpoint.
+// headers were written, in which case the sidecar may have read them.
+// Failures that the sidecar caused are recorded on the endpoint.
 func (r *outboundRequest) sidecarErrorOutcome(ctx context.Context, endpoint *loadbalancer.Endpoint, sent bool, err error) retry.Outcome {
 	switch {
 	case r.isCanceled():
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -83,8 +83,8 @@
 }
 
 // Drain asks clients, by "Connection: close" in each response, to send further
-// requests to other nodes. Idle connections stay open, because a request may
-// already be in transit on one when it is closed.
+// requests to other nodes. Idle connections stay open, because closing one could
+// drop a request that is already in transit on it.
 func (o *Outbound) Drain() { o.draining.Store(true) }
 
 // StopAccepting makes the chain refuse all further requests, which could not be
--- a/internal/proxy/outboundrequest.go
+++ b/internal/proxy/outboundrequest.go
@@ -24,8 +24,10 @@
 	// disabled.
 	record *requestRecord
 
-	// Set by matchRoute.
-	routes  *routeconfig.Table
+	// Set by checkReady.
+	routes *routeconfig.Table
+
+	// Set by matchRoute; findSessionEndpoint may change the service.
 	route   *routeconfig.CompiledRoute
 	service string
 	hotKey  uint64
@@ -40,9 +42,12 @@
 	// started.
 	pending *pendingRequest
 
-	body    requestBody
+	// Set by readBody.
+	body requestBody
+	// Set by pinSession.
 	session sessionPin
-	plan    retry.Plan
+	// Set by sendToEndpoints.
+	plan retry.Plan
 }
 
 // requestBody is a request's body: a buffered prefix and the unread rest.
--- a/internal/proxy/responsetimes.go
+++ b/internal/proxy/responsetimes.go
@@ -9,9 +9,9 @@
 	// minTailSamples is how many requests of a route must have ended before its
 	// tail latency is considered known.
 	minTailSamples = 50
-	// tailDecayDivisor is the divisor of the difference by which each faster
-	// request lowers a route's peak, so that a slow request has an effect for
-	// some hundreds of requests.
+	// Each faster request lowers a route's peak by the difference divided by
+	// tailDecayDivisor, so that a slow request has an effect for some hundreds of
+	// requests.
 	tailDecayDivisor = 256
 )
 
--- a/internal/proxy/routestats.go
+++ b/internal/proxy/routestats.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// averageDivisor is the divisor by which a new response time changes a
-	// route's exponential moving average.
+	// A new response time counts for 1/averageDivisor in a route's exponential
+	// moving average.
 	averageDivisor = 16
 	// A request is taken for a first attempt by its client if its timeout is more
 	// than firstAttemptNumerator/firstAttemptDenominator of the longest timeout
