--- a/internal/proxy/loadbalancer/failurereports.go
+++ b/internal/proxy/loadbalancer/failurereports.go
@@ -7,8 +7,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// FailureReports returns the counts of the endpoints that failed requests of
-// this node, and of what outliers answered it, for the cluster controller.
+// FailureReports returns this node's recent counts of successful and failed
+// requests by endpoint, for the cluster controller, sorted by endpoint ID. It
+// includes the endpoints with failures, and outliers with successes so that
+// their recovery can be detected.
 func (b *Balancer) FailureReports() []*meshpb.FailureReport {
 	now := b.now()
 	var reports []*meshpb.FailureReport
--- a/internal/proxy/loadbalancer/sessions.go
+++ b/internal/proxy/loadbalancer/sessions.go
@@ -2,9 +2,10 @@
 
 import "corkcove/internal/affinity"
 
-// Accepts tells whether an endpoint takes the requests of its sessions, and if
-// not, why its sessions move. It serves affinity.Endpoints.
-func (b *Balancer) Accepts(serviceName, id string) (ok bool, why string) {
+// Accepts reports whether an endpoint takes the requests of its sessions. If not,
+// reason is affinity.ReasonDrain or affinity.ReasonEnded, for which its sessions
+// move. It implements affinity.Endpoints.
+func (b *Balancer) Accepts(serviceName, id string) (ok bool, reason string) {
 	s := b.table.Load().services[serviceName]
 	if s == nil {
 		return false, affinity.ReasonEnded
@@ -21,8 +22,9 @@
 	return false, affinity.ReasonEnded
 }
 
-// Available returns the endpoints that a session may be assigned to: all that
-// take requests, without outliers unless there are no others.
+// Available returns the IDs of the endpoints to which a new session may be
+// assigned: all that take requests, except outliers unless there are no others.
+// It implements affinity.Endpoints.
 func (b *Balancer) Available(serviceName string) []string {
 	s := b.table.Load().services[serviceName]
 	if s == nil {
