--- a/internal/loadestimate/estimate_test.go
+++ b/internal/loadestimate/estimate_test.go
@@ -96,7 +96,7 @@
 			if m.random.Float64() > r.perSecond*(1+0.3*math.Sin(float64(m.stepMs)/900))/1000 {
 				continue
 			}
-			endpoint := m.balancers[origin].Pick(loadbalancer.Criteria{Service: "s", Bulk: false, Target: 0})
+			endpoint := m.balancers[origin].Pick(loadbalancer.Criteria{Service: "s", Bulk: false, LatencyTarget: 0})
 			if endpoint == nil {
 				continue
 			}
--- a/internal/loadestimate/simulation.go
+++ b/internal/loadestimate/simulation.go
@@ -154,7 +154,7 @@
 func (s *simulation) arrive(e event) {
 	s.scheduleArrival(e.demand)
 	d := s.demands[e.demand]
-	endpoint := s.balancers[d.origin].Pick(loadbalancer.Criteria{Service: d.service, Bulk: d.bulk, Target: d.latencyTarget})
+	endpoint := s.balancers[d.origin].Pick(loadbalancer.Criteria{Service: d.service, Bulk: d.bulk, LatencyTarget: d.latencyTarget})
 	if endpoint == nil {
 		return
 	}
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Balancer chooses endpoints. It is safe for concurrent use once the methods
-// that configure it (PreferSubset, SetLocalNode, SlowStart, SetRandomAndClock)
-// have been called.
+// Balancer chooses endpoints. It is safe for concurrent use; the methods that
+// configure it (PreferSubset, SetLocalNode, SlowStart, SetRandomAndClock) must
+// be called before first use.
 type Balancer struct {
 	zone         string
 	remoteWeight float64
@@ -21,7 +21,7 @@
 	random       func() float64
 	now          func() int64
 
-	// mu guards states and zoneLoads, which ApplyView carries from view to view.
+	// mu guards states and zoneLoads, which persist across views.
 	mu        sync.Mutex
 	states    map[string]*endpointState
 	zoneLoads map[zoneKey]*zoneLoad
@@ -29,8 +29,9 @@
 	table atomic.Pointer[table]
 }
 
-// New returns a balancer for a node of the zone. Endpoints of other zones count
-// as slower by remoteWeight, and by bulkWeight for bulk requests.
+// New returns a balancer for a node in the given zone. The scores of endpoints
+// in other zones are multiplied by remoteWeight, or by bulkWeight for bulk
+// requests. A lower score is better.
 func New(zone string, remoteWeight, bulkWeight float64) *Balancer {
 	b := &Balancer{
 		zone:         zone,
@@ -41,39 +42,42 @@
 		states:       map[string]*endpointState{},
 		zoneLoads:    map[zoneKey]*zoneLoad{},
 	}
-	b.table.Store(&table{services: map[string]*service{}})
+	b.table.Store(&table{services: map[string]*serviceEndpoints{}})
 	return b
 }
 
-// PreferSubset makes the node of that name keep to size endpoints of each
-// service in its zone while these can take its requests.
+// PreferSubset makes the named node send its requests to a subset of size
+// endpoints of each service in its zone, as long as one of them has a free slot.
+// It applies only to endpoints that are dialled directly.
 func (b *Balancer) PreferSubset(nodeName string, size int) *Balancer {
 	b.nodeName, b.subsetSize = nodeName, size
 	return b
 }
 
-// SetLocalNode tells which node this is: bulk bodies to or from the endpoint
-// beside it do not use the machine's link.
+// SetLocalNode sets the name of this node. Bulk requests prefer the endpoint
+// beside it, because their bodies then don't use the machine's network link.
 func (b *Balancer) SetLocalNode(node string) *Balancer {
 	b.localNode = node
 	return b
 }
 
-// SlowStart sets how long a new copy of a hot key takes to come up to its full
-// share of reads.
+// SlowStart sets the time over which an endpoint that is added to a hot key
+// reaches its full share of the key's reads.
 func (b *Balancer) SlowStart(d time.Duration) *Balancer {
 	b.slowStart = int64(d)
 	return b
 }
 
-// SetRandomAndClock replaces the sources of chance and time, for simulations.
-// The clock is in nanoseconds.
+// SetRandomAndClock replaces the random source and the clock, for simulations.
+// random returns numbers in [0, 1), now a time in nanoseconds.
 func (b *Balancer) SetRandomAndClock(random func() float64, now func() int64) {
 	b.random, b.now = random, now
 }
 
-// Weights returns the weights that endpoints of other zones have.
+// Weights returns the factors by which the scores of endpoints in other zones
+// are multiplied: remote for ordinary requests, bulk for bulk requests.
 func (b *Balancer) Weights() (remote, bulk float64) { return b.remoteWeight, b.bulkWeight }
 
-// NodeCount returns how many nodes the view counts.
+// NodeCount returns the number of nodes in the mesh according to the latest
+// view.
 func (b *Balancer) NodeCount() int { return b.table.Load().nodes }
--- a/internal/proxy/loadbalancer/bench_test.go
+++ b/internal/proxy/loadbalancer/bench_test.go
@@ -9,6 +9,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// benchView returns a view of one service whose endpoints are spread over three
+// zones. Endpoints that are not direct have a sidecar.
 func benchView(endpoints int, direct bool) *meshpb.View {
 	v := &meshpb.View{Version: 1, Nodes: 1}
 	for i := range endpoints {
@@ -21,10 +23,12 @@
 	return v
 }
 
+// benchPick measures Pick on a view with that many endpoints, from a node in the
+// first zone.
 func benchPick(b *testing.B, endpoints int, direct bool, c Criteria) {
 	balancer := New("z0", 2.2, 5)
 	balancer.ApplyView(benchView(endpoints, direct))
-	c.Service, c.Target = "s", 500*time.Millisecond
+	c.Service, c.LatencyTarget = "s", 500*time.Millisecond
 	b.ReportAllocs()
 	for b.Loop() {
 		if balancer.Pick(c) == nil {
--- a/internal/proxy/loadbalancer/hotkeys.go
+++ b/internal/proxy/loadbalancer/hotkeys.go
@@ -8,24 +8,29 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// hotKey is a key whose reads are spread over several endpoints, its copies: the
-// first ones in the order that rendezvous hashing gives.
+// hotKey is a key whose reads are spread over several endpoints: those that
+// rank highest in rendezvous hashing.
 type hotKey struct {
-	// copies are the endpoints that the key's reads go to.
-	copies []*Endpoint
-	// established is how many of the copies have their full share of the reads
-	// from the start, width how many the view asked for.
-	established int
-	width       int
-	// changed is when the width changed, from which on new copies come up.
-	changed int64
+	// endpoints are the endpoints that serve the key's reads, highest rank first.
+	endpoints []*Endpoint
+	// fullShareCount is the number of leading endpoints that get their full share
+	// of the reads without a slow start.
+	fullShareCount int
+	// width is the number of endpoints that the view specifies. There are fewer if
+	// the service has fewer that are up.
+	width int
+	// widthChangedAt is when the key became hot or its width last changed, in
+	// nanoseconds of the balancer's clock. The slow start of added endpoints begins
+	// then.
+	widthChangedAt int64
 }
 
-// rank orders endpoints by rendezvous hashing: a key's reads go to those with
-// the highest rank.
-func (e *Endpoint) rank(key uint64) uint64 { return mixBits(key ^ e.hash) }
+// rank returns the endpoint's rendezvous hash for a key. The key's reads go to
+// the endpoints with the highest rank.
+func (e *Endpoint) rank(key uint64) uint64 { return mixBits(key ^ e.idHash) }
 
-// mixBits is the finalizer of the SplitMix64 generator.
+// mixBits is one step of the SplitMix64 generator: it adds the increment and
+// applies the finalizer.
 func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -33,7 +38,8 @@
 	return x ^ x>>31
 }
 
-// highestRanked returns the endpoints that a key's reads go to, count at most.
+// highestRanked returns up to count endpoints that are up, in descending order
+// of their rank for the key.
 func highestRanked(key uint64, endpoints []*Endpoint, count int) []*Endpoint {
 	up := make([]*Endpoint, 0, len(endpoints))
 	for _, e := range endpoints {
@@ -47,9 +53,10 @@
 	return slices.Clip(up[:min(count, len(up))])
 }
 
-// hotKeys returns the hot keys of a view. A key that got more copies keeps the
-// earlier ones at their full share while the new ones come up.
-func (b *Balancer) hotKeys(published []*meshpb.HotKey, next, previous *table) map[uint64]*hotKey {
+// buildHotKeys returns the hot keys of a view. When a key's width grows, its
+// earlier endpoints keep their full share during the slow start of the added
+// ones.
+func (b *Balancer) buildHotKeys(published []*meshpb.HotKey, next, previous *table) map[uint64]*hotKey {
 	if len(published) == 0 {
 		return nil
 	}
@@ -60,58 +67,62 @@
 		if service == nil || p.Width < 1 {
 			continue
 		}
-		key := &hotKey{width: int(p.Width), established: 1, changed: now}
+		key := &hotKey{width: int(p.Width), fullShareCount: 1, widthChangedAt: now}
 		if old := previous.hotKeys[p.Key]; old != nil {
 			if old.width == key.width {
-				key.established, key.changed = old.established, old.changed
+				key.fullShareCount, key.widthChangedAt = old.fullShareCount, old.widthChangedAt
 			} else {
-				key.established = min(old.width, key.width)
+				key.fullShareCount = min(old.width, key.width)
 			}
 		}
-		key.copies = highestRanked(p.Key, service.all, key.width)
+		key.endpoints = highestRanked(p.Key, service.all, key.width)
 		keys[p.Key] = key
 	}
 	return keys
 }
 
-// IsHot tells that a key's reads are spread over several endpoints.
+// IsHot reports whether the key is a hot key, whose reads are spread over several
+// endpoints. key is a hash as hotkeys.Hash returns it.
 func (b *Balancer) IsHot(key uint64) bool {
 	return key != 0 && b.table.Load().hotKeys[key] != nil
 }
 
-// pickByKey returns one of the endpoints that the key's reads go to, or nil
-// where they can't take it well, so that the choice is then by load among all.
+// pickByKey returns one of the endpoints that serve reads of the request's key;
+// key is nil if that is not a hot key. It returns nil if none of them can serve
+// the read, and the caller then chooses among all endpoints of the service.
 func (s *selection) pickByKey(key *hotKey) *Endpoint {
 	if key == nil {
 		return s.pickHighestRanked()
 	}
-	share := float64(s.now-key.changed) / float64(max(s.balancer.slowStart, 1))
-	if e := s.pickCopy(key, share); e != nil {
+	progress := float64(s.now-key.widthChangedAt) / float64(max(s.balancer.slowStart, 1))
+	if e := s.sampleHotKeyEndpoints(key, progress); e != nil {
 		return e
 	}
-	for i, e := range key.copies {
-		if (i < key.established || share >= 1) && s.canRead(e) {
+	for i, e := range key.endpoints {
+		if (i < key.fullShareCount || progress >= 1) && s.canServeRead(e) {
 			return e
 		}
 	}
 	return nil
 }
 
-// pickCopy draws a few of a hot key's copies and returns the best. New copies
-// count for the share to which they have come up.
-func (s *selection) pickCopy(key *hotKey, share float64) *Endpoint {
+// sampleHotKeyEndpoints returns the endpoint with the lowest score in a random
+// sample of the hot key's endpoints, or nil if none in the sample can serve the
+// read. progress is how far the slow start is, 1 being complete; an added
+// endpoint is admitted to the sample with that probability.
+func (s *selection) sampleHotKeyEndpoints(key *hotKey, progress float64) *Endpoint {
 	var best *Endpoint
 	bestScore := math.Inf(1)
-	for range draws {
-		i := int(s.balancer.random() * float64(len(key.copies)))
-		if i >= len(key.copies) || i >= key.established && share < 1 && s.balancer.random() > share {
+	for range sampleSize {
+		i := int(s.balancer.random() * float64(len(key.endpoints)))
+		if i >= len(key.endpoints) || i >= key.fullShareCount && progress < 1 && s.balancer.random() > progress {
 			continue
 		}
-		e := key.copies[i]
-		if !s.canRead(e) {
+		e := key.endpoints[i]
+		if !s.canServeRead(e) {
 			continue
 		}
-		score := s.score(e) * (1 + drawnScoreNoise*s.balancer.random())
+		score := s.score(e) * (1 + sampledScoreNoise*s.balancer.random())
 		if score < bestScore {
 			best, bestScore = e, score
 		}
@@ -119,28 +130,31 @@
 	return best
 }
 
-// pickHighestRanked returns the endpoint that all reads of a key go to that is
-// not hot, or nil if it can't take one.
+// pickHighestRanked returns the one endpoint that serves all reads of a key that
+// is not hot, or nil if it can't serve one now.
 func (s *selection) pickHighestRanked() *Endpoint {
-	var home *Endpoint
+	var highest *Endpoint
 	for _, e := range s.service.all {
-		if e.up && (home == nil || e.rank(s.Key) > home.rank(s.Key)) {
-			home = e
+		if e.up && (highest == nil || e.rank(s.Key) > highest.rank(s.Key)) {
+			highest = e
 		}
 	}
-	if home == nil || !s.canRead(home) {
+	if highest == nil || !s.canServeRead(highest) {
 		return nil
 	}
-	return home
+	return highest
 }
 
-func (s *selection) canRead(e *Endpoint) bool {
+// canServeRead reports whether the endpoint is available, is no outlier, has not
+// been tried and has a free slot.
+func (s *selection) canServeRead(e *Endpoint) bool {
 	return e.isAvailable(s.now) && !e.outlier && !s.hasTried(e) && max(e.inFlight.Load(), e.recentLoad(s.now)) < e.slots
 }
 
-// recentLoad returns the load last reported, or 0 where that was long ago.
+// recentLoad returns the last reported load, or 0 if the report is older than
+// reportHalfWeightAge.
 func (e *Endpoint) recentLoad(now int64) int64 {
-	if now-e.lastReport.Load() > int64(reportHalfTime) {
+	if now-e.lastReportAt.Load() > int64(reportHalfWeightAge) {
 		return 0
 	}
 	return e.load.Load()
--- a/internal/proxy/loadbalancer/loadreport.go
+++ b/internal/proxy/loadbalancer/loadreport.go
@@ -9,27 +9,32 @@
 	"time"
 )
 
-// LoadReport is an endpoint's load as the node beside it reports it with each
+// LoadReport is an endpoint's load, which the node beside it reports with each
 // response.
 type LoadReport struct {
+	// Running is the number of requests that the endpoint is processing.
 	Running int64
-	Queued  int64
-	Slots   int64
-	// ServiceTime is the time that one request takes, in whole milliseconds on the wire.
+	// Queued is the number of requests that wait for a slot.
+	Queued int64
+	// Slots is the number of requests that the endpoint processes concurrently.
+	Slots int64
+	// ServiceTime is the time that one request takes. The header has it in whole
+	// milliseconds.
 	ServiceTime time.Duration
-	// LinkPercent is how full the machine's link is, 0 to 100.
+	// LinkPercent is the utilization of the machine's network link, 0 to 100.
 	LinkPercent int64
 }
 
-// loadReportFields is how many numbers a report has on the wire.
+// loadReportFields is the number of comma-separated numbers in the header.
 const loadReportFields = 5
 
-// String returns the report as it stands in the header.
+// String returns the report in the format of the header.
 func (r LoadReport) String() string {
 	return fmt.Sprintf("%d,%d,%d,%d,%d", r.Running, r.Queued, r.Slots, r.ServiceTime/time.Millisecond, r.LinkPercent)
 }
 
-// ParseLoadReport reads a report from the header.
+// ParseLoadReport parses the header's value. It returns false if the value is
+// malformed.
 func ParseLoadReport(header string) (LoadReport, bool) {
 	fields := strings.Split(header, ",")
 	if len(fields) != loadReportFields {
@@ -52,39 +57,42 @@
 	}, true
 }
 
-// ApplyLoadReport takes in what the node beside the endpoint reported with a
-// response.
+// ApplyLoadReport updates the endpoint's load, and the average load of its zone,
+// from a report received with a response.
 func (e *Endpoint) ApplyLoadReport(r LoadReport) {
 	e.load.Store(r.Running + r.Queued)
 	e.serviceTime.Store(int64(r.ServiceTime))
 	e.linkPercent.Store(r.LinkPercent)
-	e.zoneLoad.slots.add(float64(r.Running+r.Queued) / float64(max(r.Slots, 1)))
-	e.zoneLoad.links.add(float64(r.LinkPercent) / 100)
-	e.lastReport.Store(time.Now().UnixNano())
+	e.zoneLoad.slotUse.add(float64(r.Running+r.Queued) / float64(max(r.Slots, 1)))
+	e.zoneLoad.linkUse.add(float64(r.LinkPercent) / 100)
+	e.lastReportAt.Store(time.Now().UnixNano())
 }
 
-// SetLoad sets the endpoint's load, for simulations: requests running and queued
-// and the time that one takes, at a time in nanoseconds.
+// SetLoad sets the endpoint's load as of now, for simulations: the number of
+// requests running and queued, and the time that one request takes. now is a
+// time in nanoseconds of the balancer's clock.
 func (e *Endpoint) SetLoad(load int, serviceTime time.Duration, now int64) {
-	e.lastReport.Store(now)
+	e.lastReportAt.Store(now)
 	e.load.Store(int64(load))
 	e.serviceTime.Store(int64(serviceTime))
 }
 
-// zoneLoad is how full the slots of a service's endpoints in one zone and their
-// machines' links were, over the last reports from any of them; 1 is full.
-type zoneLoad struct{ slots, links movingAverage }
+// zoneLoad averages the last load reports from a service's endpoints in one zone:
+// requests per slot, which exceed 1 when requests are queued, and the utilization
+// of the machines' links, where 1 is full.
+type zoneLoad struct{ slotUse, linkUse movingAverage }
 
-// movingAverageSpan is over how many values an average moves.
-const movingAverageSpan = 24
+// movingAverageSamples is the number of values over which a moving average
+// smooths: each new value has a weight of 1/movingAverageSamples.
+const movingAverageSamples = 24
 
-// movingAverage is an exponential average. Concurrent additions may lose one
-// another's value, which an average can bear.
+// movingAverage is an exponential moving average. Concurrent calls of add may
+// lose a value, which changes the average only slightly.
 type movingAverage struct{ bits atomic.Uint64 }
 
 func (m *movingAverage) add(v float64) {
 	old := m.value()
-	m.bits.Store(math.Float64bits(old + (v-old)/movingAverageSpan))
+	m.bits.Store(math.Float64bits(old + (v-old)/movingAverageSamples))
 }
 
 func (m *movingAverage) value() float64 { return math.Float64frombits(m.bits.Load()) }
--- a/internal/proxy/loadbalancer/select.go
+++ b/internal/proxy/loadbalancer/select.go
@@ -7,34 +7,40 @@
 	"corkcove/internal/routeconfig"
 )
 
-// bulkBody is the size in bytes from which on a body counts as bulk.
-const bulkBody = 16 << 10
+// bulkBodyBytes is the body size above which a request counts as bulk.
+const bulkBodyBytes = 16 << 10
 
-// IsBulk tells that the bytes of a request or its response are many.
+// IsBulk reports whether a request or its response is expected to have a large
+// body, judging by the kind of its route and by the size of the request body.
 func IsBulk(kind routeconfig.RouteKind, bodyBytes int64) bool {
-	return kind.Bulk() || bodyBytes > bulkBody
+	return kind.Bulk() || bodyBytes > bulkBodyBytes
 }
 
-// Criteria are what a choice has to serve.
+// Criteria describe the request for which an endpoint is chosen.
 type Criteria struct {
+	// Service is the name of the service that the request goes to.
 	Service string
-	// Bulk tells that the request or its response has a large body.
+	// Bulk is set if the request or its response has a large body.
 	Bulk bool
-	// Upload tells that the large body goes to the endpoint, so that the link
-	// that carries it is this node's, whichever endpoint takes it.
+	// Upload is set if the large body is sent to the endpoint. This node's link
+	// carries it whichever endpoint is chosen, so another zone would not relieve
+	// the link, and the request stays in its zone.
 	Upload bool
-	// Idempotent tells that the request may run twice.
+	// Idempotent is set if the request may run twice.
 	Idempotent bool
-	// Target is the time within which the route's requests should be answered.
-	Target time.Duration
-	// Tried are the endpoints that are not to be chosen again.
+	// LatencyTarget is the time within which the route's requests should be answered.
+	LatencyTarget time.Duration
+	// Tried are the endpoints that must not be chosen again.
 	Tried []*Endpoint
-	// AnyZone tells that the request does not keep to its zone.
+	// AnyZone is set if the request has no preference for its own zone.
 	AnyZone bool
-	// Key is the hash of the key that the request reads; 0 is none.
+	// Key is the hash of the key that the request reads, as hotkeys.Hash returns
+	// it; 0 means no key.
 	Key uint64
 }
 
+// hasTried reports whether the endpoint, possibly from an earlier view, is in
+// Tried.
 func (c *Criteria) hasTried(e *Endpoint) bool {
 	for _, tried := range c.Tried {
 		if tried == e || tried.id == e.id {
@@ -44,24 +50,25 @@
 	return false
 }
 
-// outlierProbeShare is the share of idempotent requests that try out an outlier,
-// so that it is seen when it has recovered.
+// outlierProbeShare is the share of idempotent requests that are sent to an
+// outlier to detect when it has recovered.
 const outlierProbeShare = 0.01
 
-// selection is one choice under way.
+// selection is the state of one call of Pick.
 type selection struct {
 	Criteria
-	balancer         *Balancer
-	service          *service
-	now              int64
-	remoteWeight     float64
-	usualServiceTime float64
-	probesOutlier    bool
+	balancer        *Balancer
+	service         *serviceEndpoints
+	now             int64
+	remoteWeight    float64
+	meanServiceTime float64
+	probesOutlier   bool
 }
 
-// Pick returns the endpoint that should answer first, or nil if there is none.
-// Traffic between zones is expensive, so the request keeps to its own zone while
-// that answers well within the target.
+// Pick returns the endpoint with the lowest expected response time, or nil if
+// there is none. Traffic between zones is expensive, so the request stays in its
+// own zone as long as an endpoint there is expected to answer well within the
+// latency target.
 func (b *Balancer) Pick(c Criteria) *Endpoint {
 	current := b.table.Load()
 	service := current.services[c.Service]
@@ -74,7 +81,7 @@
 		s.remoteWeight = b.bulkWeight
 	}
 	if c.Key != 0 && len(c.Tried) == 0 && !s.probesOutlier {
-		s.usualServiceTime = usualServiceTime(service.all)
+		s.meanServiceTime = meanServiceTime(service.all)
 		if e := s.pickByKey(current.hotKeys[c.Key]); e != nil {
 			return e
 		}
@@ -82,11 +89,11 @@
 	if len(service.all) > 0 && service.all[0].IsDirect() {
 		return s.pickDirect()
 	}
-	s.usualServiceTime = usualServiceTime(service.all)
+	s.meanServiceTime = meanServiceTime(service.all)
 	return s.pickByLoad()
 }
 
-// pickByLoad chooses where the endpoints' sidecars report their load.
+// pickByLoad chooses among endpoints whose sidecars report their load.
 func (s *selection) pickByLoad() *Endpoint {
 	if s.probesOutlier {
 		if e := s.pickOutlier(); e != nil {
@@ -99,11 +106,11 @@
 		}
 	}
 	best, score, fallback := s.bestScored(s.service.sameZone)
-	if best != nil && !s.AnyZone && s.keepsToZone(best, score) {
+	if best != nil && !s.AnyZone && s.staysInZone(best, score) {
 		return best
 	}
 	if best != nil && s.isZoneBusy(best) {
-		s.remoteWeight = 1 + (s.remoteWeight-1)/busyZoneWeight
+		s.remoteWeight = 1 + (s.remoteWeight-1)/busyZoneWeightDivisor
 	}
 	anywhere, _, fallbackAnywhere := s.bestScored(s.service.all)
 	switch {
@@ -115,6 +122,7 @@
 	return fallbackAnywhere
 }
 
+// pickOutlier returns an outlier of the node's zone to probe, or nil.
 func (s *selection) pickOutlier() *Endpoint {
 	for _, e := range s.service.sameZone {
 		if e.outlier && e.takesRequests() {
@@ -124,7 +132,8 @@
 	return nil
 }
 
-// pickLocal returns the endpoint beside this node if it has a free slot.
+// pickLocal returns the endpoint beside this node if it is available and has a
+// free slot, or nil.
 func (s *selection) pickLocal() *Endpoint {
 	for _, e := range s.service.sameZone {
 		if e.node != s.balancer.localNode || e.outlier || !e.isAvailable(s.now) || s.hasTried(e) {
@@ -138,56 +147,63 @@
 }
 
 const (
-	// linkHeadroom is what is added to the use of links when a bulk request
-	// chooses between zones, for the body that it brings itself.
-	linkHeadroom = 0.2
-	// linkSlots is as how many slots a link counts: it carries several bodies at
-	// once without a queue.
+	// bulkLinkUse is added to the average link utilization when a bulk request
+	// chooses between zones, to account for its own body.
+	bulkLinkUse = 0.2
+	// linkSlots is the number of slots that a link corresponds to in sameZoneShare:
+	// it carries several bodies at once without queueing.
 	linkSlots = 6
-	// busyLink is the use of a zone's links from which on bulk requests count
-	// other zones as less remote.
-	busyLink = 0.4
-	// busyZoneWeight is the part of the weight of other zones that stays while
-	// the own zone is busy.
-	busyZoneWeight = 4
+	// busyLinkUse is the average link utilization of a zone above which the weight
+	// of other zones is reduced for bulk requests.
+	busyLinkUse = 0.4
+	// busyZoneWeightDivisor divides the excess over 1 of the weight of other zones
+	// while the node's own zone is busy.
+	busyZoneWeightDivisor = 4
 )
 
-// keepsToZone tells whether a request goes to the best endpoint of its zone
-// rather than to any.
-func (s *selection) keepsToZone(best *Endpoint, score float64) bool {
-	limit := s.Target * 4 / 5
-	share := zoneShare(best.zoneLoad.slots.value(), best.slots)
+// staysInZone reports whether the request goes to the best endpoint of its zone,
+// which has the given score, without other zones being considered. Uploads always
+// do. Other requests do if the score is well within the latency target (for bulk
+// requests: within it), and as the zone's load grows, a random and decreasing
+// share of them.
+func (s *selection) staysInZone(best *Endpoint, score float64) bool {
+	limit := s.LatencyTarget * 4 / 5
+	share := sameZoneShare(best.zoneLoad.slotUse.value(), best.slots)
 	if s.Bulk {
-		limit = s.Target
-		share = min(share, zoneShare(best.zoneLoad.links.value()+linkHeadroom, linkSlots))
+		limit = s.LatencyTarget
+		share = min(share, sameZoneShare(best.zoneLoad.linkUse.value()+bulkLinkUse, linkSlots))
 	}
 	return s.Upload || score <= float64(limit) && s.balancer.random() < share
 }
 
+// isZoneBusy reports whether the zone of the best endpoint is loaded so much that
+// some requests should go to other zones.
 func (s *selection) isZoneBusy(best *Endpoint) bool {
-	if zoneShare(best.zoneLoad.slots.value(), best.slots) < 1 {
+	if sameZoneShare(best.zoneLoad.slotUse.value(), best.slots) < 1 {
 		return true
 	}
-	return s.Bulk && best.zoneLoad.links.value() > busyLink
+	return s.Bulk && best.zoneLoad.linkUse.value() > busyLinkUse
 }
 
 const (
-	// maxCompared is how many endpoints are compared with one another; of more, a
-	// few are drawn.
-	maxCompared = 4
-	// draws is how many endpoints are drawn of many.
-	draws = 3
-	// drawnScoreNoise and comparedScoreNoise are the share by which a score is
-	// raised at random, so that nodes that know the same choose differently.
-	drawnScoreNoise    = 0.1
-	comparedScoreNoise = 0.3
+	// maxScanned is the largest number of endpoints that are all scored. Of more,
+	// only a random sample is scored.
+	maxScanned = 4
+	// sampleSize is the number of endpoints in a random sample.
+	sampleSize = 3
+	// sampledScoreNoise and scannedScoreNoise are the largest fraction by which a
+	// score is randomly raised, in a sample and in a full scan. The noise makes
+	// nodes with the same load reports choose different endpoints.
+	sampledScoreNoise = 0.1
+	scannedScoreNoise = 0.3
 )
 
-// bestScored returns the endpoint with the lowest score, and one to fall back
-// on where all are outliers or ejected.
+// bestScored returns the available endpoint with the lowest score. If all are
+// outliers or ejected, best is nil and fallback is the outlier with the lowest
+// score or else an ejected endpoint.
 func (s *selection) bestScored(endpoints []*Endpoint) (best *Endpoint, bestScore float64, fallback *Endpoint) {
-	if len(endpoints) > maxCompared {
-		if best, bestScore = s.bestOfDrawn(endpoints); best != nil {
+	if len(endpoints) > maxScanned {
+		if best, bestScore = s.bestOfSample(endpoints); best != nil {
 			return best, bestScore, nil
 		}
 	}
@@ -201,7 +217,7 @@
 			fallback = e
 			continue
 		}
-		score := s.score(e) * (1 + comparedScoreNoise*s.balancer.random())
+		score := s.score(e) * (1 + scannedScoreNoise*s.balancer.random())
 		switch {
 		case e.outlier && (bestOutlier == nil || score < outlierScore):
 			bestOutlier, outlierScore = e, score
@@ -215,24 +231,25 @@
 	return best, bestScore, fallback
 }
 
-// bestOfDrawn returns the best of a few endpoints, drawn by what each can take:
-// with many endpoints a sender knows little of each, and if each sender took
-// what seems best, all would run to the same.
-func (s *selection) bestOfDrawn(endpoints []*Endpoint) (best *Endpoint, bestScore float64) {
-	sums := make([]float64, len(endpoints))
-	sum := 0.0
+// bestOfSample returns the endpoint with the lowest score in a random sample that
+// is weighted by capacity. With many endpoints, each node has few recent reports
+// about each one; if every node chose the best of all, they would overload the
+// same endpoint.
+func (s *selection) bestOfSample(endpoints []*Endpoint) (best *Endpoint, bestScore float64) {
+	cumulativeWeights := make([]float64, len(endpoints))
+	totalWeight := 0.0
 	for i, e := range endpoints {
 		if e.isAvailable(s.now) && !e.outlier && !s.hasTried(e) {
-			sum += s.capacity(e)
+			totalWeight += s.samplingWeight(e)
 		}
-		sums[i] = sum
+		cumulativeWeights[i] = totalWeight
 	}
-	if sum == 0 {
+	if totalWeight == 0 {
 		return nil, 0
 	}
-	for range draws {
-		e := endpoints[drawIndex(sums, s.balancer.random()*sum)]
-		score := s.score(e) * (1 + drawnScoreNoise*s.balancer.random())
+	for range sampleSize {
+		e := endpoints[cumulativeIndex(cumulativeWeights, s.balancer.random()*totalWeight)]
+		score := s.score(e) * (1 + sampledScoreNoise*s.balancer.random())
 		if best == nil || score < bestScore {
 			best, bestScore = e, score
 		}
@@ -240,23 +257,24 @@
 	return best, bestScore
 }
 
-// capacity returns the weight with which an endpoint is drawn: the requests that
-// it can take in a time.
-func (s *selection) capacity(e *Endpoint) float64 {
-	capacity := float64(e.slots) / e.expectedServiceTime(s.usualServiceTime, s.now)
+// samplingWeight returns the endpoint's weight in a random sample: its capacity in
+// requests per nanosecond, reduced for bulk requests on a congested link and for
+// endpoints in other zones.
+func (s *selection) samplingWeight(e *Endpoint) float64 {
+	weight := float64(e.slots) / e.expectedServiceTime(s.meanServiceTime, s.now)
 	if s.Bulk {
 		slowdown := e.linkSlowdown(s.now)
-		capacity /= slowdown * slowdown
+		weight /= slowdown * slowdown
 	}
 	if e.zone != s.balancer.zone {
-		capacity /= s.remoteWeight
+		weight /= s.remoteWeight
 	}
-	return capacity
+	return weight
 }
 
-// drawIndex returns where x falls among the running sums, past entries that add
-// nothing.
-func drawIndex(sums []float64, x float64) int {
+// cumulativeIndex returns the index of the entry whose range in the cumulative
+// sums contains x. It skips entries of weight 0.
+func cumulativeIndex(sums []float64, x float64) int {
 	i, _ := slices.BinarySearch(sums, x)
 	for i < len(sums)-1 && (i > 0 && sums[i] == sums[i-1] || sums[i] == 0) {
 		i++
--- a/internal/proxy/loadbalancer/view.go
+++ b/internal/proxy/loadbalancer/view.go
@@ -10,29 +10,31 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// table is what one view says. It is never changed once it is in use.
+// table holds the contents of one view. It is immutable once it is stored in
+// Balancer.table.
 type table struct {
-	services map[string]*service
+	services map[string]*serviceEndpoints
 	nodes    int
 	hotKeys  map[uint64]*hotKey
 }
 
-// service is a service's endpoints: all of them, those of this node's zone, and
-// of these the subset that this node prefers.
-type service struct {
+// serviceEndpoints holds the endpoints of one service: all of them, those in this
+// node's zone, and the subset of the latter that PreferSubset sets.
+type serviceEndpoints struct {
 	all       []*Endpoint
 	sameZone  []*Endpoint
 	preferred []*Endpoint
 }
 
-// zoneKey names a service's endpoints in one zone.
+// zoneKey identifies the endpoints of one service in one zone.
 type zoneKey struct{ service, zone string }
 
-// ApplyView takes in a view. What is known of endpoints that stay is kept.
+// ApplyView replaces the endpoints with those of the view. Endpoints that were in
+// the previous view keep their observed state.
 func (b *Balancer) ApplyView(view *meshpb.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := &table{services: map[string]*service{}, nodes: int(view.Nodes)}
+	next := &table{services: map[string]*serviceEndpoints{}, nodes: int(view.Nodes)}
 	states := make(map[string]*endpointState, len(view.Endpoints))
 	for _, published := range view.Endpoints {
 		e := b.newEndpoint(published)
@@ -40,13 +42,15 @@
 		next.add(published.Service, e, b.zone)
 	}
 	for _, s := range next.services {
-		s.preferred = subset(b.nodeName, s.sameZone, b.subsetSize)
+		s.preferred = rendezvousSubset(b.nodeName, s.sameZone, b.subsetSize)
 	}
-	next.hotKeys = b.hotKeys(view.HotKeys, next, b.table.Load())
+	next.hotKeys = b.buildHotKeys(view.HotKeys, next, b.table.Load())
 	b.states = states
 	b.table.Store(next)
 }
 
+// newEndpoint returns an endpoint of the view with the state kept for its ID, or
+// with new state. The caller holds b.mu.
 func (b *Balancer) newEndpoint(published *meshpb.Endpoint) *Endpoint {
 	state := b.states[published.Id]
 	if state == nil {
@@ -66,27 +70,30 @@
 		up:            lifecycle.State(published.State) == lifecycle.Up,
 		warmingUp:     published.WarmupMs > 0,
 		outlier:       published.Outlier,
-		hash:          xxhash.Sum64String(published.Id),
+		idHash:        xxhash.Sum64String(published.Id),
 		zoneLoad:      b.zoneLoads[key],
 		endpointState: state,
 	}
 }
 
-func (t *table) add(name string, e *Endpoint, zone string) {
-	s := t.services[name]
+// add adds an endpoint of the named service. localZone is this node's zone.
+func (t *table) add(serviceName string, e *Endpoint, localZone string) {
+	s := t.services[serviceName]
 	if s == nil {
-		s = &service{}
-		t.services[name] = s
+		s = &serviceEndpoints{}
+		t.services[serviceName] = s
 	}
 	s.all = append(s.all, e)
-	if e.zone == zone {
+	if e.zone == localZone {
 		s.sameZone = append(s.sameZone, e)
 	}
 }
 
-// subset returns size of the endpoints by rendezvous hashing, so that nodes
-// spread evenly and an endpoint that comes or goes moves few.
-func subset(nodeName string, endpoints []*Endpoint, size int) []*Endpoint {
+// rendezvousSubset returns size of the endpoints, chosen by rendezvous hashing.
+// The subsets of different nodes spread evenly over the endpoints, and adding or
+// removing an endpoint changes few subsets. It returns all endpoints if size is not
+// positive or there are no more than size.
+func rendezvousSubset(nodeName string, endpoints []*Endpoint, size int) []*Endpoint {
 	if size <= 0 || len(endpoints) <= size {
 		return endpoints
 	}
@@ -106,7 +113,8 @@
 	return chosen
 }
 
-// Find returns a service's endpoint by its ID if it takes requests, or nil.
+// Find returns the endpoint of a service with the given ID, or nil if there is no
+// such endpoint or it doesn't take requests.
 func (b *Balancer) Find(serviceName, id string) *Endpoint {
 	s := b.table.Load().services[serviceName]
 	if s == nil {
--- a/internal/proxy/loadbalancer/view_test.go
+++ b/internal/proxy/loadbalancer/view_test.go
@@ -8,27 +8,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSubsetsMoveLittleAndSpreadEvenly(t *testing.T) {
+// Removing an endpoint must change at most one entry of a node's subset, and the
+// subsets of 40 nodes must together include each of the 90 endpoints.
+func TestRendezvousSubsetsAreStableAndCoverAllEndpoints(t *testing.T) {
 	var endpoints []*Endpoint
 	for i := range 90 {
 		endpoints = append(endpoints, &Endpoint{id: fmt.Sprint("i-", i)})
 	}
-	uses := map[string]int{}
+	nodesUsing := map[string]int{}
 	for n := range 40 {
-		before := subset(fmt.Sprint("edge-", n), endpoints, 24)
+		before := rendezvousSubset(fmt.Sprint("edge-", n), endpoints, 24)
 		for _, e := range before {
-			uses[e.id]++
+			nodesUsing[e.id]++
 		}
-		after := subset(fmt.Sprint("edge-", n), endpoints[1:], 24)
-		moved := 0
+		after := rendezvousSubset(fmt.Sprint("edge-", n), endpoints[1:], 24)
+		added := 0
 		for _, e := range after {
 			if !slices.Contains(before, e) {
-				moved++
+				added++
 			}
 		}
-		qt.Assert(t, moved <= 1, qt.IsTrue)
+		qt.Assert(t, added <= 1, qt.IsTrue)
 	}
 	for _, e := range endpoints {
-		qt.Assert(t, uses[e.id] > 0, qt.IsTrue, qt.Commentf("%s is in no subset", e.id))
+		qt.Assert(t, nodesUsing[e.id] > 0, qt.IsTrue, qt.Commentf("%s is in no subset", e.id))
 	}
 }
--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -129,14 +129,14 @@
 	endpoint := p.preferred()
 	if endpoint == nil {
 		endpoint = p.balancer.Pick(loadbalancer.Criteria{
-			Service:    p.service,
-			Bulk:       p.bulk,
-			Upload:     p.bulk && p.route.Kind != routeconfig.KindDownload,
-			Idempotent: p.route.Kind.Idempotent(),
-			Target:     p.route.LatencyTarget,
-			Tried:      p.tried,
-			AnyZone:    p.anyZone,
-			Key:        p.key,
+			Service:       p.service,
+			Bulk:          p.bulk,
+			Upload:        p.bulk && p.route.Kind != routeconfig.KindDownload,
+			Idempotent:    p.route.Kind.Idempotent(),
+			LatencyTarget: p.route.LatencyTarget,
+			Tried:         p.tried,
+			AnyZone:       p.anyZone,
+			Key:           p.key,
 		})
 	}
 	if endpoint != nil {
