--- a/internal/replication/scenario_run_test.go
+++ b/internal/replication/scenario_run_test.go
@@ -69,7 +69,7 @@
 	run.runUntil(run.now + 2*catchUpTime)
 	run.requireRecovered("at the end")
 	before := run.workload.served
-	run.history.ending = true
+	run.history.readOnly = true
 	run.runUntil(run.now + 3*time.Second)
 	if run.workload.served < before+50 {
 		run.workload.fail("only %d calls served at the end", run.workload.served-before)
