--- a/internal/replication/recovery_test.go
+++ b/internal/replication/recovery_test.go
@@ -81,9 +81,9 @@
 				cluster.setIsolated(address, false)
 			case 6:
 				cluster.logf("stall the disk of %s", address)
-				target.diskStuck = true
+				target.diskStalled = true
 				cluster.runUntil(cluster.now + 3*time.Second)
-				target.diskStuck = false
+				target.diskStalled = false
 			}
 			cluster.lossRate = 0
 			cluster.runUntil(cluster.now + 4*time.Second)
--- a/internal/replication/scenario_run_test.go
+++ b/internal/replication/scenario_run_test.go
@@ -309,8 +309,8 @@
 		f.target.syncDelay *= 30
 		f.endAfter(f.step.Duration, func() { f.target.syncDelay = f.syncDelay })
 	case stuckDisk:
-		f.target.diskStuck = true
-		f.endAfter(f.step.Duration, func() { f.target.diskStuck = false })
+		f.target.diskStalled = true
+		f.endAfter(f.step.Duration, func() { f.target.diskStalled = false })
 	case fullDisk:
 		f.target.diskFull = true
 		f.endAfter(f.step.Duration, func() { f.target.diskFull = false })
--- a/internal/replication/scenario_test.go
+++ b/internal/replication/scenario_test.go
@@ -154,12 +154,12 @@
 		Tracks: [][]faultStep{{{Fault: plannedReplacement, Wait: 100 * time.Millisecond, Gap: time.Second}, {Fault: partition, TargetMaster: true, Duration: 3 * time.Second}},
 			{{Fault: wipe, Target: 3, Duration: time.Second}, {Fault: freeze, TargetMaster: true, Duration: 2 * time.Second}}}}
 	first, second := runScenario(t, played), runScenario(t, played)
-	if len(first.lines) != len(second.lines) {
-		t.Fatalf("%d and %d lines", len(first.lines), len(second.lines))
+	if len(first.logLines) != len(second.logLines) {
+		t.Fatalf("%d and %d lines", len(first.logLines), len(second.logLines))
 	}
-	for i := range first.lines {
-		if first.lines[i] != second.lines[i] {
-			t.Fatalf("line %d: %s, then %s", i, first.lines[i], second.lines[i])
+	for i := range first.logLines {
+		if first.logLines[i] != second.logLines[i] {
+			t.Fatalf("line %d: %s, then %s", i, first.logLines[i], second.logLines[i])
 		}
 	}
 }
--- a/internal/replication/sim_cluster_test.go
+++ b/internal/replication/sim_cluster_test.go
@@ -13,37 +13,35 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// simCluster and what follows run a core of replicas in virtual time, on simulated
-// disks and connections. One seed gives one order of events; nothing sleeps.
-
-// event is something that happens at a time.
+// event is a function to run at a point in virtual time.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-// eventQueue is a heap of events by their time, and by the order of their making.
+// eventQueue is a heap of events, ordered by their times; events at the same time are
+// ordered as they were scheduled.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (a *eventQueue) Push(x any) { *a = append(*a, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-func (a *eventQueue) Pop() any {
-	o := *a
-	x := o[len(o)-1]
-	*a = o[:len(o)-1]
+func (q *eventQueue) Pop() any {
+	old := *q
+	x := old[len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
-// testingT is what *testing.T and *rapid.T have in common.
+// testingT has the methods of *testing.T and *rapid.T that the simulation uses.
 type testingT interface {
 	Helper()
 	Log(a ...any)
@@ -51,38 +49,48 @@
 	Fatalf(f string, a ...any)
 }
 
+// simCluster simulates a cluster of replicas in virtual time, with simulated disks and
+// connections. It runs on one goroutine and never sleeps. All randomness comes from rng, so
+// that a seed determines the order of all events.
 type simCluster struct {
 	t         testingT
 	now       time.Duration
-	scheduled int
+	lastSeq   int
 	events    eventQueue
 	rng       *rand.Rand
 	nodes     map[string]*simNode
 	addresses []string
-	// seedOverride are the seeds of all that start later, if set.
+	// seedOverride contains the addresses of the seeds of all nodes that start from now on,
+	// if it is set.
 	seedOverride []string
-	// syncDelay is how long a healthy disk takes for a sync.
+	// syncDelay is the duration of a sync of a healthy disk.
 	syncDelay time.Duration
-	// withoutEpochChanges is a member that knows no epoch changes; replicateCalls
-	// counts the calls of Replicate.
+	// withoutEpochChanges is the address of a member that ignores epoch changes, like
+	// earlier releases.
 	withoutEpochChanges string
-	replicateCalls      int
-	partitioned         map[[2]string]bool
-	// Lost is what goes from one address to another that is partitioned from it, what
-	// nodes send that are notSending, and what is sent to those notReceiving.
-	notSending    map[string]bool
-	notReceiving  map[string]bool
+	// replicateCalls is the number of Replicate requests sent.
+	replicateCalls int
+	// partitioned contains pairs of addresses; messages from the first to the second are
+	// lost. So are all messages from nodes in notSending and to nodes in notReceiving.
+	partitioned  map[[2]string]bool
+	notSending   map[string]bool
+	notReceiving map[string]bool
+	// The rates are the probabilities that a message is lost, delayed by up to 1.2 s, or
+	// duplicated.
 	lossRate      float64
 	delayRate     float64
 	duplicateRate float64
 	createdIDs    int
-	initialSize   int
-	lines         []string
+	// initialSize is the number of members at the first start.
+	initialSize int
+	// logLines contains the log of all nodes and of the test, for failure reports.
+	logLines []string
 }
 
-// simShards is the number of shards of a simulated core.
+// simShards is the number of shards of a simulated cluster.
 const simShards = 4
 
+// newSimCluster starts a cluster with the nodes m0, m1 and so on, for the first time.
 func newSimCluster(t testingT, seed int64, members int) *simCluster {
 	c := &simCluster{
 		t:            t,
@@ -103,112 +111,119 @@
 	return c
 }
 
-func (c *simCluster) logf(f string, a ...any) {
-	c.lines = append(c.lines, fmt.Sprintf("%8.3f ", c.now.Seconds())+fmt.Sprintf(f, a...))
+// logf appends a line with the virtual time to logLines.
+func (c *simCluster) logf(format string, args ...any) {
+	c.logLines = append(c.logLines, fmt.Sprintf("%8.3f ", c.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// schedule has f run after d.
-func (c *simCluster) schedule(d time.Duration, f func()) {
-	c.scheduled++
-	heap.Push(&c.events, event{c.now + d, c.scheduled, f})
+// schedule runs a function after a delay.
+func (c *simCluster) schedule(delay time.Duration, run func()) {
+	c.lastSeq++
+	heap.Push(&c.events, event{c.now + delay, c.lastSeq, run})
 }
 
-// runUntil runs all events up to that time.
+// runUntil advances the virtual time and runs all events that are due by then.
 func (c *simCluster) runUntil(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
-		h := heap.Pop(&c.events).(event)
-		c.now = h.at
-		h.run()
+		next := heap.Pop(&c.events).(event)
+		c.now = next.at
+		next.run()
 	}
 	c.now = until
 }
 
-// seedsFor are the seeds of a node that starts: the first three at the first start;
-// later some that the platform's list knows, which lags.
-func (c *simCluster) seedsFor(first bool) []*meshpb.Member {
-	var out []*meshpb.Member
-	for _, a := range c.addresses {
-		if m := c.nodes[a]; first || m != nil && m.discoverable(c.now) {
-			out = append(out, &meshpb.Member{Addr: a, Control: a})
+// seedsFor returns the seeds of a node that is starting. At the bootstrap, these are the
+// first three nodes. Later they are seedOverride if it is set, else up to three random nodes
+// known to service discovery, which lags behind.
+func (c *simCluster) seedsFor(bootstrap bool) []*meshpb.Member {
+	var seeds []*meshpb.Member
+	for _, address := range c.addresses {
+		if node := c.nodes[address]; bootstrap || node != nil && node.discoverable(c.now) {
+			seeds = append(seeds, &meshpb.Member{Addr: address, Control: address})
 		}
 	}
-	if first {
-		return out[:min(c.initialSize, 3)]
+	if bootstrap {
+		return seeds[:min(c.initialSize, 3)]
 	}
 	if c.seedOverride != nil {
-		out = out[:0]
-		for _, a := range c.seedOverride {
-			out = append(out, &meshpb.Member{Addr: a, Control: a})
+		seeds = seeds[:0]
+		for _, address := range c.seedOverride {
+			seeds = append(seeds, &meshpb.Member{Addr: address, Control: address})
 		}
-		return out
+		return seeds
 	}
-	c.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), 3)]
+	c.rng.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
+	return seeds[:min(len(seeds), 3)]
 }
 
-// discoveryLag is how long the platform's list takes to follow the nodes.
+// discoveryLag is how long service discovery takes to list a new node, and to remove one
+// that no longer runs.
 const discoveryLag = 3 * time.Second
 
-func (c *simCluster) addNode(addr string, first bool) *simNode {
-	m := &simNode{cluster: c, address: addr, syncDelay: c.syncDelay, bootstrap: first}
-	c.nodes[addr], m.addedAt = m, c.now
-	if !slices.Contains(c.addresses, addr) {
-		c.addresses = append(c.addresses, addr)
+// addNode adds a node with an empty disk and starts it.
+func (c *simCluster) addNode(address string, bootstrap bool) *simNode {
+	node := &simNode{cluster: c, address: address, syncDelay: c.syncDelay, bootstrap: bootstrap}
+	c.nodes[address], node.addedAt = node, c.now
+	if !slices.Contains(c.addresses, address) {
+		c.addresses = append(c.addresses, address)
 	}
-	m.start()
-	return m
+	node.start()
+	return node
 }
 
-// setSyncDelay sets how long all disks take for a sync.
-func (c *simCluster) setSyncDelay(d time.Duration) {
-	c.syncDelay = d
-	for _, m := range c.allNodes() {
-		m.syncDelay = d
+// setSyncDelay sets the duration of a sync on all disks.
+func (c *simCluster) setSyncDelay(delay time.Duration) {
+	c.syncDelay = delay
+	for _, node := range c.allNodes() {
+		node.syncDelay = delay
 	}
 }
 
-// allNodes are the nodes in the order in which they were added.
+// allNodes returns the nodes in the order in which they were added.
 func (c *simCluster) allNodes() []*simNode {
-	var out []*simNode
-	for _, a := range c.addresses {
-		out = append(out, c.nodes[a])
+	var nodes []*simNode
+	for _, address := range c.addresses {
+		nodes = append(nodes, c.nodes[address])
 	}
-	return out
+	return nodes
 }
 
-// setIsolated cuts, or mends, all connections of a node.
-func (c *simCluster) setIsolated(a string, on bool) {
-	for _, b := range c.addresses {
-		if b != a {
-			c.partitioned[[2]string{a, b}], c.partitioned[[2]string{b, a}] = on, on
+// setIsolated partitions a node from all other nodes, or ends that partition.
+func (c *simCluster) setIsolated(address string, isolated bool) {
+	for _, other := range c.addresses {
+		if other != address {
+			c.partitioned[[2]string{address, other}], c.partitioned[[2]string{other, address}] = isolated, isolated
 		}
 	}
 }
 
-// ownedShards counts the running members that serve a shard, over all shards.
+// ownedShards returns the number of shards that have an owner. A shard with several owners
+// is counted several times.
 func (c *simCluster) ownedShards() int {
-	n := 0
-	for s := 0; s < simShards; s++ {
-		for _, m := range c.allNodes() {
-			if m.running && !m.frozen {
-				if _, own := m.replica.OwnedEpoch(s); own {
-					n++
+	count := 0
+	for shard := 0; shard < simShards; shard++ {
+		for _, node := range c.allNodes() {
+			if node.running && !node.frozen {
+				if _, owns := node.replica.OwnedEpoch(shard); owns {
+					count++
 				}
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// requireServing checks that each shard is owned, and that calls were served.
-func requireServing(t testing.TB, cluster *simCluster, r *workload, before int) {
+// requireServing checks that each shard has an owner, and that the workload has had more
+// than threshold calls served in total. If shards have no owner, it prints the end of the
+// cluster's log.
+func requireServing(t testing.TB, cluster *simCluster, load *workload, threshold int) {
 	t.Helper()
 	c := qt.New(t)
 	if cluster.ownedShards() != simShards {
-		for _, l := range cluster.lines[max(0, len(cluster.lines)-40):] {
-			t.Log(l)
+		for _, line := range cluster.logLines[max(0, len(cluster.logLines)-40):] {
+			t.Log(line)
 		}
 	}
 	c.Assert(cluster.ownedShards(), qt.Equals, simShards)
-	c.Assert(r.served > before, qt.IsTrue)
+	c.Assert(load.served > threshold, qt.IsTrue)
 }
--- a/internal/replication/sim_node_test.go
+++ b/internal/replication/sim_node_test.go
@@ -10,38 +10,44 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// simNode is a machine with a disk and, while it runs, a process of the core.
+// simNode is a simulated machine. It has a disk and, while running is set, a process with a
+// replica.
 type simNode struct {
-	cluster     *simCluster
-	address     string
+	cluster *simCluster
+	address string
+	// incarnation increments with each start and kill of the process.
 	incarnation int
 	running     bool
 	replica     *replication.Replica
-	records     [][]byte
-	// syncing are the writes that the disk works on, queued those that wait for it.
+	// records is the content of the disk.
+	records [][]byte
+	// syncing contains the writes that the disk is syncing, queued those that wait for it.
 	syncing        []write
 	queued         []write
 	syncDelay      time.Duration
 	diskFull       bool
-	diskStuck      bool
+	diskStalled    bool
 	lastSyncFailed bool
 	bootstrap      bool
-	// tickDelay is how much later its ticks come than they should.
+	// tickDelay is how much longer than usual the time between two ticks is.
 	tickDelay time.Duration
-	// While the process is frozen, what happens to it waits in backlog.
-	frozen   bool
-	backlog  []func()
+	// frozen is set while the process is suspended. The events that it would handle wait in
+	// backlog.
+	frozen  bool
+	backlog []func()
+	// leaving is set from SIGTERM until the process exits; see scenarioRun.terminate.
 	leaving  bool
 	addedAt  time.Duration
 	killedAt time.Duration
 }
 
-// discoverable tells that the platform's list names the node.
+// discoverable reports whether service discovery lists the node.
 func (n *simNode) discoverable(now time.Duration) bool {
 	return n.addedAt+discoveryLag <= now && (n.running || now < n.killedAt+discoveryLag) || n.addedAt == 0 && now < discoveryLag
 }
 
-// deliver runs something in one incarnation of the process, later if it is frozen.
+// deliver runs a function in the given incarnation of the process, after unfreeze if the
+// process is frozen. If that incarnation no longer runs, deliver does nothing.
 func (n *simNode) deliver(incarnation int, function func()) {
 	switch {
 	case n.incarnation != incarnation:
@@ -52,8 +58,10 @@
 	}
 }
 
+// freeze suspends the process.
 func (n *simNode) freeze() { n.frozen = true }
 
+// unfreeze resumes the process, which then handles its backlog.
 func (n *simNode) unfreeze() {
 	n.frozen = false
 	backlog := n.backlog
@@ -63,6 +71,7 @@
 	}
 }
 
+// start starts the process with the records on disk. It ticks every 50 ms.
 func (n *simNode) start() {
 	cluster := n.cluster
 	n.incarnation++
@@ -91,14 +100,15 @@
 	cluster.schedule(time.Millisecond*time.Duration(cluster.rng.Intn(50)), tick)
 }
 
-// kill ends the process; of what the disk had not synced, it keeps a prefix.
+// kill ends the process without warning. Of the writes that were being synced, a random
+// prefix reaches the disk.
 func (n *simNode) kill() {
 	n.running, n.frozen, n.backlog = false, false, nil
 	n.incarnation++
 	n.replica, n.killedAt = nil, n.cluster.now
 	if unsynced := len(n.syncing); unsynced > 0 {
-		for _, j := range n.syncing[:n.cluster.rng.Intn(unsynced+1)] {
-			n.store(j)
+		for _, w := range n.syncing[:n.cluster.rng.Intn(unsynced+1)] {
+			n.store(w)
 		}
 	}
 	n.syncing, n.queued, n.lastSyncFailed = nil, nil, false
--- a/internal/replication/sim_storage_test.go
+++ b/internal/replication/sim_storage_test.go
@@ -58,7 +58,7 @@
 	if m.incarnation != s.incarnation {
 		return
 	}
-	if m.diskStuck {
+	if m.diskStalled {
 		m.cluster.schedule(20*time.Millisecond, s.finishSync)
 		return
 	}
--- a/internal/replication/workload_test.go
+++ b/internal/replication/workload_test.go
@@ -38,8 +38,8 @@
 
 // fail ends the test with the last lines of the cluster's log.
 func (w *workload) fail(f string, a ...any) {
-	n := len(w.cluster.lines)
-	for _, l := range w.cluster.lines[max(0, n-60):] {
+	n := len(w.cluster.logLines)
+	for _, l := range w.cluster.logLines[max(0, n-60):] {
 		w.cluster.t.Log(l)
 	}
 	w.cluster.t.Fatalf("at %v: "+f, append([]any{w.cluster.now}, a...)...)
