--- a/internal/replication/sim_storage_test.go
+++ b/internal/replication/sim_storage_test.go
@@ -6,80 +6,86 @@
 	"time"
 )
 
-// write is a call of Append or Checkpoint.
+// write is a call of Append, with a record, or of Checkpoint, with a snapshot.
 type write struct {
 	record   []byte
 	snapshot [][]byte
 	done     func(error)
 }
 
-// store brings a write to the disk.
-func (n *simNode) store(j write) {
+// store stores a write on the disk.
+func (n *simNode) store(w write) {
 	switch {
-	case j.snapshot != nil:
-		n.records = slices.Clone(j.snapshot)
-	case len(j.record) > 0:
-		n.records = append(n.records, j.record)
+	case w.snapshot != nil:
+		n.records = slices.Clone(w.snapshot)
+	case len(w.record) > 0:
+		n.records = append(n.records, w.record)
 	}
 }
 
-// simStorage is the Storage of one incarnation of a process.
+// simStorage implements replication.Storage for one incarnation of a node's process.
 type simStorage struct {
 	node        *simNode
 	incarnation int
 }
 
-var errDiskFull = errors.New("no space left")
+var errDiskFull = errors.New("no space left on device")
 
-func (s *simStorage) enqueue(j write) {
+// enqueue adds a write to those that wait for the disk.
+func (s *simStorage) enqueue(w write) {
 	if s.node.incarnation != s.incarnation {
 		return
 	}
-	s.node.queued = append(s.node.queued, j)
+	s.node.queued = append(s.node.queued, w)
 	s.startSync()
 }
 
-// startSync syncs a snapshot alone, or all records up to the next snapshot at once.
+// startSync starts the next sync unless one is running. It syncs either a single snapshot
+// or all records before the next snapshot.
 func (s *simStorage) startSync() {
-	m := s.node
-	if m.incarnation != s.incarnation || len(m.syncing) > 0 || len(m.queued) == 0 {
+	node := s.node
+	if node.incarnation != s.incarnation || len(node.syncing) > 0 || len(node.queued) == 0 {
 		return
 	}
 	n := 1
-	for m.queued[0].snapshot == nil && n < len(m.queued) && m.queued[n].snapshot == nil {
+	for node.queued[0].snapshot == nil && n < len(node.queued) && node.queued[n].snapshot == nil {
 		n++
 	}
-	m.syncing, m.queued = m.queued[:n:n], m.queued[n:]
-	m.cluster.schedule(m.syncDelay, s.finishSync)
+	node.syncing, node.queued = node.queued[:n:n], node.queued[n:]
+	node.cluster.schedule(node.syncDelay, s.finishSync)
 }
 
+// finishSync completes the running sync, unless the disk is stalled. On a full disk it
+// fails. After a failed sync, records fail until a snapshot succeeds.
 func (s *simStorage) finishSync() {
-	m := s.node
-	if m.incarnation != s.incarnation {
+	node := s.node
+	if node.incarnation != s.incarnation {
 		return
 	}
-	if m.diskStalled {
-		m.cluster.schedule(20*time.Millisecond, s.finishSync)
+	if node.diskStalled {
+		node.cluster.schedule(20*time.Millisecond, s.finishSync)
 		return
 	}
-	js := m.syncing
-	m.syncing = nil
+	writes := node.syncing
+	node.syncing = nil
 	var err error
-	if m.diskFull || m.lastSyncFailed && js[0].snapshot == nil {
+	if node.diskFull || node.lastSyncFailed && writes[0].snapshot == nil {
 		err = errDiskFull
 	}
-	m.lastSyncFailed = err != nil
-	for _, j := range js {
+	node.lastSyncFailed = err != nil
+	for _, w := range writes {
 		if err == nil {
-			m.store(j)
+			node.store(w)
 		}
-		m.deliver(s.incarnation, func() { j.done(err) })
+		node.deliver(s.incarnation, func() { w.done(err) })
 	}
 	s.startSync()
 }
 
-func (s *simStorage) Append(rec []byte, done func(error)) { s.enqueue(write{record: rec, done: done}) }
+func (s *simStorage) Append(record []byte, done func(error)) {
+	s.enqueue(write{record: record, done: done})
+}
 
-func (s *simStorage) Checkpoint(page [][]byte, done func(error)) {
-	s.enqueue(write{snapshot: page, done: done})
+func (s *simStorage) Checkpoint(snapshot [][]byte, done func(error)) {
+	s.enqueue(write{snapshot: snapshot, done: done})
 }
--- a/internal/replication/sim_transport_test.go
+++ b/internal/replication/sim_transport_test.go
@@ -9,32 +9,33 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// simTransport is the Transport of one incarnation of a process.
+// simTransport implements replication.Transport for one incarnation of a node's process.
 type simTransport struct {
 	node        *simNode
 	incarnation int
 }
 
-// connected tells that a message gets from one address to another.
-func (c *simCluster) connected(a, b string) bool {
-	return !c.partitioned[[2]string{a, b}] && !c.notSending[a] && !c.notReceiving[b]
+// connected reports whether messages from one address reach the other.
+func (c *simCluster) connected(from, to string) bool {
+	return !c.partitioned[[2]string{from, to}] && !c.notSending[from] && !c.notReceiving[to]
 }
 
-// send carries a request and its response, with the delays, losses and duplicates
-// of the cluster.
-func send[Q, R proto.Message](transport *simTransport, to string, request Q, callback func(R), handle func(b *replication.Replica, request Q, reply func(R))) {
+// send delivers a request, which may be lost, delayed or duplicated, and its response, which
+// may be lost or delayed. It calls callback once, with nil if no response has arrived within
+// 600 ms.
+func send[Request, Response proto.Message](transport *simTransport, to string, request Request, callback func(Response), handle func(replica *replication.Replica, request Request, reply func(Response))) {
 	cluster := transport.node.cluster
-	var none R
+	var noResponse Response
 	done := false
-	finish := func(r R) {
+	respond := func(response Response) {
 		transport.node.deliver(transport.incarnation, func() {
 			if !done {
 				done = true
-				callback(r)
+				callback(response)
 			}
 		})
 	}
-	cluster.schedule(600*time.Millisecond, func() { finish(none) })
+	cluster.schedule(600*time.Millisecond, func() { respond(noResponse) })
 	delay := func() time.Duration {
 		d := time.Duration(200+cluster.rng.Intn(4000)) * time.Microsecond
 		if cluster.delayRate > 0 && cluster.rng.Float64() < cluster.delayRate {
@@ -42,7 +43,7 @@
 		}
 		return d
 	}
-	request = proto.Clone(request).(Q)
+	request = proto.Clone(request).(Request)
 	arrive := func() {
 		target := cluster.nodes[to]
 		if target == nil || !target.running || !cluster.connected(transport.node.address, to) || cluster.lossRate > 0 && cluster.rng.Float64() < cluster.lossRate {
@@ -50,12 +51,12 @@
 		}
 		incarnation := target.incarnation
 		target.deliver(incarnation, func() {
-			handle(target.replica, request, func(r R) {
-				if any(r) == any(none) || target.incarnation != incarnation || !cluster.connected(to, transport.node.address) || cluster.lossRate > 0 && cluster.rng.Float64() < cluster.lossRate {
+			handle(target.replica, request, func(response Response) {
+				if any(response) == any(noResponse) || target.incarnation != incarnation || !cluster.connected(to, transport.node.address) || cluster.lossRate > 0 && cluster.rng.Float64() < cluster.lossRate {
 					return
 				}
-				r = proto.Clone(r).(R)
-				cluster.schedule(delay(), func() { finish(r) })
+				response = proto.Clone(response).(Response)
+				cluster.schedule(delay(), func() { respond(response) })
 			})
 		})
 	}
@@ -66,8 +67,8 @@
 }
 
 func (t *simTransport) RenewLeases(to *meshpb.Member, request *meshpb.RenewLeasesRequest, callback func(*meshpb.RenewLeasesResponse)) {
-	send(t, to.Addr, request, callback, func(b *replication.Replica, request *meshpb.RenewLeasesRequest, f func(*meshpb.RenewLeasesResponse)) {
-		f(b.HandleRenewLeases(request))
+	send(t, to.Addr, request, callback, func(replica *replication.Replica, request *meshpb.RenewLeasesRequest, reply func(*meshpb.RenewLeasesResponse)) {
+		reply(replica.HandleRenewLeases(request))
 	})
 }
 
@@ -79,12 +80,12 @@
 	}
 	request = proto.Clone(request).(*meshpb.ReplicateRequest)
 	request.EpochChanges = nil
-	send(t, to.Addr, request, callback, func(b *replication.Replica, request *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
-		b.HandleReplicate(request, func(r *meshpb.ReplicateResponse) {
-			for _, a := range r.GetAcks() {
-				a.HaveEpoch, a.HaveVersion = 0, 0
+	send(t, to.Addr, request, callback, func(replica *replication.Replica, request *meshpb.ReplicateRequest, reply func(*meshpb.ReplicateResponse)) {
+		replica.HandleReplicate(request, func(response *meshpb.ReplicateResponse) {
+			for _, ack := range response.GetAcks() {
+				ack.HaveEpoch, ack.HaveVersion = 0, 0
 			}
-			reply(r)
+			reply(response)
 		})
 	})
 }
@@ -94,8 +95,8 @@
 }
 
 func (t *simTransport) TransferOwnership(to *meshpb.Member, request *meshpb.TransferOwnershipRequest, callback func(*meshpb.TransferOwnershipResponse)) {
-	send(t, to.Addr, request, callback, func(b *replication.Replica, request *meshpb.TransferOwnershipRequest, f func(*meshpb.TransferOwnershipResponse)) {
-		f(b.HandleTransferOwnership(request))
+	send(t, to.Addr, request, callback, func(replica *replication.Replica, request *meshpb.TransferOwnershipRequest, reply func(*meshpb.TransferOwnershipResponse)) {
+		reply(replica.HandleTransferOwnership(request))
 	})
 }
 
@@ -104,7 +105,7 @@
 }
 
 func (t *simTransport) Join(to string, request *meshpb.JoinRequest, callback func(*meshpb.JoinResponse)) {
-	send(t, to, request, callback, func(b *replication.Replica, request *meshpb.JoinRequest, f func(*meshpb.JoinResponse)) {
-		f(b.HandleJoin(request))
+	send(t, to, request, callback, func(replica *replication.Replica, request *meshpb.JoinRequest, reply func(*meshpb.JoinResponse)) {
+		reply(replica.HandleJoin(request))
 	})
 }
