--- a/internal/replication/scenario_run_test.go
+++ b/internal/replication/scenario_run_test.go
@@ -31,7 +31,7 @@
 	}
 	run.lossRate, run.delayRate, run.duplicateRate = played.LossRate, played.DelayRate, played.DuplicateRate
 	run.workload = newWorkload(run.simCluster)
-	run.workload.slow = true
+	run.workload.lowRate = true
 	run.history.run = run
 	run.runUntil(time.Duration(played.Members)*500*time.Millisecond + 3*time.Second)
 	run.requireRecovered("before the first fault")
