--- a/internal/replication/scenario_run_test.go
+++ b/internal/replication/scenario_run_test.go
@@ -5,49 +5,59 @@
 	"time"
 )
 
-// scenarioRun is a scenario that is being run.
+// scenarioRun runs a scenario on a simulated cluster under load, and checks that the
+// cluster survives it.
 type scenarioRun struct {
 	*simCluster
 	scenario scenario
 	workload *workload
 	history  history
-	// faulty are the nodes that count as lost.
-	faulty           map[string]bool
+	// faulty contains the addresses of the nodes that count as lost.
+	faulty map[string]bool
+	// addedNodes is the number of successors added so far.
 	addedNodes       int
 	unfinishedTracks int
-	lastEvent        time.Duration
-	// killedAll is how many kills of all processes aren't over.
-	killedAll int
-	// caughtUpAt is when all that were killed at once count as caught up.
-	caughtUpAt time.Duration
-	// ownerlessSince is since when a shard has had no owner without a fault.
+	// lastEventAt is when a fault last started or ended, or a node was last added or
+	// removed.
+	lastEventAt time.Duration
+	// killAllsInProgress is the number of kills of all processes within the last
+	// second.
+	killAllsInProgress int
+	// allCaughtUpAt is when the nodes count as caught up after the last kill of all
+	// processes.
+	allCaughtUpAt time.Duration
+	// ownerlessSince is, for each shard, since when it has had no owner although no fault
+	// explains that. It is 0 if the shard has an owner.
 	ownerlessSince [simShards]time.Duration
 }
 
-func runScenario(t testingT, played scenario) *scenarioRun {
-	run := &scenarioRun{simCluster: newSimCluster(t, played.Seed, played.Members), scenario: played, faulty: map[string]bool{}}
-	if played.SyncDelay > 0 {
-		run.setSyncDelay(played.SyncDelay)
+// runScenario runs the scenario: it starts the cluster and the workload, runs all tracks
+// and kills, then lets the cluster recover without message loss or long delays, and checks
+// that it serves calls and that the results are correct.
+func runScenario(t testingT, sc scenario) *scenarioRun {
+	run := &scenarioRun{simCluster: newSimCluster(t, sc.Seed, sc.Members), scenario: sc, faulty: map[string]bool{}}
+	if sc.SyncDelay > 0 {
+		run.setSyncDelay(sc.SyncDelay)
 	}
-	run.lossRate, run.delayRate, run.duplicateRate = played.LossRate, played.DelayRate, played.DuplicateRate
+	run.lossRate, run.delayRate, run.duplicateRate = sc.LossRate, sc.DelayRate, sc.DuplicateRate
 	run.workload = newWorkload(run.simCluster)
 	run.workload.lowRate = true
 	run.history.run = run
-	run.runUntil(time.Duration(played.Members)*500*time.Millisecond + 3*time.Second)
+	run.runUntil(time.Duration(sc.Members)*500*time.Millisecond + 3*time.Second)
 	run.requireRecovered("before the first fault")
-	begin := run.now
-	run.workload.start(begin + time.Hour)
+	startedAt := run.now
+	run.workload.start(startedAt + time.Hour)
 	run.history.start()
-	for _, steps := range played.Tracks {
-		if played.Members == 1 {
-			steps = survivableAlone(steps)
+	for _, steps := range sc.Tracks {
+		if sc.Members == 1 {
+			steps = survivableBySingleMember(steps)
 		}
 		run.unfinishedTracks++
 		run.runTrack(steps)
 	}
-	for _, at := range played.KillAllAt {
+	for _, at := range sc.KillAllAt {
 		run.schedule(at, func() {
-			if !played.KillAllAfterAck {
+			if !sc.KillAllAfterAck {
 				run.killAll()
 				return
 			}
@@ -55,36 +65,40 @@
 		})
 	}
 	run.checkOwners()
-	for run.unfinishedTracks > 0 && run.now < begin+4*time.Minute {
+	for run.unfinishedTracks > 0 && run.now < startedAt+4*time.Minute {
 		run.runUntil(run.now + 250*time.Millisecond)
 	}
 	if run.unfinishedTracks > 0 {
-		run.workload.fail("the scenario does not come to its end")
+		run.workload.fail("%d tracks of the scenario did not finish within 4 minutes", run.unfinishedTracks)
 	}
-	run.runUntil(max(run.now, begin+35*time.Second*time.Duration(min(1, len(played.KillAllAt)))) + 2*catchUpTime)
-	if played.KillAllAtEnd {
+	// The kills of all processes are due at most 30 s after the tracks start.
+	run.runUntil(max(run.now, startedAt+35*time.Second*time.Duration(min(1, len(sc.KillAllAt)))) + 2*catchUpTime)
+	if sc.KillAllAtEnd {
 		run.killAllAndWipe()
 	}
 	run.lossRate, run.delayRate = 0, 0
 	run.runUntil(run.now + 2*catchUpTime)
 	run.requireRecovered("at the end")
-	before := run.workload.served
+	servedBefore := run.workload.served
 	run.history.readOnly = true
 	run.runUntil(run.now + 3*time.Second)
-	if run.workload.served < before+50 {
-		run.workload.fail("only %d calls served at the end", run.workload.served-before)
+	if run.workload.served < servedBefore+50 {
+		run.workload.fail("only %d calls were served in the last 3 s", run.workload.served-servedBefore)
 	}
 	run.history.check()
 	return run
 }
 
-func (r *scenarioRun) event(f string, a ...any) {
-	r.lastEvent = r.now
-	r.logf("== "+f, a...)
+// logEvent logs a change to the faults or nodes. It restarts the settleTime that the
+// cluster has before checkOwners requires owners again.
+func (r *scenarioRun) logEvent(format string, args ...any) {
+	r.lastEventAt = r.now
+	r.logf("== "+format, args...)
 }
 
-// requireRecovered checks that all running nodes are members and all members run. A
-// transfer may be under way, and where messages are lost it takes longer.
+// requireRecovered fails the test unless the cluster has recovered, as notRecovered
+// defines it. It allows time for an ownership transfer to finish, and more of it if
+// messages are lost or delayed.
 func (r *scenarioRun) requireRecovered(when string) {
 	deadline := r.now + transferTime
 	if r.lossRate > 0 || r.delayRate > 0 {
@@ -96,52 +110,57 @@
 			return
 		}
 		if r.now >= deadline {
-			r.workload.fail("%s %s", when, problem)
+			r.workload.fail("not recovered %s: %s", when, problem)
 		}
 		r.runUntil(r.now + 50*time.Millisecond)
 	}
 }
 
+// notRecovered describes why the cluster has not recovered from all faults, or returns
+// an empty string if it has: as many nodes as at the start are running, all of them are
+// members of a membership of that size, all shards have an owner, and no replica lags.
 func (r *scenarioRun) notRecovered() string {
-	up := 0
-	for _, m := range r.allNodes() {
-		if !m.running {
+	running := 0
+	for _, node := range r.allNodes() {
+		if !node.running {
 			continue
 		}
-		up++
-		if m.replica.IsLearner() {
-			return m.address + " is no member"
+		running++
+		if node.replica.IsLearner() {
+			return node.address + " is not a member"
 		}
-		if n := len(m.replica.Membership().Members); n != r.scenario.Members {
-			return fmt.Sprintf("%s knows %d members", m.address, n)
+		if n := len(node.replica.Membership().Members); n != r.scenario.Members {
+			return fmt.Sprintf("%s has a membership of %d members", node.address, n)
 		}
 	}
-	if up != r.scenario.Members {
-		return fmt.Sprintf("%d machines run", up)
+	if running != r.scenario.Members {
+		return fmt.Sprintf("%d nodes are running", running)
 	}
 	if n := r.ownedShards(); n != simShards {
-		return fmt.Sprintf("%d of %d shards are owned", n, simShards)
+		return fmt.Sprintf("%d of %d shards have an owner", n, simShards)
 	}
 	return r.laggingReplica()
 }
 
-// laggingReplica describes a replica that isn't at its owner's epoch, or lags.
+// laggingReplica describes a replica that is not at its owner's epoch, or that is more
+// than 40 versions behind the owner's commit. It returns an empty string if there is
+// none.
 func (r *scenarioRun) laggingReplica() string {
-	var epoch, committed [simShards]uint64
-	for _, replica := range r.allNodes() {
-		if replica.running {
-			for i, status := range replica.replica.ShardStatuses() {
+	var ownerEpochs, committedVersions [simShards]uint64
+	for _, node := range r.allNodes() {
+		if node.running {
+			for i, status := range node.replica.ShardStatuses() {
 				if status.Owned && status.LeaseMs > 0 {
-					epoch[i], committed[i] = status.Epoch, status.Committed
+					ownerEpochs[i], committedVersions[i] = status.Epoch, status.Committed
 				}
 			}
 		}
 	}
-	for _, replica := range r.allNodes() {
-		if replica.running {
-			for i, status := range replica.replica.ShardStatuses() {
-				if status.Epoch != epoch[i] || status.Version+40 < committed[i] {
-					return fmt.Sprintf("%s has shard %d at epoch %d, version %d, its owner at %d, %d", replica.address, i, status.Epoch, status.Version, epoch[i], committed[i])
+	for _, node := range r.allNodes() {
+		if node.running {
+			for i, status := range node.replica.ShardStatuses() {
+				if status.Epoch != ownerEpochs[i] || status.Version+40 < committedVersions[i] {
+					return fmt.Sprintf("%s has shard %d at epoch %d, version %d; its owner is at epoch %d, committed version %d", node.address, i, status.Epoch, status.Version, ownerEpochs[i], committedVersions[i])
 				}
 			}
 		}
@@ -149,16 +168,18 @@
 	return ""
 }
 
-// checkOwners checks that each shard is owned while there is no fault; a transfer
-// may leave it without an owner for a moment.
+// checkOwners fails the test if a shard has no owner although the last event was more than
+// settleTime ago. An ownership transfer may leave it without an owner for transferTime.
+// While messages are lost or delayed, or the only member is faulty, nothing is checked.
+// checkOwners runs every 100 ms.
 func (r *scenarioRun) checkOwners() {
-	settled := (r.scenario.Members > 1 || len(r.faulty) == 0) && r.lossRate == 0 && r.delayRate == 0 && r.killedAll == 0 && r.now-r.lastEvent > settleTime
+	settled := (r.scenario.Members > 1 || len(r.faulty) == 0) && r.lossRate == 0 && r.delayRate == 0 && r.killAllsInProgress == 0 && r.now-r.lastEventAt > settleTime
 	for i := range r.ownerlessSince {
 		owned := false
-		for _, m := range r.allNodes() {
-			if m.running && !m.frozen {
-				_, own := m.replica.OwnedEpoch(i)
-				owned = owned || own
+		for _, node := range r.allNodes() {
+			if node.running && !node.frozen {
+				_, owns := node.replica.OwnedEpoch(i)
+				owned = owned || owns
 			}
 		}
 		switch {
@@ -167,30 +188,31 @@
 		case r.ownerlessSince[i] == 0:
 			r.ownerlessSince[i] = r.now
 		case r.now-r.ownerlessSince[i] > transferTime:
-			r.workload.fail("%v after the last event shard %d is without an owner for %v", r.now-r.lastEvent, i, r.now-r.ownerlessSince[i])
+			r.workload.fail("%v after the last event, shard %d has had no owner for %v", r.now-r.lastEventAt, i, r.now-r.ownerlessSince[i])
 		}
 	}
 	r.schedule(100*time.Millisecond, r.checkOwners)
 }
 
-// target is the node for a step, nil if there is none.
-func (r *scenarioRun) target(s faultStep) *simNode {
-	var free []*simNode
-	for _, m := range r.allNodes() {
-		if m.running && !r.faulty[m.address] {
-			if _, own := m.replica.OwnedEpoch(0); own && s.TargetMaster {
-				return m
+// pickTarget returns the running node without a fault that the step applies to, or nil if
+// there is no such node.
+func (r *scenarioRun) pickTarget(step faultStep) *simNode {
+	var candidates []*simNode
+	for _, node := range r.allNodes() {
+		if node.running && !r.faulty[node.address] {
+			if _, owns := node.replica.OwnedEpoch(0); owns && step.TargetMaster {
+				return node
 			}
-			free = append(free, m)
+			candidates = append(candidates, node)
 		}
 	}
-	if len(free) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return free[s.Target%len(free)]
+	return candidates[step.Target%len(candidates)]
 }
 
-// runTrack runs the steps one after the other.
+// runTrack runs the steps one after another.
 func (r *scenarioRun) runTrack(steps []faultStep) {
 	if len(steps) == 0 {
 		r.unfinishedTracks--
@@ -198,38 +220,39 @@
 	}
 	step := steps[0]
 	r.schedule(step.Wait, func() {
-		if r.now < r.caughtUpAt {
-			// All were killed: each counts as lost until it has caught up.
-			r.schedule(r.caughtUpAt-r.now, func() { r.runTrack(steps) })
+		if r.now < r.allCaughtUpAt {
+			// All processes were killed. Each node counts as lost until it has caught up.
+			r.schedule(r.allCaughtUpAt-r.now, func() { r.runTrack(steps) })
 			return
 		}
 		continueAt := func(at time.Duration) {
 			r.schedule(max(at-r.now, 0), func() { r.runTrack(steps[1:]) })
 		}
-		target := r.target(step)
+		target := r.pickTarget(step)
 		if target == nil {
 			continueAt(r.now)
 			return
 		}
 		r.faulty[target.address] = true
-		r.event("%v %s for %v", step.Fault, target.address, step.Duration)
+		r.logEvent("begin %v at %s, duration %v", step.Fault, target.address, step.Duration)
 		f := &runningFault{scenarioRun: r, step: step, target: target, continueAt: continueAt}
 		f.begin()
 	})
 }
 
-// runningFault is a step that is being run.
+// runningFault is a step in progress.
 type runningFault struct {
 	*scenarioRun
 	step   faultStep
 	target *simNode
-	// continueAt has the track go on at that time.
+	// continueAt continues the track with its next step at that time.
 	continueAt func(at time.Duration)
 }
 
+// begin injects the fault and schedules its end.
 func (f *runningFault) begin() {
 	switch f.step.Fault {
-	case crash, wipe, crashAfterAck:
+	case crash, wipe, crashOrWipe:
 		f.crash()
 	case partition, receiveNothing, sendNothing, connectionResets:
 		f.disconnect()
@@ -238,9 +261,9 @@
 	case freeze:
 		f.target.freeze()
 		f.endAfter(f.step.Duration, f.target.unfreeze)
-	case slowDisk, stuckDisk, fullDisk:
+	case slowDisk, stalledDisk, fullDisk:
 		f.breakDisk()
-	case starved:
+	case cpuStarvation:
 		f.target.tickDelay = 200 * time.Millisecond
 		f.endAfter(f.step.Duration, func() { f.target.tickDelay = 0 })
 	case restart:
@@ -250,31 +273,35 @@
 	}
 }
 
-// endAfter has end mend the fault after d; the track goes on once the node has had
-// the time to catch up.
-func (f *runningFault) endAfter(d time.Duration, end func()) {
-	f.schedule(d, func() {
-		f.event("%v %s is over", f.step.Fault, f.target.address)
-		end()
+// endAfter calls repair after duration to end the fault. The track continues catchUpTime
+// later, when the node no longer counts as lost.
+func (f *runningFault) endAfter(duration time.Duration, repair func()) {
+	f.schedule(duration, func() {
+		f.logEvent("end %v at %s", f.step.Fault, f.target.address)
+		repair()
 		f.schedule(catchUpTime, func() { delete(f.faulty, f.target.address) })
 		f.continueAt(f.now + catchUpTime)
 	})
 }
 
+// restartIfDown starts the target unless something else has restarted it.
 func (f *runningFault) restartIfDown() {
 	if !f.target.running {
 		f.target.start()
 	}
 }
 
+// crash kills the target, with or without the loss of its disk.
 func (f *runningFault) crash() {
 	f.target.kill()
-	if f.step.Fault == wipe || f.step.Fault == crashAfterAck && f.step.Target%2 == 0 {
+	if f.step.Fault == wipe || f.step.Fault == crashOrWipe && f.step.Target%2 == 0 {
 		f.target.records = nil
 	}
 	f.endAfter(f.step.Duration, f.restartIfDown)
 }
 
+// disconnect makes the target lose all messages that it sends, receives, or both. A
+// connection reset is a loss of 5 ms.
 func (f *runningFault) disconnect() {
 	address := f.target.address
 	f.notSending[address], f.notReceiving[address] = f.step.Fault != receiveNothing, f.step.Fault != sendNothing
@@ -285,7 +312,7 @@
 	f.endAfter(duration, func() { f.notSending[address], f.notReceiving[address] = false, false })
 }
 
-// disconnectSome cuts some links of the node, the rest stay.
+// disconnectSome partitions the target from every second node of the cluster.
 func (f *runningFault) disconnectSome() {
 	address := f.target.address
 	var others []string
@@ -294,21 +321,22 @@
 			others = append(others, other)
 		}
 	}
-	setPartitioned := func(on bool) {
+	setPartitioned := func(partitioned bool) {
 		for _, other := range others {
-			f.partitioned[[2]string{address, other}], f.partitioned[[2]string{other, address}] = on, on
+			f.partitioned[[2]string{address, other}], f.partitioned[[2]string{other, address}] = partitioned, partitioned
 		}
 	}
 	setPartitioned(true)
 	f.endAfter(f.step.Duration, func() { setPartitioned(false) })
 }
 
+// breakDisk makes the target's disk 30 times slower, stall or fail.
 func (f *runningFault) breakDisk() {
 	switch f.step.Fault {
 	case slowDisk:
 		f.target.syncDelay *= 30
 		f.endAfter(f.step.Duration, func() { f.target.syncDelay = f.syncDelay })
-	case stuckDisk:
+	case stalledDisk:
 		f.target.diskStalled = true
 		f.endAfter(f.step.Duration, func() { f.target.diskStalled = false })
 	case fullDisk:
@@ -317,8 +345,9 @@
 	}
 }
 
-// replace puts a new node in the place of one that is lost, or that leaves once
-// the new one is there.
+// replace replaces the target by a new node. For the fault replace, the target is killed
+// first and never returns; for plannedReplacement, it terminates gracefully after the new
+// node has started.
 func (f *runningFault) replace() {
 	if f.step.Fault == replace {
 		f.target.kill()
@@ -329,94 +358,96 @@
 		return
 	}
 	f.addSuccessor()
-	joinedAt := f.now + catchUpTime
+	successorCaughtUpAt := f.now + catchUpTime
 	f.schedule(2*f.step.Gap, func() {
-		f.terminate(f.target, func() { f.continueAt(max(joinedAt, f.now)) })
+		f.terminate(f.target, func() { f.continueAt(max(successorCaughtUpAt, f.now)) })
 	})
 }
 
-// addSuccessor adds a node that takes the place of one that is lost or leaves.
+// addSuccessor adds a node that replaces one that is lost or leaving. It counts as lost
+// itself until it has had catchUpTime.
 func (r *scenarioRun) addSuccessor() *simNode {
 	r.addedNodes++
-	m := r.addNode(fmt.Sprintf("n%d", r.addedNodes), false)
-	r.event("%s comes", m.address)
-	r.faulty[m.address] = true
-	r.schedule(catchUpTime, func() { delete(r.faulty, m.address) })
-	return m
+	node := r.addNode(fmt.Sprintf("n%d", r.addedNodes), false)
+	r.logEvent("add %s", node.address)
+	r.faulty[node.address] = true
+	r.schedule(catchUpTime, func() { delete(r.faulty, node.address) })
+	return node
 }
 
-// terminate sends a SIGTERM: the process ends once it has left, or when its grace
-// period is over.
-func (r *scenarioRun) terminate(m *simNode, terminated func()) {
-	if !m.running {
-		r.schedule(100*time.Millisecond, func() { r.terminate(m, terminated) })
+// terminate simulates SIGTERM: the process begins to leave, and exits when LeaveComplete
+// reports true or when gracePeriod is over. Then terminate calls onTerminated. A node
+// that is not running is terminated as soon as it runs again.
+func (r *scenarioRun) terminate(node *simNode, onTerminated func()) {
+	if !node.running {
+		r.schedule(100*time.Millisecond, func() { r.terminate(node, onTerminated) })
 		return
 	}
-	incarnation, deadline := m.incarnation, r.now+gracePeriod
-	m.leaving = true
-	r.event("%s leaves", m.address)
-	m.deliver(incarnation, m.replica.Leave)
+	incarnation, deadline := node.incarnation, r.now+gracePeriod
+	node.leaving = true
+	r.logEvent("%s begins to leave", node.address)
+	node.deliver(incarnation, node.replica.Leave)
 	var poll func()
 	poll = func() {
-		if m.incarnation == incarnation && r.now < deadline && !m.replica.LeaveComplete() {
+		if node.incarnation == incarnation && r.now < deadline && !node.replica.LeaveComplete() {
 			r.schedule(50*time.Millisecond, poll)
 			return
 		}
-		r.event("%s has left", m.address)
-		if m.incarnation == incarnation {
-			m.kill()
+		r.logEvent("%s exits", node.address)
+		if node.incarnation == incarnation {
+			node.kill()
 		}
-		m.leaving = false
-		terminated()
+		node.leaving = false
+		onTerminated()
 	}
 	r.schedule(50*time.Millisecond, poll)
 }
 
-// killAll kills all processes at once; they are restarted within a second, but for
-// those that don't run for another reason.
+// killAll kills all processes at the same moment. Those that were running restart within
+// a second, unless they were leaving.
 func (r *scenarioRun) killAll() {
 	r.workload.onAck = nil
-	r.killedAll++
-	r.event("all down")
-	for _, m := range r.allNodes() {
-		if m.running {
-			m.kill()
-			incarnation := m.incarnation
-			if m.leaving {
+	r.killAllsInProgress++
+	r.logEvent("kill all")
+	for _, node := range r.allNodes() {
+		if node.running {
+			node.kill()
+			incarnation := node.incarnation
+			if node.leaving {
 				continue
 			}
 			r.schedule(time.Duration(200+r.rng.Intn(800))*time.Millisecond, func() {
-				if m.incarnation == incarnation {
-					m.start()
+				if node.incarnation == incarnation {
+					node.start()
 				}
 			})
 		}
 	}
-	r.caughtUpAt = r.now + time.Second + catchUpTime
+	r.allCaughtUpAt = r.now + time.Second + catchUpTime
 	r.schedule(time.Second, func() {
-		r.event("all back")
-		r.killedAll--
+		r.logEvent("restarted all")
+		r.killAllsInProgress--
 	})
 }
 
-// killAllAndWipe kills all processes, restarts them, and wipes as many as may be
-// lost.
+// killAllAndWipe kills all processes and restarts them, with empty disks on as many nodes
+// as may be lost at once. A single member may not lose its disk.
 func (r *scenarioRun) killAllAndWipe() {
-	r.event("closing")
+	r.logEvent("kill all and wipe")
 	toWipe := len(r.scenario.Tracks)
 	if r.scenario.Members == 1 {
 		toWipe = 0
 	}
 	for _, i := range r.rng.Perm(len(r.addresses)) {
-		m := r.nodes[r.addresses[i]]
-		if !m.running {
+		node := r.nodes[r.addresses[i]]
+		if !node.running {
 			continue
 		}
-		m.kill()
+		node.kill()
 		if toWipe > 0 {
 			toWipe--
-			m.records = nil
+			node.records = nil
 		}
-		r.schedule(time.Duration(200+r.rng.Intn(1500))*time.Millisecond, m.start)
+		r.schedule(time.Duration(200+r.rng.Intn(1500))*time.Millisecond, node.start)
 	}
 }
