--- a/internal/replication/sim_cluster_test.go
+++ b/internal/replication/sim_cluster_test.go
@@ -44,9 +44,9 @@
 // testingT has the methods of *testing.T and *rapid.T that the simulation uses.
 type testingT interface {
 	Helper()
-	Log(a ...any)
-	Fatal(a ...any)
-	Fatalf(f string, a ...any)
+	Log(args ...any)
+	Fatal(args ...any)
+	Fatalf(format string, args ...any)
 }
 
 // simCluster simulates a cluster of replicas in virtual time, with simulated disks and
--- a/internal/replication/workload_test.go
+++ b/internal/replication/workload_test.go
@@ -25,10 +25,10 @@
 	// valuesByRevision contains the values of all acknowledged writes.
 	valuesByRevision map[uint64]string
 	highestRevision  uint64
+	writeCount       int
 	// writtenValues contains, for each cell, the values of all writes, acknowledged or not.
-	writeCount    int
 	writtenValues map[string]map[string]bool
-	// lockedUntil contains, for each lock, the end of its time to live as its holder sees it.
+	// lockedUntil contains, for each lock, when it expires for the holder at the latest.
 	lockedUntil   map[string]time.Duration
 	lockHolders   map[string]string
 	fencingTokens map[string]uint64
@@ -71,7 +71,7 @@
 // call executes function on the shard through a random node, which redirects the call to
 // the shard's owner. callback gets the result; it is not called if no node is running, or if
 // the process that handles the call is killed first.
-func (w *workload) call(shard int, function func(t *coordination.Table, now time.Duration) *meshpb.Change, callback func(error)) {
+func (w *workload) call(shard int, function func(table *coordination.Table, now time.Duration) *meshpb.Change, callback func(error)) {
 	if node := w.pickNode(); node != nil {
 		w.callNode(node, shard, 2, function, callback)
 	}
@@ -79,7 +79,7 @@
 
 // callNode executes function on the shard through the target. The call is redirected to the
 // owner that the target names, up to redirects times.
-func (w *workload) callNode(target *simNode, shard, redirects int, function func(t *coordination.Table, now time.Duration) *meshpb.Change, callback func(error)) {
+func (w *workload) callNode(target *simNode, shard, redirects int, function func(table *coordination.Table, now time.Duration) *meshpb.Change, callback func(error)) {
 	cluster := w.cluster
 	delay := func() time.Duration { return time.Duration(cluster.rng.Intn(3000)) * time.Microsecond }
 	changed := false
