--- a/internal/proxy/appclient.go
+++ b/internal/proxy/appclient.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// freshConnectionsFor is how long new connections are used for requests that
+// freshConnectionPeriod is how long new connections are used for requests that
 // must not run twice after a reused one was reset.
-const freshConnectionsFor = 12 * time.Second
+const freshConnectionPeriod = 12 * time.Second
 
-// maxDeclinedBody is how much of the response of an endpoint that declined a
+// maxDeclinedBodyBytes is how much of the response of an endpoint that declined a
 // request is read.
-const maxDeclinedBody = 4 << 10
+const maxDeclinedBodyBytes = 4 << 10
 
 // AppClient sends requests to endpoints. A reset on a connection that was used
 // before proves nothing about the request sent on it; once one was seen, what
@@ -50,8 +50,8 @@
 	callDialFailed
 	// callDeclined calls were answered that the request has not run.
 	callDeclined
-	// callBroken calls failed once the request may have been read.
-	callBroken
+	// callFailed calls failed once the request may have been read.
+	callFailed
 )
 
 // send returns the endpoint's response, or what is known of a request without
@@ -66,24 +66,24 @@
 	response, err := c.transport(idempotent).RoundTrip(r)
 	if err != nil {
 		if sent.Load() && reused.Load() && r.Context().Err() == nil {
-			c.freshUntil.Store(time.Now().Add(freshConnectionsFor).UnixNano())
+			c.freshUntil.Store(time.Now().Add(freshConnectionPeriod).UnixNano())
 		}
 		switch {
 		case sent.Load():
-			return nil, callBroken, err
+			return nil, callFailed, err
 		case isDialError(err):
 			return nil, callDialFailed, err
 		}
 		return nil, callNotSent, err
 	}
 	if isDeclined(response, requestID) {
-		discard(response, maxDeclinedBody)
+		discard(response, maxDeclinedBodyBytes)
 		return response, callDeclined, Error.New("%s", strconv.Itoa(response.StatusCode))
 	}
 	if reason := invalidReason(response, requestID, idempotent); reason != "" {
 		closeBody(response)
 		c.closeIdle()
-		return nil, callBroken, Error.New("%s", reason)
+		return nil, callFailed, Error.New("%s", reason)
 	}
 	return response, callAnswered, nil
 }
--- a/internal/proxy/appclient_test.go
+++ b/internal/proxy/appclient_test.go
@@ -32,11 +32,11 @@
 		}
 		send(false)
 		qt.Assert(t, []int{pooled.calls, fresh.calls}, qt.DeepEquals, []int{1, 0})
-		client.freshUntil.Store(time.Now().Add(freshConnectionsFor).UnixNano())
+		client.freshUntil.Store(time.Now().Add(freshConnectionPeriod).UnixNano())
 		send(false)
 		send(true)
 		qt.Assert(t, []int{pooled.calls, fresh.calls}, qt.DeepEquals, []int{2, 1})
-		<-time.After(freshConnectionsFor + time.Second)
+		<-time.After(freshConnectionPeriod + time.Second)
 		send(false)
 		qt.Assert(t, []int{pooled.calls, fresh.calls}, qt.DeepEquals, []int{3, 1})
 	})
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -35,7 +35,7 @@
 // discard gives up the answer of an attempt that is not needed.
 func (r attemptResult) discard() {
 	if r.response != nil {
-		discard(r.response, maxDrained)
+		discard(r.response, maxDrainedBytes)
 	}
 	if r.cancel != nil {
 		r.cancel()
@@ -156,7 +156,7 @@
 func (r *outboundRequest) readAnswer(ctx context.Context, result *attemptResult, mayRetry bool, usual time.Duration) {
 	response := result.response
 	if mayRetry && r.shouldRetryError(response, usual) {
-		discard(response, maxDrained)
+		discard(response, maxDrainedBytes)
 		result.outcome = retry.Failed
 		return
 	}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// copyBuffer is the size of the buffers that bodies are copied through.
-	copyBuffer = 32 << 10
-	// firstBuffer is the most that is allocated at once for a body of unknown
-	// length.
-	firstBuffer = 8 << 10
-	// maxDrained is how much of a discarded response is read so that its
-	// connection can be used again.
-	maxDrained = 64 << 10
-	// transferOverrun is how much longer than the request may take its body is
-	// read, or its response written.
-	transferOverrun = 20 * time.Millisecond
+	// copyBufferSize is the size in bytes of the buffers for copying bodies.
+	copyBufferSize = 32 << 10
+	// initialBufferSize limits the first allocation, in bytes, for the prefix of a body
+	// whose length is unknown or over the limit of readPrefix.
+	initialBufferSize = 8 << 10
+	// maxDrainedBytes is how much of a discarded response's body is read so that its
+	// connection can be reused.
+	maxDrainedBytes = 64 << 10
+	// transferGrace is added to a request's deadline to get the deadlines for reading
+	// its body and for writing its response.
+	transferGrace = 20 * time.Millisecond
 )
 
-// singleUseBody is a body that net/http can't send a second time by itself.
+// singleUseBody is a request body that net/http does not send a second time by itself:
+// the transport only resends requests that have no body or a GetBody function.
 type singleUseBody struct{ io.Reader }
 
 func (singleUseBody) Close() error { return nil }
 
-// readToLength returns a reader of a server's request body of that length
-// (negative if it is not known) that leaves the body alone after its last byte.
-// A transport reads once more behind such a body. By then the response may have
-// begun, with which the server closes the body; the failed read would end the
-// endpoint's connection amid its response. A body of unknown length has ended
-// before the endpoint has all of the request.
-func readToLength(body io.Reader, length int64) io.Reader {
+// limitToLength returns a reader for a server's request body of the given length
+// (negative if unknown) that does not read from the body after its last byte.
+// http.Transport reads once more after a body of known length. By then the response
+// may have started, at which point the server closes the body, and the failed read
+// would make the transport close the connection to the endpoint in the middle of its
+// response. A body of unknown length needs no limit: its end is read before the
+// endpoint has received the whole request.
+func limitToLength(body io.Reader, length int64) io.Reader {
 	if length < 0 {
 		return body
 	}
 	return io.LimitReader(body, length)
 }
 
-var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
+var copyBufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
+// copyBody copies r to w until EOF, through a pooled buffer.
 func copyBody(w io.Writer, r io.Reader) error {
-	buffer := copyBuffers.Get().(*[]byte)
-	defer copyBuffers.Put(buffer)
+	buffer := copyBufferPool.Get().(*[]byte)
+	defer copyBufferPool.Put(buffer)
 	for {
 		n, err := r.Read(*buffer)
 		if n > 0 {
@@ -61,20 +64,20 @@
 	}
 }
 
-// closeBody closes a response's body. An error says nothing that the reads have
-// not said.
+// closeBody closes a response's body. It ignores the error, which says nothing that
+// reading the body has not reported.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// discard reads what is left of a short response, so that its connection can be
-// used again, and closes it.
+// discard reads up to limit bytes of a response's body, so that the connection can be
+// reused if that is all of it, and closes the body.
 func discard(response *http.Response, limit int64) {
-	// After an error the connection is just not used again.
+	// After a read error the transport does not reuse the connection.
 	_ = copyBody(io.Discard, io.LimitReader(response.Body, limit))
 	closeBody(response)
 }
 
-// readPrefix reads the start of a body of that length (negative if it is not
-// known), up to limit bytes. Complete tells that it was all of it.
+// readPrefix reads the start of a body of the given length (negative if unknown), up
+// to limit bytes. Complete is true if the prefix is known to be the whole body.
 func readPrefix(r io.Reader, length int64, limit int) (prefix []byte, complete bool, err error) {
 	if length == 0 {
 		return nil, true, nil
@@ -84,7 +87,7 @@
 		_, err = io.ReadFull(r, prefix)
 		return prefix, err == nil, err
 	}
-	prefix = make([]byte, 0, min(limit, firstBuffer))
+	prefix = make([]byte, 0, min(limit, initialBufferSize))
 	for {
 		if len(prefix) == cap(prefix) {
 			if cap(prefix) >= limit {
@@ -103,65 +106,70 @@
 	}
 }
 
-// setReadDeadline bounds how long a request's body is waited for. The server
-// lifts the bound once the body is in.
+// setReadDeadline limits reading the request's body to deadline plus transferGrace.
+// net/http removes the limit once the whole body has been read.
 func setReadDeadline(w http.ResponseWriter, deadline time.Time) {
-	// Writers that know no deadlines, such as a test's, go without.
-	_ = http.NewResponseController(w).SetReadDeadline(deadline.Add(transferOverrun))
+	// Response writers without support for deadlines, as in tests, have no limit.
+	_ = http.NewResponseController(w).SetReadDeadline(deadline.Add(transferGrace))
 }
 
-// setWriteDeadline bounds how long a response may take to be written. The server
-// lifts the bound with the response's end.
+// setWriteDeadline limits writing the response to deadline plus transferGrace.
+// net/http removes the limit at the end of the response.
 func setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
-	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(transferOverrun))
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(transferGrace))
 }
 
-// errBodyTaken ends an attempt that reads a body which another attempt has.
-var errBodyTaken = Error.New("another attempt has this body")
+// errAttemptEnded is returned when an attempt that has ended reads the remaining body,
+// which may be in use by a later attempt.
+var errAttemptEnded = Error.New("request body read by an attempt that has ended")
 
-// remainingBody is the part of a body that can't be read again. The attempt
-// under way may send it; once that has begun, or is over, no other can. A nil
-// remainingBody is that of a body without such a part.
+// remainingBody is the part of a request body that is not buffered and can be read
+// only once. Only the current attempt may read it, and no attempt may follow one that
+// has read from it. A nil *remainingBody stands for a body that is buffered whole.
 type remainingBody struct {
 	reader io.Reader
 
-	mu      sync.Mutex
-	attempt int
-	started bool
+	mu sync.Mutex
+	// currentAttempt is the number of the attempt that may read.
+	currentAttempt int
+	// readStarted is true once an attempt has read from reader.
+	readStarted bool
 }
 
-// attemptBody is the remaining body as one attempt reads it.
+// attemptBody lets one attempt read the remaining body.
 type attemptBody struct {
 	*remainingBody
 	attempt int
 }
 
-// forAttempt returns the body for the attempt that begins now.
+// forAttempt returns the remaining body for use by the current attempt.
 func (b *remainingBody) forAttempt() attemptBody {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return attemptBody{b, b.attempt}
+	return attemptBody{b, b.currentAttempt}
 }
 
-// Read reads for the attempt under way; others get an error.
+// Read reads from the body, or returns errAttemptEnded if the attempt is no longer the
+// current one.
 func (b attemptBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
-	current := b.attempt == b.remainingBody.attempt
-	b.started = b.started || current
+	current := b.attempt == b.remainingBody.currentAttempt
+	b.readStarted = b.readStarted || current
 	b.mu.Unlock()
 	if !current {
-		return 0, errBodyTaken
+		return 0, errAttemptEnded
 	}
 	return b.reader.Read(p)
 }
 
-// endAttempt ends the attempt under way and tells whether any began to read.
+// endAttempt ends the current attempt and reports whether any attempt has started to
+// read.
 func (b *remainingBody) endAttempt() (started bool) {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.attempt++
-	return b.started
+	b.currentAttempt++
+	return b.readStarted
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -13,14 +13,14 @@
 	early := o.forAttempt()
 	qt.Assert(t, o.endAttempt(), qt.IsFalse)
 	_, err := early.Read(b)
-	qt.Assert(t, err, qt.Equals, errBodyTaken, qt.Commentf("its dispatch was over before it read"))
+	qt.Assert(t, err, qt.Equals, errAttemptEnded, qt.Commentf("its dispatch was over before it read"))
 	now := o.forAttempt()
 	n, err := now.Read(b)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(b[:n]), qt.Equals, "abc")
 	qt.Assert(t, o.endAttempt(), qt.IsTrue)
 	_, err = now.Read(b)
-	qt.Assert(t, err, qt.Equals, errBodyTaken)
+	qt.Assert(t, err, qt.Equals, errAttemptEnded)
 	var none *remainingBody
 	qt.Assert(t, none.endAttempt(), qt.IsFalse)
 }
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -131,13 +131,13 @@
 	h[headerDeadline] = []string{formatMillis(remaining)}
 	h[headerQueueWait] = []string{formatMillis(wait.Limit())}
 	if !r.firstSeen {
-		h[headerLate] = []string{headerSet}
+		h[headerLate] = []string{headerFlagValue}
 	}
 	if r.outbound.options.Balancer.IsHot(r.hotKey) {
-		h[headerHotKey] = []string{headerSet}
+		h[headerHotKey] = []string{headerFlagValue}
 	}
 	if !r.route.Kind.Idempotent() {
-		h[headerOnce] = []string{headerSet}
+		h[headerOnce] = []string{headerFlagValue}
 	}
 	if r.route.Kind == routeconfig.KindDownload {
 		h[headerBulk] = []string{bulkWait(shortWait)}
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -41,12 +41,12 @@
 		return r.reply(localreply.NoEndpoint)
 	}
 	r.service = r.routes.Services[index].Name
-	r.findHotKey()
+	r.extractKey()
 	return false
 }
 
-// findHotKey finds the key that a read asks for, and counts it.
-func (r *outboundRequest) findHotKey() {
+// extractKey finds the key that a read asks for, and counts it.
+func (r *outboundRequest) extractKey() {
 	route := r.route
 	if route.HotKey.Location == "" || !route.Kind.Idempotent() {
 		return
@@ -124,7 +124,7 @@
 	source := http.MaxBytesReader(r.writer, r.request.Body, limit)
 	kept, complete, err := readPrefix(source, r.request.ContentLength, r.outbound.options.BufferLimit)
 	if err != nil {
-		return r.reply(r.bodyError(err))
+		return r.reply(r.bodyErrorReply(err))
 	}
 	r.body = requestBody{kept: kept, complete: complete}
 	if !complete {
@@ -133,7 +133,7 @@
 	return false
 }
 
-func (r *outboundRequest) bodyError(err error) localreply.Reply {
+func (r *outboundRequest) bodyErrorReply(err error) localreply.Reply {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -9,79 +9,94 @@
 	"time"
 )
 
-// Headers of the platform's protocol.
+// Headers of the platform's protocol, used by clients, nodes and endpoints.
 const (
-	headerRequestID      = "X-Request-Id"
-	headerDeadline       = "X-Deadline-Ms"
-	headerSeal           = "X-Server-Seal"
+	// headerRequestID identifies a request. The response must repeat it.
+	headerRequestID = "X-Request-Id"
+	// headerDeadline is how long the sender waits for the response, in ms.
+	headerDeadline = "X-Deadline-Ms"
+	// headerSeal is set by endpoints; a 2xx response without it is not accepted.
+	headerSeal = "X-Server-Seal"
+	// headerExpectInstance is the incarnation of the endpoint that the request is
+	// addressed to.
 	headerExpectInstance = "X-Expect-Instance"
-	headerNotRun         = "X-Not-Run"
-	headerCaller         = "X-Caller-Service"
+	// headerNotRun marks error responses of endpoints that have not run the request.
+	headerNotRun = "X-Not-Run"
+	// headerCaller is the name of the calling service.
+	headerCaller = "X-Caller-Service"
 )
 
-// Headers between nodes. They are taken off where a message enters or leaves the
-// mesh.
+// Headers between nodes. They are removed from messages that enter or leave the mesh.
 const (
+	// internalPrefix is the common prefix of these headers.
 	internalPrefix = "X-Corkcove-"
-	// headerOutcome and headerReason say, in a response without an endpoint's
-	// answer, what became of the attempt.
+	// headerOutcome and headerReason report how an attempt ended that got no response
+	// from the endpoint.
 	headerOutcome = "X-Corkcove-Outcome"
 	headerReason  = "X-Corkcove-Reason"
-	// headerLoad has the endpoint's load in each response.
+	// headerLoad carries the endpoint's load. It is part of each response.
 	headerLoad = "X-Corkcove-Load"
 	// headerPriority is the priority of the request's route.
 	headerPriority = "X-Corkcove-Rank"
-	// headerQueueWait is how long the request may wait for a slot, in ms.
+	// headerQueueWait is the maximum time that the request may wait for a slot, in ms.
 	headerQueueWait = "X-Corkcove-Wait"
-	// headerLate marks requests that can hardly be answered in time.
+	// headerLate marks requests that are unlikely to be answered in time.
 	headerLate = "X-Corkcove-Late"
-	// headerOnce marks requests that must not run twice.
+	// headerOnce marks requests that must not run more than once.
 	headerOnce = "X-Corkcove-Once"
-	// headerBulk marks requests with large responses: bulkShortWait or
+	// headerBulk marks requests with large responses. Its value is bulkShortWait or
 	// bulkLongWait.
 	headerBulk = "X-Corkcove-Heavy"
 	// headerHotKey marks reads of a hot key.
 	headerHotKey = "X-Corkcove-Hot"
 )
 
-// Values of headerBulk: how long such a request should wait for the link.
+// Values of headerBulk, which tell how long the response may wait for the link.
 const (
 	bulkShortWait = "short"
 	bulkLongWait  = "long"
 )
 
-// headerSet is the value of headers that only mark a request.
-const headerSet = "1"
+// headerFlagValue is the value of headers that only mark a request. Receivers accept
+// any value that is not empty.
+const headerFlagValue = "1"
 
-// nodeOutcome is what an inbound node says in headerOutcome of an attempt that
-// brought no answer of the endpoint.
+// nodeOutcome is a value of headerOutcome. It tells how an attempt ended that got no
+// response from the endpoint.
 type nodeOutcome string
 
 const (
-	// nodeRejected attempts were not sent to the endpoint.
+	// nodeRejected means that the request was not sent to the endpoint.
 	nodeRejected nodeOutcome = "bounced"
-	// nodeUnreachable attempts found no connection to the endpoint.
+	// nodeUnreachable means that the request could not be sent to the endpoint.
 	nodeUnreachable nodeOutcome = "refused"
-	// nodeDeclined attempts were declined by the endpoint, which has not run them.
+	// nodeDeclined means that the endpoint declined the request and has not run it.
 	nodeDeclined nodeOutcome = "turned"
-	// nodeFailed attempts broke off; the request may have run.
+	// nodeFailed means that the attempt failed; the request may have run.
 	nodeFailed nodeOutcome = "lost"
-	// nodeTimedOut attempts were under way when their deadline passed.
+	// nodeTimedOut means that the deadline passed while the endpoint may have been
+	// running the request.
 	nodeTimedOut nodeOutcome = "late"
 )
 
-// Values of headerReason, beside those of endpointagent.RejectReason and the
-// texts of transport errors.
+// Values of headerReason. Other values are those of endpointagent.RejectReason, the
+// status code of a declined request and the texts of errors.
 const (
-	reasonMalformed  = "malformed"
-	reasonLinkFull   = "link"
-	reasonDeadline   = "deadline"
-	reasonShutdown   = "shutdown"
+	// reasonMalformed means that a header of the calling node is missing or invalid.
+	reasonMalformed = "malformed"
+	// reasonLinkFull means that the backlog of the node's link is too long.
+	reasonLinkFull = "link"
+	// reasonDeadline means that the request's context ended, normally at its deadline.
+	reasonDeadline = "deadline"
+	// reasonShutdown means that the node shuts down.
+	reasonShutdown = "shutdown"
+	// reasonDialFailed means that the connection to the endpoint failed.
 	reasonDialFailed = "dial"
-	reasonNotSent    = "unsent"
+	// reasonNotSent means that the attempt failed before the request was written.
+	reasonNotSent = "unsent"
 )
 
-// hopByHop are headers that concern one connection only.
+// hopByHop are the headers that apply to a single connection and are not forwarded.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -94,56 +109,58 @@
 	"Upgrade":             true,
 }
 
-// endToEnd are headers that are forwarded even if a Connection header names
-// them: without them a response can't be matched to its request and endpoint.
+// endToEnd are headers that are forwarded even if a Connection header lists them.
+// Without them a response can't be matched to its request and endpoint.
 var endToEnd = map[string]bool{headerRequestID: true, headerSeal: true}
 
-// connectionTokens returns the headers that a Connection header names.
-func connectionTokens(h http.Header) map[string]bool {
-	var tokens map[string]bool
+// connectionOptions returns the canonical names of the headers that are listed in
+// Connection headers.
+func connectionOptions(h http.Header) map[string]bool {
+	var options map[string]bool
 	for _, value := range h["Connection"] {
-		for _, token := range strings.Split(value, ",") {
-			token = textproto.TrimString(token)
-			if token == "" {
+		for _, option := range strings.Split(value, ",") {
+			option = textproto.TrimString(option)
+			if option == "" {
 				continue
 			}
-			if tokens == nil {
-				tokens = map[string]bool{}
+			if options == nil {
+				options = map[string]bool{}
 			}
-			tokens[textproto.CanonicalMIMEHeaderKey(token)] = true
+			options[textproto.CanonicalMIMEHeaderKey(option)] = true
 		}
 	}
-	return tokens
+	return options
 }
 
-// copyHeaders copies the headers that concern more than one connection, without
-// those between nodes.
+// copyHeaders copies the end-to-end headers except those between nodes. The slices of
+// values are shared.
 func copyHeaders(to, from http.Header) {
-	tokens := connectionTokens(from)
+	options := connectionOptions(from)
 	for name, values := range from {
-		if hopByHop[name] || tokens[name] && !endToEnd[name] || strings.HasPrefix(name, internalPrefix) {
+		if hopByHop[name] || options[name] && !endToEnd[name] || strings.HasPrefix(name, internalPrefix) {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-// forwardedHeaders returns the headers of a request as they go on, with room for
-// a few more.
-func forwardedHeaders(r *http.Request, room int) http.Header {
-	h := make(http.Header, len(r.Header)+room)
+// forwardedHeaders returns the headers to forward with a request, in a map with
+// capacity for extra more.
+func forwardedHeaders(r *http.Request, extra int) http.Header {
+	h := make(http.Header, len(r.Header)+extra)
 	copyHeaders(h, r.Header)
 	delete(h, "Expect")
 	if _, ok := h["User-Agent"]; !ok {
-		// Without this, net/http would add its own.
+		// The empty value keeps net/http from adding a User-Agent of its own.
 		h["User-Agent"] = []string{""}
 	}
 	return h
 }
 
-// forwardURL returns the URL of a forwarded request, which keeps the request's
-// target byte for byte.
+// forwardURL returns the URL for forwarding a request to host with its request target
+// unchanged, byte for byte.
 func forwardURL(host, target string) *url.URL {
+	// net/http would put the scheme before an Opaque target that starts with //.
 	if strings.HasPrefix(target, "//") {
 		if u, err := url.ParseRequestURI("http://" + host + target); err == nil {
 			return u
@@ -152,19 +169,20 @@
 	return &url.URL{Scheme: "http", Host: host, Opaque: target}
 }
 
-// maxDeadline is the longest deadline that counts as valid, in ms.
-const maxDeadline = 1e9
+// maxDeadlineMillis is the largest valid value of headerDeadline.
+const maxDeadlineMillis = 1e9
 
-// parseDeadline returns how long the sender of a request waits for its answer.
+// parseDeadline returns how long the sender of a request waits for the response, and
+// false if headerDeadline is missing or invalid.
 func parseDeadline(h http.Header) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(h.Get(headerDeadline), 64)
-	if err != nil || !(ms >= 0 && ms <= maxDeadline) {
+	if err != nil || !(ms >= 0 && ms <= maxDeadlineMillis) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// formatMillis returns a duration in whole milliseconds, at least 0.
+// formatMillis formats a duration in whole milliseconds. Negative durations become 0.
 func formatMillis(d time.Duration) string {
 	return strconv.FormatInt(int64(max(d, 0)/time.Millisecond), 10)
 }
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -13,53 +13,59 @@
 	"corkcove/internal/proxy/loadbalancer"
 )
 
-// InboundOptions configure an Inbound chain.
+// InboundOptions configures an Inbound.
 type InboundOptions struct {
-	// AppAddr is the endpoint's address.
+	// AppAddr is the host and port of the endpoint.
 	AppAddr string
-	// LinkMbps is what this machine's link takes, 0 if not known.
+	// LinkMbps is the capacity of the machine's network link in Mbit/s, or 0 if it is
+	// unknown.
 	LinkMbps float64
-	// Pacer shares the machine's link; nil where its rate is not known.
+	// Pacer schedules large bodies on the machine's link. It is nil if the link's
+	// capacity is unknown.
 	Pacer *Pacer
-	// Agent knows the endpoint and admits requests to its slots.
+	// Agent tracks the endpoint's state and admits requests to its slots.
 	Agent *endpointagent.Agent
-	// AppClient reaches the endpoint.
+	// AppClient sends requests to the endpoint.
 	AppClient *AppClient
-	// BufferLimit is the most that is kept of a response's body, in bytes, before
-	// it goes on.
+	// BufferLimit is how much of a response body, in bytes, is buffered before the
+	// response is relayed. Some longer responses are buffered whole; see
+	// maxBufferedBytes.
 	BufferLimit int
 }
 
-// Inbound is the chain from other nodes to the endpoint beside this one, which
-// nobody else talks to. It is safe for concurrent use.
+// Inbound handles the requests of other nodes to the endpoint next to this node.
+// Nothing else sends requests to that endpoint. Inbound is safe for concurrent use.
 type Inbound struct {
 	options InboundOptions
-	// InFlight counts the requests under way.
+	// InFlight is the number of requests being handled.
 	InFlight atomic.Int64
 
 	draining atomic.Bool
-	pending  pendingRequests
-	// bufferedBytes is how much of responses is kept beyond BufferLimit.
+	// pending holds the requests whose responses have not started.
+	pending pendingRequests
+	// bufferedBytes is what counts against maxBufferedBytes; see reserveBuffer.
 	bufferedBytes atomic.Int64
-	sent          sentRate
+	// sent measures the rate at which responses are sent.
+	sent sentRate
 }
 
-// NewInbound returns an inbound chain.
+// NewInbound returns an Inbound with the given options.
 func NewInbound(options InboundOptions) *Inbound { return &Inbound{options: options} }
 
-// Drain asks other nodes to go elsewhere with their next request.
+// Drain adds Connection: close to the responses of all requests that arrive from now
+// on, so that other nodes stop using their connections to this one.
 func (n *Inbound) Drain() { n.draining.Store(true) }
 
-// inboundFilters are the steps of a request, in order. Each tells whether the
-// request has ended with it.
+// inboundFilters are the processing steps of a request, in order. A filter returns
+// true once it has answered the request, and the remaining ones are skipped.
 var inboundFilters = [...]func(*inboundRequest) (done bool){
 	(*inboundRequest).readHeaders,
 	(*inboundRequest).admit,
 	(*inboundRequest).forward,
 }
 
-// ServeHTTP carries one request. It panics with http.ErrAbortHandler where the
-// connection must break off.
+// ServeHTTP handles one request. It panics with http.ErrAbortHandler, which closes
+// the connection, if a response fails after its header was written.
 func (n *Inbound) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n.InFlight.Add(1)
 	defer n.InFlight.Add(-1)
@@ -75,7 +81,7 @@
 	}
 }
 
-// loadReport is what other nodes are told with each response.
+// loadReport returns the load that is reported to other nodes with each response.
 func (n *Inbound) loadReport() loadbalancer.LoadReport {
 	load := n.options.Agent.Load()
 	return loadbalancer.LoadReport{
@@ -87,37 +93,45 @@
 	}
 }
 
-// inboundRequest is one request on its way through the inbound chain.
+// inboundRequest is the state of one request in the inbound chain.
 type inboundRequest struct {
-	inbound  *Inbound
-	writer   http.ResponseWriter
-	request  *http.Request
+	inbound *Inbound
+	writer  http.ResponseWriter
+	request *http.Request
+	// cleanups run when the request ends, the last one first.
 	cleanups []func()
 
 	// Set by readHeaders.
 	requestID string
-	// incarnation is the endpoint's incarnation that the request is meant for.
+	// incarnation is the incarnation of the endpoint that the request is addressed to.
 	incarnation string
-	priority    int
-	deadline    time.Time
-	ctx         context.Context
-	// pending is this request among those whose answers have not begun.
+	// priority is the route's priority; lower values are served first.
+	priority int
+	// deadline is when the calling node stops waiting for the response.
+	deadline time.Time
+	// ctx ends at the deadline, when the calling node closes its connection, or when
+	// a shutdown cancels the pending requests.
+	ctx context.Context
+	// pending is the request's entry in Inbound.pending.
 	pending *pendingRequest
 
-	// releaseSlot is set by admit.
+	// releaseSlot frees the request's slot at the endpoint. It is set by admit and
+	// may be called more than once.
 	releaseSlot func()
 }
 
-// onClose runs f when the request ends; the last one added runs first.
+// onClose registers f to run when the request ends, before those registered earlier.
 func (r *inboundRequest) onClose(f func()) { r.cleanups = append(r.cleanups, f) }
 
+// close runs the registered cleanups.
 func (r *inboundRequest) close() {
 	for i := len(r.cleanups) - 1; i >= 0; i-- {
 		r.cleanups[i]()
 	}
 }
 
-// reply answers that the attempt brought no answer of the endpoint.
+// reply tells the calling node why its attempt got no response from the endpoint. It
+// always returns true.
 func (r *inboundRequest) reply(outcome nodeOutcome, reason string) (done bool) {
 	h := r.writer.Header()
 	h["Date"] = nil
@@ -133,12 +147,12 @@
 	return true
 }
 
-// readHeaders reads what the sender says of the request and bounds it by its
-// deadline.
+// readHeaders reads the headers set by the calling node and applies the request's
+// deadline. It rejects requests without a valid deadline or an incarnation.
 func (r *inboundRequest) readHeaders() (done bool) {
 	h := r.request.Header
 	r.requestID, r.incarnation = h.Get(headerRequestID), h.Get(headerExpectInstance)
-	// Without a valid priority it is 0, which is served first.
+	// A missing or malformed priority becomes 0, which is served first.
 	r.priority, _ = strconv.Atoi(h.Get(headerPriority))
 	timeout, ok := parseDeadline(h)
 	if !ok || r.incarnation == "" {
@@ -151,14 +165,16 @@
 	return false
 }
 
-// maxLinkBacklog is how far behind its link a node may be before it rejects
-// large bodies: little while others may be free, more once they were asked.
+// maxLinkBacklog is the largest backlog of the node's link, by value of headerBulk,
+// at which requests with large responses are still admitted. It is small while other
+// endpoints may have a free link and larger once those have been tried.
 var maxLinkBacklog = map[string]time.Duration{
 	bulkShortWait: 80 * time.Millisecond,
 	bulkLongWait:  800 * time.Millisecond,
 }
 
-// admit waits for one of the endpoint's slots.
+// admit waits for one of the endpoint's slots. It rejects the request if there is
+// none in time, or if its response is large and the link's backlog too long.
 func (r *inboundRequest) admit() (done bool) {
 	h := r.request.Header
 	if bulk := h.Get(headerBulk); bulk != "" && r.inbound.options.Pacer.backlog(time.Now()) > maxLinkBacklog[bulk] {
@@ -179,6 +195,8 @@
 	return false
 }
 
+// maxQueueWait returns how long the request may wait for a slot: until its deadline,
+// or for the time in headerQueueWait if that is shorter.
 func (r *inboundRequest) maxQueueWait() time.Duration {
 	limit := time.Until(r.deadline)
 	if ms, err := strconv.ParseInt(r.request.Header.Get(headerQueueWait), 10, 32); err == nil {
@@ -187,11 +205,12 @@
 	return limit
 }
 
-// forwardMargin is how much sooner than its sender's deadline the endpoint has
-// to answer.
+// forwardMargin is how long before the calling node's deadline the endpoint has to
+// respond.
 const forwardMargin = 2 * time.Millisecond
 
-// forward sends the request to the endpoint.
+// forward sends the request to the endpoint and relays the response, or replies with
+// the reason why there is none.
 func (r *inboundRequest) forward() (done bool) {
 	request := r.newRequest()
 	started := time.Now()
@@ -204,10 +223,10 @@
 	case outcome == callDeclined:
 		r.recordOutcome(false)
 		return r.reply(nodeDeclined, strconv.Itoa(response.StatusCode))
-	case r.ctx.Err() != nil && outcome != callBroken:
+	case r.ctx.Err() != nil && outcome != callFailed:
 		return r.reply(nodeRejected, string(endpointagent.RejectedLate))
 	case r.ctx.Err() != nil:
-		return r.interrupted()
+		return r.replyInterrupted()
 	case outcome == callDialFailed:
 		r.inbound.options.Agent.RecordConnectionRefused(r.incarnation)
 		return r.reply(nodeUnreachable, reasonDialFailed)
@@ -218,6 +237,8 @@
 	return r.reply(nodeFailed, err.Error())
 }
 
+// newRequest returns the request to send to the endpoint and sets the deadline for
+// reading its body.
 func (r *inboundRequest) newRequest() *http.Request {
 	headers := forwardedHeaders(r.request, 0)
 	headers[headerDeadline] = []string{formatMillis(time.Until(r.deadline) - forwardMargin)}
@@ -226,14 +247,15 @@
 		forwarded.Body = singleUseBody{strings.NewReader("")}
 		return forwarded
 	}
-	forwarded.Body = singleUseBody{readToLength(r.request.Body, r.request.ContentLength)}
+	forwarded.Body = singleUseBody{limitToLength(r.request.Body, r.request.ContentLength)}
 	setReadDeadline(r.writer, r.deadline)
 	return forwarded
 }
 
-// interrupted answers a request whose context ended while the endpoint may have
-// been running it.
-func (r *inboundRequest) interrupted() (done bool) {
+// replyInterrupted replies to a request whose context ended while the endpoint may
+// have been running it. It counts as a failure of the endpoint only if the deadline
+// has passed, not if this node shuts down or the calling node has gone.
+func (r *inboundRequest) replyInterrupted() (done bool) {
 	if isShutdown(r.ctx) {
 		return r.reply(nodeFailed, reasonShutdown)
 	}
@@ -243,28 +265,31 @@
 	return r.reply(nodeTimedOut, reasonDeadline)
 }
 
-// recordOutcome tells the agent whether the endpoint did what was asked of it.
+// recordOutcome tells the agent whether the endpoint handled the request
+// successfully.
 func (r *inboundRequest) recordOutcome(success bool) {
 	r.inbound.options.Agent.RecordOutcome(r.incarnation, success)
 }
 
 const (
-	// maxBufferedBytes bounds the responses that a node keeps whole for its link, so
-	// that the endpoint's slot is free before they are on their way.
+	// maxBufferedBytes limits the total size of the responses over BufferLimit that a
+	// node buffers whole, so that the endpoint's slot is free before they are written
+	// to the link.
 	maxBufferedBytes = 24 << 20
-	// maxBufferedResponse bounds one of them.
+	// maxBufferedResponse is the size in bytes below which such a response must be.
 	maxBufferedResponse = maxBufferedBytes / 4
-	// responseOverhead is about what a response takes of the link beside its body,
-	// in bytes.
+	// responseOverhead is roughly how many bytes a response takes on the link in
+	// addition to its body.
 	responseOverhead = 600
 )
 
-// relay passes the endpoint's response on.
+// relay writes the endpoint's response to the calling node. If the response was
+// buffered whole, the slot is released before that, otherwise after it.
 func (r *inboundRequest) relay(response *http.Response, started time.Time) (done bool) {
 	n := r.inbound
-	prefix, complete, err := readPrefix(response.Body, response.ContentLength, r.bufferLimit(response))
+	prefix, complete, err := readPrefix(response.Body, response.ContentLength, r.reserveBuffer(response))
 	if err != nil && r.request.Method != http.MethodHead {
-		return r.relayFailed(err)
+		return r.replyRelayFailed(err)
 	}
 	n.pending.remove(r.pending)
 	r.recordOutcome(response.StatusCode < 500)
@@ -284,9 +309,11 @@
 	return true
 }
 
-// bufferLimit returns how much of a response is kept: all of a larger one too,
-// while there is room for it.
-func (r *inboundRequest) bufferLimit(response *http.Response) int {
+// reserveBuffer returns how many bytes of a response to buffer: its full length if
+// that is below maxBufferedResponse and fits into maxBufferedBytes, otherwise
+// BufferLimit. A response over BufferLimit but below maxBufferedResponse counts
+// against maxBufferedBytes until its request ends, even if it does not fit.
+func (r *inboundRequest) reserveBuffer(response *http.Response) int {
 	n, length := r.inbound, response.ContentLength
 	limit := int64(n.options.BufferLimit)
 	if length <= limit || length >= maxBufferedResponse {
@@ -299,8 +326,9 @@
 	return int(limit)
 }
 
-// relayFailed answers a request whose response broke off at its start.
-func (r *inboundRequest) relayFailed(err error) (done bool) {
+// replyRelayFailed replies to a request whose response failed before any of it was
+// relayed.
+func (r *inboundRequest) replyRelayFailed(err error) (done bool) {
 	switch {
 	case isShutdown(r.ctx):
 		return r.reply(nodeFailed, reasonShutdown)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -7,50 +7,59 @@
 )
 
 const (
-	// shutdownPoll is how often a shutdown looks at what still runs. It is also
-	// the wait before the exit: net/http flushes an answer just after its handler
-	// has returned.
-	shutdownPoll = 20 * time.Millisecond
-	// inboundLead is how long before the end of the linger time the inbound chain
+	// shutdownPollInterval is how often a shutdown checks for requests in flight. It
+	// is also the delay before the exit, because net/http flushes a response just
+	// after its handler has returned.
+	shutdownPollInterval = 20 * time.Millisecond
+	// inboundStopMargin is how long before the end of the linger time the inbound chain
 	// stops admitting requests.
-	inboundLead = 500 * time.Millisecond
-	// selectiveAfter is when requests are accepted only if they end in time. An
-	// endpoint's silence excuses only those sent up to 3 s after the SIGTERM; the
-	// rest is for the signal's way to this process.
-	selectiveAfter = 3*time.Second - 50*time.Millisecond
-	// closeLead is how long before the end of the grace period no more requests
-	// are accepted.
-	closeLead = 1800 * time.Millisecond
-	// finalAnswerLead is how long before the end of the grace period requests
-	// without an answer get one from this process. It is kept short, since an
-	// endpoint may still answer, and long enough for a slowed machine to write.
-	finalAnswerLead = 350 * time.Millisecond
-	// exitLead is how long before the end of the grace period, and the SIGKILL,
-	// the process exits whatever still runs.
-	exitLead = 200 * time.Millisecond
+	inboundStopMargin = 500 * time.Millisecond
+	// selectiveAcceptDelay is the time after the SIGTERM from which on the outbound
+	// chain accepts only requests that are expected to end in time. A missing response
+	// is excused as the endpoint's failure only if the request was sent within 3 s of
+	// the SIGTERM; the 50 ms allow for the time until the signal reaches this process.
+	selectiveAcceptDelay = 3*time.Second - 50*time.Millisecond
+	// stopAcceptingMargin is how long before the end of the grace period the outbound
+	// chain stops accepting requests.
+	stopAcceptingMargin = 1800 * time.Millisecond
+	// finalReplyMargin is how long before the end of the grace period this process
+	// itself replies to the requests that have no response yet. It is short because
+	// endpoints may still respond, but leaves a slow machine enough time to write the
+	// replies.
+	finalReplyMargin = 350 * time.Millisecond
+	// exitMargin is how long before the end of the grace period, when the SIGKILL
+	// comes, the process exits even if requests are in flight.
+	exitMargin = 200 * time.Millisecond
 )
 
-// Shutdown is the graceful shutdown of a node that carries traffic, from the
-// SIGTERM to the exit.
+// Shutdown performs the graceful shutdown of a gateway or sidecar, from the SIGTERM to
+// the exit of the process.
 type Shutdown struct {
 	// Grace is the time from the SIGTERM to the SIGKILL.
 	Grace time.Duration
-	// Linger is how long the node goes on serving at least: clients need a while
-	// to go elsewhere.
-	Linger   time.Duration
+	// Linger is how long the node continues to serve at least, since clients need some
+	// time to switch to other nodes.
+	Linger time.Duration
+	// Outbound is the node's outbound chain.
 	Outbound *Outbound
-	// Inbound is nil at a node without an endpoint beside it.
+	// Inbound is the node's inbound chain, or nil if there is no endpoint next to the
+	// node.
 	Inbound *Inbound
-	// StopInbound ends the admission of requests to that endpoint.
+	// StopInbound stops the admission of requests to that endpoint. It is not called
+	// if Inbound is nil.
 	StopInbound func()
 }
 
+// shutdownStage is an action that a shutdown performs at a given time.
 type shutdownStage struct {
+	// at is the time since the start of the shutdown.
 	at time.Duration
 	do func()
 }
 
-// Run serves on and returns when the process should exit.
+// Run performs the shutdown and returns when the process should exit: once Linger has
+// passed and no request is in flight, but at the latest exitMargin before the end of
+// the grace period. It must be called right after the SIGTERM.
 func (s Shutdown) Run() {
 	start := time.Now()
 	stages := s.stages(start)
@@ -60,39 +69,42 @@
 			stages[0].do()
 			stages = stages[1:]
 		}
-		if elapsed > s.Grace-exitLead || elapsed > s.Linger && s.closeIfIdle() {
+		if elapsed > s.Grace-exitMargin || elapsed > s.Linger && s.closeIfIdle() {
 			break
 		}
-		time.Sleep(shutdownPoll)
+		time.Sleep(shutdownPollInterval)
 	}
-	time.Sleep(shutdownPoll)
+	time.Sleep(shutdownPollInterval)
 }
 
+// stages returns the actions of the shutdown, ordered by time.
 func (s Shutdown) stages(start time.Time) []shutdownStage {
-	finalAnswers := s.Grace - finalAnswerLead
+	finalReplyAt := s.Grace - finalReplyMargin
 	stages := []shutdownStage{
 		{0, s.Outbound.Drain},
-		{selectiveAfter, func() { s.Outbound.AcceptUntil(start.Add(finalAnswers)) }},
-		{s.Grace - closeLead, s.Outbound.StopAccepting},
-		{finalAnswers, s.Outbound.pending.cancelAll},
+		{selectiveAcceptDelay, func() { s.Outbound.AcceptUntil(start.Add(finalReplyAt)) }},
+		{s.Grace - stopAcceptingMargin, s.Outbound.StopAccepting},
+		{finalReplyAt, s.Outbound.pending.cancelAll},
 	}
 	if s.Inbound != nil {
 		stages = append(stages,
-			shutdownStage{s.Linger - inboundLead, s.stopInbound},
-			shutdownStage{finalAnswers, s.Inbound.pending.cancelAll})
+			shutdownStage{s.Linger - inboundStopMargin, s.stopInbound},
+			shutdownStage{finalReplyAt, s.Inbound.pending.cancelAll})
 	}
 	slices.SortStableFunc(stages, func(a, b shutdownStage) int { return cmp.Compare(a.at, b.at) })
 	return stages
 }
 
+// stopInbound stops the admission of requests to the endpoint and asks other nodes to
+// stop using their connections to this one.
 func (s Shutdown) stopInbound() {
 	s.StopInbound()
 	s.Inbound.Drain()
 }
 
-// closeIfIdle tells that no request is in flight and that none will be accepted.
-// A request is counted as in flight before it is accepted, so that the second
-// look finds any that came between the first one and the closing.
+// closeIfIdle stops accepting requests if none is in flight, and reports whether there
+// still is none after that. A request is counted in InFlight before it is accepted, so
+// the second check sees any that arrived between the first one and StopAccepting.
 func (s Shutdown) closeIfIdle() bool {
 	if !s.idle() {
 		return false
@@ -101,7 +113,7 @@
 	return s.idle()
 }
 
-// idle tells that no request is in flight.
+// idle reports whether no request is in flight.
 func (s Shutdown) idle() bool {
 	return s.Outbound.InFlight.Load() == 0 && (s.Inbound == nil || s.Inbound.InFlight.Load() == 0)
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -20,19 +20,19 @@
 	// testDeadline is more than any request has left in these tests, and than the
 	// routes' timeout of 3 s.
 	testDeadline = 10 * time.Second
-	// hdrTakes tells the endpoint of a test how long to work on a request.
-	hdrTakes = "X-Test-Takes"
-	quick    = 20 * time.Millisecond
-	// busy keeps a node from its exit for most of the grace period.
-	busy = 2500 * time.Millisecond
-	// stuckFor is longer than anybody waits.
-	stuckFor = 30 * time.Second
+	// headerWorkTime tells the endpoint of a test how long to work on a request.
+	headerWorkTime = "X-Test-Takes"
+	quickWork      = 20 * time.Millisecond
+	// longWork keeps a node from its exit for most of the grace period.
+	longWork = 2500 * time.Millisecond
+	// stuckWork is longer than anybody waits.
+	stuckWork = 30 * time.Second
 )
 
 // testRequest is what a client, or another node, sends to a shutdownRig.
 type testRequest struct {
 	to, path string
-	takes    time.Duration
+	workTime time.Duration
 	deadline time.Duration
 }
 
@@ -65,7 +65,7 @@
 	for _, e := range m.endpoints {
 		answer := e.respond
 		e.respond = func(w io.Writer, r *http.Request, body []byte) {
-			takes, _ := time.ParseDuration(r.Header.Get(hdrTakes))
+			takes, _ := time.ParseDuration(r.Header.Get(headerWorkTime))
 			time.Sleep(takes)
 			answer(w, r, body)
 		}
@@ -75,7 +75,7 @@
 
 func (rig *shutdownRig) close() {
 	rig.network.Close()
-	time.Sleep(2 * stuckFor)
+	time.Sleep(2 * stuckWork)
 }
 
 // terminate starts the shutdown; all connections end with it, as with a process.
@@ -92,8 +92,8 @@
 	rig.terminate(Shutdown{Grace: testGrace, Linger: testGrace / 2, Outbound: rig.outbound})
 }
 
-// until sleeps until so long after the SIGTERM.
-func (rig *shutdownRig) until(d time.Duration) { time.Sleep(time.Until(rig.started.Add(d))) }
+// sleepUntil sleeps sleepUntil so long after the SIGTERM.
+func (rig *shutdownRig) sleepUntil(d time.Duration) { time.Sleep(time.Until(rig.started.Add(d))) }
 
 func (rig *shutdownRig) send(q testRequest) testResponse {
 	method := "POST"
@@ -105,7 +105,7 @@
 	r.Header.Set(headerRequestID, fmt.Sprint("request", rig.sent.Add(1)))
 	r.Header.Set(headerDeadline, formatMillis(cmp.Or(q.deadline, testDeadline)))
 	r.Header.Set(headerExpectInstance, "e0")
-	r.Header.Set(hdrTakes, cmp.Or(q.takes, quick).String())
+	r.Header.Set(headerWorkTime, cmp.Or(q.workTime, quickWork).String())
 	line := rig.network.Transport()
 	line.DisableKeepAlives = true
 	start := time.Now()
@@ -118,32 +118,32 @@
 	return testResponse{p.StatusCode, string(body), p.Header, err, time.Since(start)}
 }
 
-// learn makes the route's response times known; the last request takes slowest.
-func (rig *shutdownRig) learn(t *testing.T, path string, slowest time.Duration) {
+// recordResponseTimes makes the route's response times known; the last request takes slowest.
+func (rig *shutdownRig) recordResponseTimes(t *testing.T, path string, slowest time.Duration) {
 	t.Helper()
 	for range minTailSamples - 1 {
 		qt.Assert(t, rig.send(testRequest{path: path}).code, qt.Equals, 200)
 	}
-	qt.Assert(t, rig.send(testRequest{path: path, takes: slowest}).code, qt.Equals, 200)
+	qt.Assert(t, rig.send(testRequest{path: path, workTime: slowest}).code, qt.Equals, 200)
 }
 
-// refusedUnrun checks that a request is refused at once and reaches no endpoint.
-func (rig *shutdownRig) refusedUnrun(t *testing.T, path string) {
+// assertRejected checks that a request is refused at once and reaches no endpoint.
+func (rig *shutdownRig) assertRejected(t *testing.T, path string) {
 	t.Helper()
 	runs := rig.runs()
 	got := rig.send(testRequest{path: path})
 	qt.Assert(t, got.err, qt.IsNil)
 	qt.Assert(t, got.code, qt.Equals, 503)
 	qt.Assert(t, got.headers.Get("Retry-After"), qt.Not(qt.Equals), "")
-	qt.Assert(t, got.took < quick, qt.IsTrue)
+	qt.Assert(t, got.took < quickWork, qt.IsTrue)
 	qt.Assert(t, rig.runs(), qt.Equals, runs)
 }
 
 func TestShutdownServesAllForThreeSeconds(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.sigterm()
-		rig.until(2900 * time.Millisecond)
-		got := rig.send(testRequest{path: "/e/", takes: 2 * time.Second})
+		rig.sleepUntil(2900 * time.Millisecond)
+		got := rig.send(testRequest{path: "/e/", workTime: 2 * time.Second})
 		qt.Assert(t, got.err, qt.IsNil)
 		qt.Assert(t, got.code, qt.Equals, 200)
 		qt.Assert(t, <-rig.exited < 5*time.Second, qt.IsTrue)
@@ -154,21 +154,21 @@
 // and cut (gateway-north, mix --seed 432742968009).
 func TestShutdownRefusesRequestsThatComeJustBeforeTheExit(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
-		rig.learn(t, "/p/", quick)
+		rig.recordResponseTimes(t, "/p/", quickWork)
 		rig.sigterm()
-		rig.until(testGrace/2 + shutdownPoll + shutdownPoll/2)
-		rig.refusedUnrun(t, "/p/")
-		qt.Assert(t, <-rig.exited, qt.Equals, testGrace/2+2*shutdownPoll)
+		rig.sleepUntil(testGrace/2 + shutdownPollInterval + shutdownPollInterval/2)
+		rig.assertRejected(t, "/p/")
+		qt.Assert(t, <-rig.exited, qt.Equals, testGrace/2+2*shutdownPollInterval)
 	})
 }
 
 func TestShutdownTakesLateRequestsThatEndInTime(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
-		rig.learn(t, "/p/", quick)
+		rig.recordResponseTimes(t, "/p/", quickWork)
 		rig.sigterm()
-		rig.until(2900 * time.Millisecond)
-		go rig.send(testRequest{path: "/e/", takes: busy})
-		rig.until(3200 * time.Millisecond)
+		rig.sleepUntil(2900 * time.Millisecond)
+		go rig.send(testRequest{path: "/e/", workTime: longWork})
+		rig.sleepUntil(3200 * time.Millisecond)
 		qt.Assert(t, rig.send(testRequest{path: "/p/"}).code, qt.Equals, 200)
 		// Little is known of this route, but the request's own deadline is near.
 		qt.Assert(t, rig.send(testRequest{path: "/e/", deadline: time.Second}).code, qt.Equals, 200)
@@ -179,44 +179,44 @@
 // SIGTERM, was passed on and cut.
 func TestShutdownRefusesLateRequestsThatMayNotEndInTime(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
-		rig.learn(t, "/e/", 1500*time.Millisecond)
+		rig.recordResponseTimes(t, "/e/", 1500*time.Millisecond)
 		rig.sigterm()
-		rig.until(2900 * time.Millisecond)
-		go rig.send(testRequest{path: "/e/", takes: busy})
-		rig.until(3100 * time.Millisecond)
-		rig.refusedUnrun(t, "/p/")
-		rig.until(3780 * time.Millisecond)
-		rig.refusedUnrun(t, "/e/")
+		rig.sleepUntil(2900 * time.Millisecond)
+		go rig.send(testRequest{path: "/e/", workTime: longWork})
+		rig.sleepUntil(3100 * time.Millisecond)
+		rig.assertRejected(t, "/p/")
+		rig.sleepUntil(3780 * time.Millisecond)
+		rig.assertRejected(t, "/e/")
 	})
 }
 
 func TestShutdownRefusesLateRequestsWhereOneIsStuck(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
-		rig.learn(t, "/e/", quick)
+		rig.recordResponseTimes(t, "/e/", quickWork)
 		rig.sigterm()
-		rig.until(2800 * time.Millisecond)
-		go rig.send(testRequest{path: "/e/", takes: stuckFor})
-		rig.until(4 * time.Second)
-		rig.refusedUnrun(t, "/e/")
+		rig.sleepUntil(2800 * time.Millisecond)
+		go rig.send(testRequest{path: "/e/", workTime: stuckWork})
+		rig.sleepUntil(4 * time.Second)
+		rig.assertRejected(t, "/e/")
 	})
 }
 
 func TestShutdownAnswersStuckRequestsBeforeTheExit(t *testing.T) {
 	for path, other := range map[string]string{"/e/": "/p/", "/p/": "/e/"} {
 		eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
-			rig.learn(t, path, quick)
+			rig.recordResponseTimes(t, path, quickWork)
 			rig.sigterm()
-			rig.until(2900 * time.Millisecond)
-			go rig.send(testRequest{path: other, takes: busy})
+			rig.sleepUntil(2900 * time.Millisecond)
+			go rig.send(testRequest{path: other, workTime: longWork})
 			// The quick route turns slow now.
-			rig.until(3200 * time.Millisecond)
-			got := rig.send(testRequest{path: path, takes: stuckFor})
+			rig.sleepUntil(3200 * time.Millisecond)
+			got := rig.send(testRequest{path: path, workTime: stuckWork})
 			qt.Assert(t, got.err, qt.IsNil)
 			qt.Assert(t, got.code, qt.Equals, 504)
 			qt.Assert(t, got.body, qt.Equals, localreply.ShuttingDown.Text())
 			qt.Assert(t, got.headers.Get("Retry-After"), qt.Equals, "")
-			qt.Assert(t, time.Since(rig.started) >= testGrace-finalAnswerLead, qt.IsTrue)
-			qt.Assert(t, <-rig.exited < testGrace-exitLead, qt.IsTrue)
+			qt.Assert(t, time.Since(rig.started) >= testGrace-finalReplyMargin, qt.IsTrue)
+			qt.Assert(t, <-rig.exited < testGrace-exitMargin, qt.IsTrue)
 		})
 	}
 }
@@ -251,16 +251,16 @@
 			Inbound: rig.inbounds[0], StopInbound: rig.agents[0].Stop})
 		late := make(chan testResponse, 1)
 		go func() {
-			rig.until(3200 * time.Millisecond)
+			rig.sleepUntil(3200 * time.Millisecond)
 			late <- rig.send(testRequest{to: "in0", path: "/e/"})
 		}()
-		rig.until(1900 * time.Millisecond)
-		got := rig.send(testRequest{to: "in0", path: "/e/", takes: stuckFor})
+		rig.sleepUntil(1900 * time.Millisecond)
+		got := rig.send(testRequest{to: "in0", path: "/e/", workTime: stuckWork})
 		qt.Assert(t, got.err, qt.IsNil)
 		qt.Assert(t, got.code, qt.Equals, 502)
 		qt.Assert(t, got.headers.Get(headerOutcome), qt.Equals, string(nodeFailed))
-		qt.Assert(t, time.Since(rig.started) >= testGrace-finalAnswerLead, qt.IsTrue)
-		qt.Assert(t, <-rig.exited < testGrace-exitLead, qt.IsTrue)
+		qt.Assert(t, time.Since(rig.started) >= testGrace-finalReplyMargin, qt.IsTrue)
+		qt.Assert(t, <-rig.exited < testGrace-exitMargin, qt.IsTrue)
 		bounced := <-late
 		qt.Assert(t, bounced.err, qt.IsNil)
 		qt.Assert(t, bounced.code, qt.Equals, 503)
