--- a/internal/proxy/appclient.go
+++ b/internal/proxy/appclient.go
@@ -5,62 +5,66 @@
 	"net"
 	"net/http"
 	"net/http/httptrace"
-	"strconv"
 	"sync/atomic"
 	"time"
 )
 
-// freshConnectionPeriod is how long new connections are used for requests that
-// must not run twice after a reused one was reset.
+// freshConnectionPeriod is how long after the reset of a reused connection requests
+// that must not run twice are sent on new connections.
 const freshConnectionPeriod = 12 * time.Second
 
-// maxDeclinedBodyBytes is how much of the response of an endpoint that declined a
-// request is read.
+// maxDeclinedBodyBytes is how much is read of the response's body if an endpoint
+// declined the request.
 const maxDeclinedBodyBytes = 4 << 10
 
-// AppClient sends requests to endpoints. A reset on a connection that was used
-// before proves nothing about the request sent on it; once one was seen, what
-// must not run twice goes on new connections for a while. It is safe for
-// concurrent use.
+// AppClient sends requests to endpoints. If a reused connection is reset, the request
+// sent on it may or may not have run. After such a reset the client sends requests
+// that must not run twice on new connections for a while. It is safe for concurrent
+// use.
 type AppClient struct {
-	pooled    http.RoundTripper
-	fresh     http.RoundTripper
+	// pooled reuses connections.
+	pooled http.RoundTripper
+	// fresh uses a new connection for each request.
+	fresh http.RoundTripper
+	// closeIdle closes the idle connections of pooled.
 	closeIdle func()
-	// freshUntil is the Unix time in nanoseconds until which new connections are
-	// used.
+	// freshUntil is the Unix time in nanoseconds until which requests that must not
+	// run twice use fresh.
 	freshUntil atomic.Int64
 }
 
-// NewAppClient returns a client that keeps connections with the pooled
-// transport, and none with the fresh one.
+// NewAppClient returns a client that reuses connections of the pooled transport and
+// opens new ones with the fresh transport, whose keep-alives it disables.
 func NewAppClient(pooled, fresh *http.Transport) *AppClient {
 	fresh.DisableKeepAlives = true
 	return &AppClient{pooled: pooled, fresh: fresh, closeIdle: pooled.CloseIdleConnections}
 }
 
-// callOutcome is how the call of an endpoint ended.
+// callOutcome is the result of AppClient.send.
 type callOutcome int
 
 const (
-	// callAnswered calls brought the endpoint's response.
+	// callAnswered means that the endpoint's response was received and accepted.
 	callAnswered callOutcome = iota
-	// callNotSent calls failed before the request was written.
+	// callNotSent means that the call failed before the request was written.
 	callNotSent
-	// callDialFailed calls found no connection.
+	// callDialFailed means that no connection could be established.
 	callDialFailed
-	// callDeclined calls were answered that the request has not run.
+	// callDeclined means that the endpoint responded that it has not run the request.
 	callDeclined
-	// callFailed calls failed once the request may have been read.
+	// callFailed means that the endpoint may have received the request, but its
+	// response is missing or was not accepted.
 	callFailed
 )
 
-// send returns the endpoint's response, or what is known of a request without
-// one. With callDeclined there are a response, whose body is closed, and an
-// error.
+// send sends a request to an endpoint. With callAnswered it returns the response, whose
+// body the caller must close. With callDeclined it returns the response, whose body is
+// closed, and an error, and with the other outcomes only an error. A response without
+// requestID as its request ID is not accepted.
 func (c *AppClient) send(r *http.Request, requestID string, idempotent bool) (*http.Response, callOutcome, error) {
 	var sent, reused atomic.Bool
 	r = r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{
-		GotConn:      func(i httptrace.GotConnInfo) { reused.Store(i.Reused) },
+		GotConn:      func(info httptrace.GotConnInfo) { reused.Store(info.Reused) },
 		WroteHeaders: func() { sent.Store(true) },
 	}))
 	response, err := c.transport(idempotent).RoundTrip(r)
@@ -78,7 +82,7 @@
 	}
 	if isDeclined(response, requestID) {
 		discard(response, maxDeclinedBodyBytes)
-		return response, callDeclined, Error.New("%s", strconv.Itoa(response.StatusCode))
+		return response, callDeclined, Error.New("endpoint declined the request with status %d", response.StatusCode)
 	}
 	if reason := invalidReason(response, requestID, idempotent); reason != "" {
 		closeBody(response)
@@ -88,6 +92,7 @@
 	return response, callAnswered, nil
 }
 
+// transport returns the transport for a request.
 func (c *AppClient) transport(idempotent bool) http.RoundTripper {
 	if !idempotent && time.Now().UnixNano() < c.freshUntil.Load() {
 		return c.fresh
@@ -95,7 +100,8 @@
 	return c.pooled
 }
 
-// isDeclined tells that an endpoint says that it has not run the request.
+// isDeclined reports whether an endpoint responded that it has not run the request: with
+// headerNotRun and a status of 400 or above, or with 421 Misdirected Request.
 func isDeclined(response *http.Response, requestID string) bool {
 	if response.Header.Get(headerRequestID) != requestID {
 		return false
@@ -104,6 +110,7 @@
 	return notRun && response.StatusCode >= 400 || response.StatusCode == http.StatusMisdirectedRequest
 }
 
+// isDialError reports whether err means that no connection could be established.
 func isDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
--- a/internal/proxy/filters.go
+++ b/internal/proxy/filters.go
@@ -12,7 +12,8 @@
 	"corkcove/internal/routeconfig"
 )
 
-// checkReady refuses requests that this node can't serve yet or any more.
+// checkReady rejects requests that arrive before this node is ready or after it has
+// stopped accepting, and requests whose target is not a path.
 func (r *outboundRequest) checkReady() (done bool) {
 	if r.outbound.stopped.Load() {
 		return r.reply(localreply.NotReady)
@@ -27,7 +28,7 @@
 	return false
 }
 
-// matchRoute finds the request's route and, by the route's weights, its service.
+// matchRoute finds the request's route and picks a service by the route's weights.
 func (r *outboundRequest) matchRoute() (done bool) {
 	path, _, _ := strings.Cut(r.request.RequestURI, "?")
 	r.route = r.routes.Match(r.request.Host, path)
@@ -45,7 +46,8 @@
 	return false
 }
 
-// extractKey finds the key that a read asks for, and counts it.
+// extractKey determines which key an idempotent request reads, stores its hash in
+// hotKey and counts the read. It does nothing if the route has no key.
 func (r *outboundRequest) extractKey() {
 	route := r.route
 	if route.HotKey.Location == "" || !route.Kind.Idempotent() {
@@ -57,7 +59,8 @@
 	r.outbound.options.KeyMeter.Record(r.hotKey, route.Name, r.service, r.usualTime())
 }
 
-// applyPolicy refuses requests that the route's policy does not allow.
+// applyPolicy rejects requests that the route's policy does not allow, and all requests
+// if its evaluation fails.
 func (r *outboundRequest) applyPolicy() (done bool) {
 	if r.route.Policy == nil {
 		return false
@@ -80,11 +83,11 @@
 	return false
 }
 
-// defaultTimeout ends requests that neither client nor route bounds.
+// defaultTimeout applies to requests for which neither client nor route sets a timeout.
 const defaultTimeout = time.Minute
 
-// setDeadline bounds the request by its client's deadline and its route's
-// timeout.
+// setDeadline applies the client's deadline and the route's timeout, whichever is
+// sooner. It rejects requests that may not end before this process does.
 func (r *outboundRequest) setDeadline() (done bool) {
 	timeout := r.timeout()
 	r.deadline = r.started.Add(timeout)
@@ -98,6 +101,8 @@
 	return false
 }
 
+// timeout returns the shorter of the client's and the route's timeouts, or
+// defaultTimeout if there is neither.
 func (r *outboundRequest) timeout() time.Duration {
 	requested, ok := parseDeadline(r.request.Header)
 	limit := r.route.Timeout
@@ -110,7 +115,8 @@
 	return requested
 }
 
-// readBody keeps the request's body as far as BufferLimit allows.
+// readBody buffers the request's body up to BufferLimit. The rest of a longer body is
+// read while an attempt sends it.
 func (r *outboundRequest) readBody() (done bool) {
 	limit := r.routes.Limits.MaxBodyBytes
 	if r.request.ContentLength > limit {
@@ -133,6 +139,7 @@
 	return false
 }
 
+// bodyErrorReply returns the reply to a request whose body could not be read.
 func (r *outboundRequest) bodyErrorReply(err error) localreply.Reply {
 	var tooLarge *http.MaxBytesError
 	switch {
