--- a/internal/proxy/appclient_test.go
+++ b/internal/proxy/appclient_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// countingTransport answers all requests well and counts them.
+// countingTransport answers each request with a valid response and counts them.
 type countingTransport struct {
 	calls int
 }
@@ -19,6 +19,7 @@
 	return &http.Response{StatusCode: 200, Header: http.Header{headerRequestID: {"r"}, headerSeal: {"s"}}, Body: http.NoBody}, nil
 }
 
+// The test sets freshUntil, as send does after the reset of a reused connection.
 func TestNewConnectionsAfterAReusedOneWasReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pooled, fresh := &countingTransport{}, &countingTransport{}
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestRemainingBodyIsSentByOneAttemptOnly(t *testing.T) {
-	o := &remainingBody{reader: strings.NewReader("abcdef")}
-	b := make([]byte, 3)
-	early := o.forAttempt()
-	qt.Assert(t, o.endAttempt(), qt.IsFalse)
-	_, err := early.Read(b)
-	qt.Assert(t, err, qt.Equals, errAttemptEnded, qt.Commentf("its dispatch was over before it read"))
-	now := o.forAttempt()
-	n, err := now.Read(b)
+	body := &remainingBody{reader: strings.NewReader("abcdef")}
+	buffer := make([]byte, 3)
+	first := body.forAttempt()
+	qt.Assert(t, body.endAttempt(), qt.IsFalse)
+	_, err := first.Read(buffer)
+	qt.Assert(t, err, qt.Equals, errAttemptEnded, qt.Commentf("the attempt ended before it read"))
+	second := body.forAttempt()
+	n, err := second.Read(buffer)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, string(b[:n]), qt.Equals, "abc")
-	qt.Assert(t, o.endAttempt(), qt.IsTrue)
-	_, err = now.Read(b)
+	qt.Assert(t, string(buffer[:n]), qt.Equals, "abc")
+	qt.Assert(t, body.endAttempt(), qt.IsTrue)
+	_, err = second.Read(buffer)
 	qt.Assert(t, err, qt.Equals, errAttemptEnded)
-	var none *remainingBody
-	qt.Assert(t, none.endAttempt(), qt.IsFalse)
+	var bufferedWhole *remainingBody
+	qt.Assert(t, bufferedWhole.endAttempt(), qt.IsFalse)
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -16,35 +16,44 @@
 )
 
 const (
+	// testGrace is the grace period of the shutdowns.
 	testGrace = 6 * time.Second
-	// testDeadline is more than any request has left in these tests, and than the
-	// routes' timeout of 3 s.
+	// testDeadline exceeds the grace period and the routes' timeout of 3 s.
 	testDeadline = 10 * time.Second
 	// headerWorkTime tells the endpoint of a test how long to work on a request.
 	headerWorkTime = "X-Test-Takes"
-	quickWork      = 20 * time.Millisecond
-	// longWork keeps a node from its exit for most of the grace period.
+	// quickWork is how long endpoints work on a request by default.
+	quickWork = 20 * time.Millisecond
+	// longWork keeps a node in service beyond its linger time.
 	longWork = 2500 * time.Millisecond
-	// stuckWork is longer than anybody waits.
+	// stuckWork is longer than any request's deadline and any grace period.
 	stuckWork = 30 * time.Second
 )
 
-// testRequest is what a client, or another node, sends to a shutdownRig.
+// testRequest is a request of a client or of another node.
 type testRequest struct {
-	to, path string
+	// to is the address, by default that of the outbound chain.
+	to string
+	// path begins with the prefix of a route: /p/ is idempotent, /e/ is not.
+	path string
+	// workTime is how long the endpoint works on the request, by default quickWork.
 	workTime time.Duration
+	// deadline is how long the sender waits, by default testDeadline.
 	deadline time.Duration
 }
 
-// shutdownRig is a node with endpoints that may be sent a SIGTERM.
+// shutdownRig is a node with endpoints whose shutdown is tested.
 type shutdownRig struct {
 	*testMesh
-	sent    atomic.Int64
+	// sent counts the requests sent, for their IDs.
+	sent atomic.Int64
+	// started is when the shutdown started.
 	started time.Time
-	exited  chan time.Duration
+	// exited receives the time that the shutdown took.
+	exited chan time.Duration
 }
 
-// shutdownNodes are the nodes that carry traffic.
+// shutdownNodes creates each kind of node whose outbound chain is shut down.
 var shutdownNodes = map[string]func(t *testing.T) *testMesh{
 	"edge":    func(t *testing.T) *testMesh { return newGatewayMesh(t, 2) },
 	"sidecar": func(t *testing.T) *testMesh { return newSidecarMesh(t, 2) },
@@ -61,24 +70,28 @@
 	}
 }
 
+// newShutdownRig returns a rig whose endpoints work on each request for as long as its
+// headerWorkTime says.
 func newShutdownRig(m *testMesh) *shutdownRig {
 	for _, e := range m.endpoints {
-		answer := e.respond
+		respond := e.respond
 		e.respond = func(w io.Writer, r *http.Request, body []byte) {
-			takes, _ := time.ParseDuration(r.Header.Get(headerWorkTime))
-			time.Sleep(takes)
-			answer(w, r, body)
+			workTime, _ := time.ParseDuration(r.Header.Get(headerWorkTime))
+			time.Sleep(workTime)
+			respond(w, r, body)
 		}
 	}
 	return &shutdownRig{testMesh: m, exited: make(chan time.Duration, 1)}
 }
 
+// close closes the network and waits for the endpoints' work to end.
 func (rig *shutdownRig) close() {
 	rig.network.Close()
 	time.Sleep(2 * stuckWork)
 }
 
-// terminate starts the shutdown; all connections end with it, as with a process.
+// terminate starts the shutdown. When it is over all connections are closed, as with
+// the exit of a process.
 func (rig *shutdownRig) terminate(s Shutdown) {
 	rig.started = time.Now()
 	go func() {
@@ -88,37 +101,40 @@
 	}()
 }
 
+// sigterm starts a shutdown without an inbound chain.
 func (rig *shutdownRig) sigterm() {
 	rig.terminate(Shutdown{Grace: testGrace, Linger: testGrace / 2, Outbound: rig.outbound})
 }
 
-// sleepUntil sleeps sleepUntil so long after the SIGTERM.
+// sleepUntil sleeps until the given time after the SIGTERM.
 func (rig *shutdownRig) sleepUntil(d time.Duration) { time.Sleep(time.Until(rig.started.Add(d))) }
 
-func (rig *shutdownRig) send(q testRequest) testResponse {
+// send sends a request on a connection of its own and reads the response.
+func (rig *shutdownRig) send(request testRequest) testResponse {
 	method := "POST"
-	if q.path == "/p/" {
+	if request.path == "/p/" {
 		method = "GET"
 	}
-	r, _ := http.NewRequest(method, "http://"+cmp.Or(q.to, "out")+q.path, strings.NewReader(""))
+	r, _ := http.NewRequest(method, "http://"+cmp.Or(request.to, "out")+request.path, strings.NewReader(""))
 	r.Host = "a"
 	r.Header.Set(headerRequestID, fmt.Sprint("request", rig.sent.Add(1)))
-	r.Header.Set(headerDeadline, formatMillis(cmp.Or(q.deadline, testDeadline)))
+	r.Header.Set(headerDeadline, formatMillis(cmp.Or(request.deadline, testDeadline)))
 	r.Header.Set(headerExpectInstance, "e0")
-	r.Header.Set(headerWorkTime, cmp.Or(q.workTime, quickWork).String())
-	line := rig.network.Transport()
-	line.DisableKeepAlives = true
+	r.Header.Set(headerWorkTime, cmp.Or(request.workTime, quickWork).String())
+	transport := rig.network.Transport()
+	transport.DisableKeepAlives = true
 	start := time.Now()
-	p, err := line.RoundTrip(r)
+	response, err := transport.RoundTrip(r)
 	if err != nil {
 		return testResponse{err: err, took: time.Since(start)}
 	}
-	defer closeQuietly(p.Body)
-	body, err := io.ReadAll(p.Body)
-	return testResponse{p.StatusCode, string(body), p.Header, err, time.Since(start)}
+	defer closeQuietly(response.Body)
+	body, err := io.ReadAll(response.Body)
+	return testResponse{response.StatusCode, string(body), response.Header, err, time.Since(start)}
 }
 
-// recordResponseTimes makes the route's response times known; the last request takes slowest.
+// recordResponseTimes sends just enough requests for the tail of the route's response
+// times to be known. The last one takes slowest.
 func (rig *shutdownRig) recordResponseTimes(t *testing.T, path string, slowest time.Duration) {
 	t.Helper()
 	for range minTailSamples - 1 {
@@ -127,7 +143,7 @@
 	qt.Assert(t, rig.send(testRequest{path: path, workTime: slowest}).code, qt.Equals, 200)
 }
 
-// assertRejected checks that a request is refused at once and reaches no endpoint.
+// assertRejected checks that a request is rejected at once and reaches no endpoint.
 func (rig *shutdownRig) assertRejected(t *testing.T, path string) {
 	t.Helper()
 	runs := rig.runs()
@@ -139,7 +155,7 @@
 	qt.Assert(t, rig.runs(), qt.Equals, runs)
 }
 
-func TestShutdownServesAllForThreeSeconds(t *testing.T) {
+func TestShutdownAcceptsAllRequestsForThreeSeconds(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.sigterm()
 		rig.sleepUntil(2900 * time.Millisecond)
@@ -150,8 +166,8 @@
 	})
 }
 
-// A request that comes between the decision to exit and the exit was passed on
-// and cut (gateway-north, mix --seed 432742968009).
+// A request that arrived between the decision to exit and the exit used to be accepted
+// and was cut off by the exit (gateway-north, mix --seed 432742968009).
 func TestShutdownRefusesRequestsThatComeJustBeforeTheExit(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.recordResponseTimes(t, "/p/", quickWork)
@@ -162,7 +178,7 @@
 	})
 }
 
-func TestShutdownTakesLateRequestsThatEndInTime(t *testing.T) {
+func TestShutdownAcceptsLateRequestsThatEndInTime(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.recordResponseTimes(t, "/p/", quickWork)
 		rig.sigterm()
@@ -170,13 +186,14 @@
 		go rig.send(testRequest{path: "/e/", workTime: longWork})
 		rig.sleepUntil(3200 * time.Millisecond)
 		qt.Assert(t, rig.send(testRequest{path: "/p/"}).code, qt.Equals, 200)
-		// Little is known of this route, but the request's own deadline is near.
+		// Too few requests have used this route to know its response times, but the
+		// request's own deadline is soon enough.
 		qt.Assert(t, rig.send(testRequest{path: "/e/", deadline: time.Second}).code, qt.Equals, 200)
 	})
 }
 
-// On the day of docs/incidents/north-376624.md such a request, 3.8 s after the
-// SIGTERM, was passed on and cut.
+// Such a request, sent 3.8 s after the SIGTERM, used to be accepted and was cut off by
+// the exit; see docs/incidents/north-376624.md.
 func TestShutdownRefusesLateRequestsThatMayNotEndInTime(t *testing.T) {
 	eachShutdownNode(t, func(t *testing.T, rig *shutdownRig) {
 		rig.recordResponseTimes(t, "/e/", 1500*time.Millisecond)
@@ -208,7 +225,7 @@
 			rig.sigterm()
 			rig.sleepUntil(2900 * time.Millisecond)
 			go rig.send(testRequest{path: other, workTime: longWork})
-			// The quick route turns slow now.
+			// The route has been quick so far, but this request gets stuck.
 			rig.sleepUntil(3200 * time.Millisecond)
 			got := rig.send(testRequest{path: path, workTime: stuckWork})
 			qt.Assert(t, got.err, qt.IsNil)
@@ -221,13 +238,15 @@
 	}
 }
 
-func TestShutdownLetsAnAnswerThatHasBegunRunOn(t *testing.T) {
+func TestShutdownCompletesStartedResponses(t *testing.T) {
 	inVirtualTime(t, "edge", func(t *testing.T) {
-		const lasts = testGrace - 300*time.Millisecond - 2900*time.Millisecond
+		// The response lasts until 300 ms before the end of the grace period, which is
+		// after the final replies.
+		const responseTime = testGrace - 300*time.Millisecond - 2900*time.Millisecond
 		first, second := strings.Repeat("x", 100<<10), strings.Repeat("x", 200000-100<<10)
 		slowBody := func(c *faultyPeer, r *http.Request) bool {
 			respondAndGoOn(largeHeaders+first)(c, r)
-			time.Sleep(lasts)
+			time.Sleep(responseTime)
 			writeText(c, second)
 			return true
 		}
@@ -239,7 +258,7 @@
 		got := s.send("effectful", "r", testDeadline)
 		qt.Assert(t, got.err, qt.IsNil)
 		qt.Assert(t, len(got.body), qt.Equals, 200000)
-		qt.Assert(t, got.took, qt.Equals, lasts)
+		qt.Assert(t, got.took, qt.Equals, responseTime)
 	})
 }
 
@@ -261,15 +280,15 @@
 		qt.Assert(t, got.headers.Get(headerOutcome), qt.Equals, string(nodeFailed))
 		qt.Assert(t, time.Since(rig.started) >= testGrace-finalReplyMargin, qt.IsTrue)
 		qt.Assert(t, <-rig.exited < testGrace-exitMargin, qt.IsTrue)
-		bounced := <-late
-		qt.Assert(t, bounced.err, qt.IsNil)
-		qt.Assert(t, bounced.code, qt.Equals, 503)
-		qt.Assert(t, bounced.headers.Get(headerOutcome), qt.Equals, string(nodeRejected))
+		rejected := <-late
+		qt.Assert(t, rejected.err, qt.IsNil)
+		qt.Assert(t, rejected.code, qt.Equals, 503)
+		qt.Assert(t, rejected.headers.Get(headerOutcome), qt.Equals, string(nodeRejected))
 		qt.Assert(t, rig.runs(), qt.Equals, int64(1))
 	})
 }
 
-func TestSlowTailOutlastsQuickRequests(t *testing.T) {
+func TestResponseTimeTailDecaysSlowly(t *testing.T) {
 	var times responseTimes
 	times.record("r", 3*time.Second)
 	for range minTailSamples - 2 {
