--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -30,8 +30,8 @@
 const (
 	// internalPrefix is the common prefix of these headers.
 	internalPrefix = "X-Corkcove-"
-	// headerOutcome and headerReason report how an attempt ended that got no response
-	// from the endpoint.
+	// headerOutcome and headerReason report how an attempt ended without a response of
+	// the endpoint that could be relayed.
 	headerOutcome = "X-Corkcove-Outcome"
 	headerReason  = "X-Corkcove-Reason"
 	// headerLoad carries the endpoint's load. It is part of each response.
@@ -61,8 +61,7 @@
 // any value that is not empty.
 const headerFlagValue = "1"
 
-// nodeOutcome is a value of headerOutcome. It tells how an attempt ended that got no
-// response from the endpoint.
+// nodeOutcome is a value of headerOutcome.
 type nodeOutcome string
 
 const (
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// reply tells the calling node why its attempt got no response from the endpoint. It
+// reply tells the calling node why there is no response of the endpoint to relay. It
 // always returns true.
 func (r *inboundRequest) reply(outcome nodeOutcome, reason string) (done bool) {
 	h := r.writer.Header()
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -58,8 +58,8 @@
 }
 
 // Run performs the shutdown and returns when the process should exit: once Linger has
-// passed and no request is in flight, but at the latest exitMargin before the end of
-// the grace period. It must be called right after the SIGTERM.
+// passed and no request is in flight, but at the latest about exitMargin before the end
+// of the grace period. It must be called right after the SIGTERM.
 func (s Shutdown) Run() {
 	start := time.Now()
 	stages := s.stages(start)
