--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -38,7 +38,7 @@
 // discard releases the resources of an attempt whose response is not needed.
 func (r attemptResult) discard() {
 	if r.response != nil {
-		discard(r.response, maxDrained)
+		discard(r.response, maxDrainedBytes)
 	}
 	if r.cancel != nil {
 		r.cancel()
@@ -167,7 +167,7 @@
 func (r *outboundRequest) readResponseStart(ctx context.Context, result *attemptResult, mayRetry bool, average time.Duration) {
 	response := result.response
 	if mayRetry && r.shouldRetryServerError(response, average) {
-		discard(response, maxDrained)
+		discard(response, maxDrainedBytes)
 		result.outcome = retry.Failed
 		return
 	}
