--- a/internal/endpointagent/admission.go
+++ b/internal/endpointagent/admission.go
@@ -9,63 +9,70 @@
 )
 
 const (
-	// Reads of hot keys leave one slot in reservedSlotDivisor to other requests.
+	// reservedSlotDivisor sets the share of slots that reads of hot keys leave free for
+	// other requests: one slot in reservedSlotDivisor, and at least one. An endpoint
+	// with a single slot reserves none.
 	reservedSlotDivisor = 4
-	// reservationPeriod is how long after the last other request slots are kept
-	// free of reads of hot keys.
+	// reservationPeriod is how long slots stay reserved after the last request that
+	// is not a hot read.
 	reservationPeriod = time.Second
-	// extraQueueLength is added to the queue's length by slots, so that an endpoint
-	// of one slot has a queue too.
+	// extraQueueLength is added to the queue limit derived from the slots, so that an
+	// endpoint with a single slot has a queue too.
 	extraQueueLength = 2
-	// serviceTimeSmoothing is the divisor of the moving average of service times.
+	// serviceTimeSmoothing is the smoothing divisor of the moving average of service
+	// times: each new sample has a weight of 1/serviceTimeSmoothing.
 	serviceTimeSmoothing = 16
 )
 
-// Load is how busy the endpoint is.
+// Load is the utilization of the endpoint's slots and queue.
 type Load struct {
+	// Running is the number of requests that hold a slot.
 	Running int
-	Queued  int
-	Slots   int
-	// ServiceTime is the moving average of what a request takes.
+	// Queued is the number of requests that wait for a slot.
+	Queued int
+	// Slots is the number of slots, at least 1.
+	Slots int
+	// ServiceTime is the moving average of the time that a request takes at the
+	// endpoint, or 0 before the first response.
 	ServiceTime time.Duration
 }
 
-// slots counts what runs at the endpoint.
-type slots struct {
+// slotUsage counts the requests that hold a slot and averages their service time.
+type slotUsage struct {
 	running int
-	// hot is how many of the running requests are reads of hot keys.
-	hot int
-	// lastOther is when the last request that is no such read came.
-	lastOther   time.Time
-	serviceTime time.Duration
+	// runningHotReads is the number of running requests that are reads of hot keys.
+	runningHotReads int
+	// lastNonHotRequest is the arrival time of the last request that is not a hot read.
+	lastNonHotRequest time.Time
+	serviceTime       time.Duration
 }
 
-func (s *slots) occupy(hot bool) {
+func (s *slotUsage) acquire(hotRead bool) {
 	s.running++
-	if hot {
-		s.hot++
+	if hotRead {
+		s.runningHotReads++
 	}
 }
 
-func (s *slots) release(hot bool) {
+func (s *slotUsage) release(hotRead bool) {
 	s.running--
-	if hot {
-		s.hot--
+	if hotRead {
+		s.runningHotReads--
 	}
 }
 
-// observe adds the time that one request took to the average.
-func (s *slots) observe(took time.Duration) {
-	if took <= 0 {
+// recordServiceTime adds the service time of one request to the moving average.
+func (s *slotUsage) recordServiceTime(elapsed time.Duration) {
+	if elapsed <= 0 {
 		return
 	}
 	if s.serviceTime == 0 {
-		s.serviceTime = took
+		s.serviceTime = elapsed
 	}
-	s.serviceTime += (took - s.serviceTime) / serviceTimeSmoothing
+	s.serviceTime += (elapsed - s.serviceTime) / serviceTimeSmoothing
 }
 
-// Load returns how busy the endpoint is now.
+// Load returns the current load of the endpoint.
 func (a *Agent) Load() Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,24 +84,29 @@
 	}
 }
 
-// Admit waits for a slot by priority, or rejects the request at once where the
-// wait would be longer than maxWait. With NotRejected the caller holds a slot of
-// the incarnation id and must call the returned function once, when the endpoint
-// is done with the request.
+// Admit assigns a slot of the incarnation id to a request. If no slot is available,
+// it waits in a queue ordered by priority until a slot is assigned, the request is
+// rejected, priority.Deadline passes or ctx ends. It rejects the request immediately
+// if the incarnation accepts no requests, if the estimated wait exceeds maxWait, or
+// if the queue is full.
+//
+// If the reason is NotRejected, the caller holds a slot and must call the returned
+// function exactly once, when the endpoint has finished the request. Otherwise the
+// returned function is nil.
 func (a *Agent) Admit(ctx context.Context, id string, priority Priority, maxWait time.Duration) (func(), RejectReason) {
 	a.mu.Lock()
-	if reason := a.rejects(id); reason != NotRejected {
+	if reason := a.rejectReason(id); reason != NotRejected {
 		a.mu.Unlock()
 		return nil, reason
 	}
 	now := a.options.Now()
-	if !priority.Hot {
-		a.slots.lastOther = now
+	if !priority.HotRead {
+		a.slots.lastNonHotRequest = now
 	}
 	if a.hasFreeSlot(priority, now) {
-		a.slots.occupy(priority.Hot)
+		a.slots.acquire(priority.HotRead)
 		a.mu.Unlock()
-		return a.releaseFunc(id, priority.Hot), NotRejected
+		return a.releaseFunc(id, priority.HotRead), NotRejected
 	}
 	if a.estimatedWait(priority) > maxWait || len(a.queue) >= a.queueLimit() {
 		a.mu.Unlock()
@@ -103,46 +115,49 @@
 	w := &waiter{Priority: priority, decision: make(chan RejectReason, 1)}
 	heap.Push(&a.queue, w)
 	a.mu.Unlock()
-	return a.await(ctx, id, w, priority.Deadline.Sub(now))
+	return a.awaitDecision(ctx, id, w, priority.Deadline.Sub(now))
 }
 
-// await waits until a queued request is decided, timeout has passed or ctx ends.
-func (a *Agent) await(ctx context.Context, id string, w *waiter, timeout time.Duration) (func(), RejectReason) {
+// awaitDecision waits until a queued request is admitted or rejected, the timeout
+// expires or ctx ends.
+func (a *Agent) awaitDecision(ctx context.Context, id string, w *waiter, timeout time.Duration) (func(), RejectReason) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	reason := RejectedCanceled
 	select {
 	case decision := <-w.decision:
 		if decision == NotRejected {
-			return a.releaseFunc(id, w.Hot), NotRejected
+			return a.releaseFunc(id, w.HotRead), NotRejected
 		}
 		return nil, decision
 	case <-timer.C:
-		reason = RejectedLate
+		reason = RejectedDeadlineExceeded
 	case <-ctx.Done():
 	}
-	if !a.dequeue(w) {
-		// It was decided meanwhile: a slot that came too late goes back.
+	if !a.removeFromQueue(w) {
+		// The decision was sent in the meantime: release a slot assigned too late.
 		if decision := <-w.decision; decision == NotRejected {
-			a.releaseFunc(id, w.Hot)()
+			a.releaseFunc(id, w.HotRead)()
 		}
 	}
 	return nil, reason
 }
 
-// dequeue takes w out of the queue; false means that it was decided already.
-func (a *Agent) dequeue(w *waiter) bool {
+// removeFromQueue removes w from the queue. It returns false if w has already been
+// admitted or rejected.
+func (a *Agent) removeFromQueue(w *waiter) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if w.index == notQueued {
+	if w.heapIndex == notQueued {
 		return false
 	}
-	heap.Remove(&a.queue, w.index)
+	heap.Remove(&a.queue, w.heapIndex)
 	return true
 }
 
-// rejects says why no request for the incarnation id is taken now.
-func (a *Agent) rejects(id string) RejectReason {
+// rejectReason returns the reason why requests for the incarnation id are currently
+// rejected, or NotRejected.
+func (a *Agent) rejectReason(id string) RejectReason {
 	switch {
 	case a.stopping:
 		return RejectedStopping
@@ -158,73 +173,79 @@
 	return NotRejected
 }
 
+// slotCount returns the endpoint's number of slots, but at least 1, so that it can be
+// used as a divisor.
 func (a *Agent) slotCount() int { return max(a.status.Slots, 1) }
 
-// hasFreeSlot tells whether a request may start without queueing. Others pass
-// queued reads of hot keys, which wait for slots that they may not have.
+// hasFreeSlot reports whether a request can start without queueing. Requests other
+// than hot reads overtake queued hot reads, because the free slots may be reserved.
 func (a *Agent) hasFreeSlot(p Priority, now time.Time) bool {
 	if a.slots.running >= a.status.Slots {
 		return false
 	}
-	if p.Hot {
-		return len(a.queue) == 0 && a.slots.hot < a.hotSlotLimit(now)
+	if p.HotRead {
+		return len(a.queue) == 0 && a.slots.runningHotReads < a.hotSlotLimit(now)
 	}
-	return a.queue.onlyHot()
+	return a.queue.containsOnlyHotReads()
 }
 
-// hotSlotLimit is how many slots reads of hot keys may hold now.
+// hotSlotLimit returns the number of slots that hot reads may currently hold.
 func (a *Agent) hotSlotLimit(now time.Time) int {
 	n := a.slotCount()
-	if now.Sub(a.slots.lastOther) > reservationPeriod || n == 1 {
+	if now.Sub(a.slots.lastNonHotRequest) > reservationPeriod || n == 1 {
 		return n
 	}
 	return n - max(n/reservedSlotDivisor, 1)
 }
 
+// estimatedWait estimates the queueing time of a request from its position in the
+// queue and the average service time.
 func (a *Agent) estimatedWait(p Priority) time.Duration {
-	return a.slots.serviceTime * time.Duration(a.queue.ahead(p)) / time.Duration(a.slotCount())
+	return a.slots.serviceTime * time.Duration(a.queue.position(p)) / time.Duration(a.slotCount())
 }
 
+// queueLimit returns the number of requests that may wait in the queue.
 func (a *Agent) queueLimit() int {
 	return int(a.options.QueuePerSlot*float64(a.status.Slots)) + extraQueueLength
 }
 
-// assignSlots gives free slots to those who wait. Reads of hot keys that may have
-// no more of them let others pass.
+// assignSlots assigns free slots to queued requests in priority order. Hot reads
+// that have reached their slot limit stay in the queue, and others overtake them.
 func (a *Agent) assignSlots() {
-	var passed []*waiter
+	var skipped []*waiter
 	for len(a.queue) > 0 && a.slots.running < a.status.Slots {
 		w := heap.Pop(&a.queue).(*waiter)
-		if w.Hot && a.slots.hot >= a.hotSlotLimit(a.options.Now()) {
-			passed = append(passed, w)
+		if w.HotRead && a.slots.runningHotReads >= a.hotSlotLimit(a.options.Now()) {
+			skipped = append(skipped, w)
 			continue
 		}
-		a.slots.occupy(w.Hot)
+		a.slots.acquire(w.HotRead)
 		w.decision <- NotRejected
 	}
-	for _, w := range passed {
+	for _, w := range skipped {
 		heap.Push(&a.queue, w)
 	}
 }
 
-// rejectQueued empties the queue.
+// rejectQueued rejects all queued requests with reason.
 func (a *Agent) rejectQueued(reason RejectReason) {
 	for len(a.queue) > 0 {
 		heap.Pop(&a.queue).(*waiter).decision <- reason
 	}
 }
 
-// releaseFunc returns what frees a slot of the incarnation id. It does nothing
-// once another incarnation runs.
-func (a *Agent) releaseFunc(id string, hot bool) func() {
+// releaseFunc returns a function that releases a slot of the incarnation id and
+// assigns free slots to queued requests. The function does nothing once another
+// incarnation has replaced id.
+func (a *Agent) releaseFunc(id string, hotRead bool) func() {
 	return func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.status.ID != id || a.slots.running == 0 {
 			return
 		}
-		a.slots.release(hot)
-		if a.rejects(id) == NotRejected {
+		a.slots.release(hotRead)
+		if a.rejectReason(id) == NotRejected {
 			a.assignSlots()
 		}
 	}
--- a/internal/endpointagent/admission_test.go
+++ b/internal/endpointagent/admission_test.go
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Options{HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, OnChange: func(Status) {}})
 		a.RecordHeartbeat(Heartbeat{ID: "a", Slots: 8, State: "ready", Seq: 1})
-		priority := func(hot bool) Priority { return Priority{Deadline: time.Now().Add(time.Minute), Hot: hot} }
+		priority := func(hot bool) Priority { return Priority{Deadline: time.Now().Add(time.Minute), HotRead: hot} }
 		release, reason := a.Admit(context.Background(), "a", priority(false), 0)
 		qt.Assert(t, reason, qt.Equals, NotRejected)
 		release()
--- a/internal/endpointagent/agent.go
+++ b/internal/endpointagent/agent.go
@@ -8,61 +8,68 @@
 	"corkcove/internal/logring"
 )
 
-// unhealthyAfterRefusals is how many connections in a row the endpoint's address
-// refuses before it counts as unhealthy: one may be a full backlog.
+// unhealthyAfterRefusals is the number of consecutive refused connections after which
+// the endpoint is unhealthy. A single refusal may be caused by a full listen backlog.
 const unhealthyAfterRefusals = 2
 
-// Options of an Agent.
+// Options configure an Agent.
 type Options struct {
-	// Service is the service of the endpoint beside this node.
+	// Service is the name of the service that the local endpoint belongs to.
 	Service string
-	// HeartbeatInterval is the time between two heartbeats of the endpoint.
+	// HeartbeatInterval is the interval at which the endpoint sends heartbeats.
 	HeartbeatInterval time.Duration
-	// MissedHeartbeats is how many intervals may pass without a sign of life
-	// before the endpoint counts as unhealthy.
+	// MissedHeartbeats is the number of heartbeat intervals without a heartbeat or
+	// response after which the endpoint is unhealthy.
 	MissedHeartbeats float64
-	// QueuePerSlot is how many requests may wait for each slot.
+	// QueuePerSlot is the number of requests that may be queued per slot.
 	QueuePerSlot float64
-	// Now gives the time; nil means time.Now.
+	// Now returns the current time. If nil, time.Now is used.
 	Now func() time.Time
-	// Log is called with the agent's lock held.
+	// Log receives the status changes. It is called with the agent's lock held.
 	Log logring.Logger
-	// OnChange is called with each status that other nodes act on.
+	// OnChange is called with the new status after each change that is relevant to
+	// other nodes. It must not be nil. It is called without the agent's lock held, on
+	// the goroutine that made the change, so calls may be concurrent.
 	OnChange func(Status)
 }
 
-// Agent keeps the status of the endpoint beside this node and admits requests to
-// it. It is guarded by one short lock; nothing blocks while that is held.
+// Agent tracks the status of the local endpoint and admits requests to its slots. It
+// is safe for concurrent use. Its mutex is held only briefly and never across a
+// blocking operation.
 type Agent struct {
 	options Options
 
 	mu     sync.Mutex
 	status Status
-	// ended has the incarnations that left or were replaced: what still comes from
-	// them is late.
-	ended map[string]bool
-	// lastContact is when the endpoint last gave a sign of life.
+	// endedIncarnations contains the incarnations that deregistered or were replaced.
+	// Heartbeats that still arrive from them are ignored.
+	endedIncarnations map[string]bool
+	// lastContact is the time of the endpoint's last heartbeat, response or
+	// successful probe.
 	lastContact time.Time
-	warmUntil   time.Time
-	// refusals counts connections refused in a row.
-	refusals int
-	outcomes outcomeStats
-	stopping bool
-
-	slots slots
+	warmupEnd   time.Time
+	// consecutiveRefusals is the number of consecutive refused connections. It is reset
+	// by a response, by the first heartbeat of an incarnation and by a heartbeat that
+	// makes the endpoint healthy again.
+	consecutiveRefusals int
+	outcomes            outcomeStats
+	stopping            bool
+
+	slots slotUsage
 	queue waitQueue
 }
 
-// New creates an agent that knows of no endpoint yet.
-func New(o Options) *Agent {
-	if o.Now == nil {
-		o.Now = time.Now
+// New returns an agent that knows no endpoint yet.
+func New(options Options) *Agent {
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	return &Agent{options: o, ended: map[string]bool{}}
+	return &Agent{options: options, endedIncarnations: map[string]bool{}}
 }
 
-// update runs change under the lock, then reports a status that became another
-// one to OnChange, outside of it.
+// update calls change with the lock held. If this changed the status in a way that is
+// relevant to other nodes, update logs the change and, after releasing the lock, calls
+// OnChange.
 func (a *Agent) update(change func()) {
 	a.mu.Lock()
 	previous := a.status
@@ -79,12 +86,12 @@
 	}
 }
 
-// RecordHeartbeat takes an endpoint's account of itself. False means that the
-// heartbeat came out of order or from an incarnation that has ended; nothing was
-// changed then.
+// RecordHeartbeat applies a heartbeat of the endpoint. It returns false and changes
+// nothing if the heartbeat is out of order or comes from an incarnation that has
+// ended.
 func (a *Agent) RecordHeartbeat(h Heartbeat) (accepted bool) {
 	a.update(func() {
-		if a.outdated(h) {
+		if a.isStale(h) {
 			return
 		}
 		a.replaceIncarnation(h.ID)
@@ -94,30 +101,34 @@
 	return accepted
 }
 
-// outdated tells that a heartbeat is of an ended incarnation or was overtaken by
-// another.
-func (a *Agent) outdated(h Heartbeat) bool {
-	if a.ended[h.ID] {
+// isStale reports whether a heartbeat comes from an ended incarnation or, unless its Seq
+// is 0, is not newer than the last one.
+func (a *Agent) isStale(h Heartbeat) bool {
+	if a.endedIncarnations[h.ID] {
 		return true
 	}
 	return a.status.Known && h.ID == a.status.ID && h.Seq != 0 && h.Seq <= a.status.Seq
 }
 
-// replaceIncarnation ends the incarnation that ran before, if id is another one.
+// replaceIncarnation ends the current incarnation if id is a different one. The slot
+// counts restart at zero: requests that still run at the ended incarnation hold no slot
+// of the new one.
 func (a *Agent) replaceIncarnation(id string) {
 	if !a.status.Known || a.status.ID == "" || a.status.ID == id {
 		return
 	}
-	a.ended[a.status.ID] = true
+	a.endedIncarnations[a.status.ID] = true
 	a.rejectQueued(RejectedOtherIncarnation)
-	a.slots.running, a.slots.hot = 0, 0
+	a.slots.running, a.slots.runningHotReads = 0, 0
 }
 
+// applyHeartbeat updates the status from an accepted heartbeat, then rejects the queued
+// requests or assigns them the free slots.
 func (a *Agent) applyHeartbeat(h Heartbeat) {
 	previous := a.status
 	sameIncarnation := previous.ID == h.ID
 	if sameIncarnation && previous.State == lifecycle.Draining && h.State == lifecycle.Ready {
-		// A drain that was announced is not taken back.
+		// A drain is final: an incarnation cannot return from Draining to Ready.
 		h.State = lifecycle.Draining
 	}
 	if !sameIncarnation {
@@ -125,9 +136,9 @@
 	}
 	a.status = Status{Heartbeat: h, Healthy: true, Known: true, FailurePercent: a.outcomes.failurePercent}
 	a.lastContact = a.options.Now()
-	a.warmUntil = a.lastContact.Add(h.Warmup)
+	a.warmupEnd = a.lastContact.Add(h.Warmup)
 	if !sameIncarnation || !previous.Healthy {
-		a.refusals = 0
+		a.consecutiveRefusals = 0
 	}
 	if h.State != lifecycle.Ready {
 		a.rejectQueued(RejectedDraining)
@@ -135,10 +146,10 @@
 	a.assignSlots()
 }
 
-// Deregister ends the incarnation id at the endpoint's own request.
+// Deregister ends the incarnation id at the endpoint's request.
 func (a *Agent) Deregister(id string) {
 	a.update(func() {
-		a.ended[id] = true
+		a.endedIncarnations[id] = true
 		if a.status.ID == id {
 			a.status.State = lifecycle.Gone
 			a.rejectQueued(RejectedDraining)
@@ -146,11 +157,12 @@
 	})
 }
 
-// RecordProbe notes an endpoint that answered a health check before its first
-// heartbeat.
+// RecordProbe records an endpoint that responded to a health check before this agent
+// received its first heartbeat. It does nothing if an endpoint is already known, if id
+// is empty, or if the incarnation id has ended.
 func (a *Agent) RecordProbe(id string, slots int) {
 	a.update(func() {
-		if a.status.Known || id == "" || a.ended[id] {
+		if a.status.Known || id == "" || a.endedIncarnations[id] {
 			return
 		}
 		a.status = Status{
@@ -162,7 +174,7 @@
 	})
 }
 
-// Stop rejects everything from now on.
+// Stop rejects all queued requests and all later ones.
 func (a *Agent) Stop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,16 +182,17 @@
 	a.rejectQueued(RejectedStopping)
 }
 
-// Tick marks an endpoint whose heartbeats are missing, and lets its warm-up and old
-// failures end. It is called a few times in each heartbeat interval.
+// Tick marks the endpoint unhealthy after MissedHeartbeats intervals without contact,
+// ends its warm-up when it is due, and resets an expired failure percentage. It must be
+// called several times per heartbeat interval.
 func (a *Agent) Tick() {
 	a.update(func() {
 		now := a.options.Now()
 		timeout := time.Duration(a.options.MissedHeartbeats * float64(a.options.HeartbeatInterval))
 		if a.status.Known && a.status.Healthy && now.Sub(a.lastContact) > timeout {
-			a.becomeUnhealthy()
+			a.markUnhealthy()
 		}
-		if a.status.Warmup > 0 && now.After(a.warmUntil) {
+		if a.status.Warmup > 0 && now.After(a.warmupEnd) {
 			a.status.Warmup = 0
 		}
 		a.outcomes.expire(now)
@@ -187,37 +200,42 @@
 	})
 }
 
-func (a *Agent) becomeUnhealthy() {
+// markUnhealthy marks the endpoint unhealthy until its next accepted heartbeat and
+// rejects all queued requests.
+func (a *Agent) markUnhealthy() {
 	a.status.Healthy = false
 	a.rejectQueued(RejectedUnhealthy)
 }
 
-// RecordConnectionRefused notes that the endpoint's address took no connection.
+// RecordConnectionRefused records that a connection to the endpoint's address could not
+// be established. It does nothing if id is not the current incarnation.
 func (a *Agent) RecordConnectionRefused(id string) {
 	a.update(func() {
 		if a.status.ID != id {
 			return
 		}
-		a.refusals++
-		if a.refusals >= unhealthyAfterRefusals && a.status.Healthy {
-			a.becomeUnhealthy()
+		a.consecutiveRefusals++
+		if a.consecutiveRefusals >= unhealthyAfterRefusals && a.status.Healthy {
+			a.markUnhealthy()
 		}
 	})
 }
 
-// RecordResponse notes that the endpoint answered a request, after took.
-func (a *Agent) RecordResponse(id string, took time.Duration) {
+// RecordResponse records that the endpoint responded to a request and how long that
+// took. It does nothing if id is not the current incarnation.
+func (a *Agent) RecordResponse(id string, elapsed time.Duration) {
 	a.update(func() {
 		if a.status.ID != id {
 			return
 		}
-		a.refusals = 0
+		a.consecutiveRefusals = 0
 		a.lastContact = a.options.Now()
-		a.slots.observe(took)
+		a.slots.recordServiceTime(elapsed)
 	})
 }
 
-// RecordOutcome notes whether the endpoint did what it was asked.
+// RecordOutcome records whether the endpoint served a request successfully. It does
+// nothing if id is not the current incarnation.
 func (a *Agent) RecordOutcome(id string, success bool) {
 	a.update(func() {
 		if a.status.ID != id {
@@ -228,7 +246,7 @@
 	})
 }
 
-// Status returns what is known of the endpoint.
+// Status returns the current status of the endpoint.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/endpointagent/doc.go
+++ b/internal/endpointagent/doc.go
@@ -1,20 +1,21 @@
-// Package endpointagent is a sidecar's account of the endpoint beside it: which
-// incarnation runs, whether it is healthy, and how many requests it may be given
-// at once.
+// Package endpointagent tracks the endpoint next to a sidecar: which incarnation of
+// it runs, whether it is healthy, and how many concurrent requests it accepts.
 //
-// The endpoint sends heartbeats through the sidecar's control address. The Agent
-// keeps the last one as Status, marks the endpoint unhealthy when heartbeats stay
-// out or its address refuses connections, and judges it by the outcomes of the
-// requests that it was given. OnChange is called with each change that other
-// nodes act on; the node agent reports it to the master with the next poll.
+// The endpoint sends heartbeats to the sidecar's control address. The Agent stores
+// the latest one in its Status. It marks the endpoint unhealthy after missed
+// heartbeats or refused connections, and derives the failure percentage from the
+// outcomes of forwarded requests. OnChange is called after each change that is
+// relevant to other nodes; the node agent reports it to the master in its next poll
+// response.
 //
-// Requests pass through Admit, which gives them one of the endpoint's slots, or
-// queues them by Priority, or rejects them at once where the wait would be too
-// long. A request is admitted for one incarnation only: when another takes its
-// place, whoever waits for the old one is rejected.
+// Each request passes through Admit, which assigns it one of the endpoint's slots,
+// queues it by Priority, or rejects it immediately if the estimated wait is too long
+// or the queue is full. A request is admitted for one incarnation only: when another
+// incarnation replaces it, all requests queued for the old one are rejected.
 //
-// All state belongs to the Agent and is guarded by its one mutex, which is held
-// for short steps only; callers are the goroutines of requests and heartbeats and
-// one that calls Tick. OnChange runs without the lock. The package starts no
-// goroutine, sends nothing and keeps nothing on disk.
+// The Agent owns all state and guards it with a single mutex, which is never held
+// across a blocking operation. It is called by the goroutines that serve requests and
+// heartbeats and by the one that calls Tick. OnChange is called without the mutex
+// held. The package starts no goroutines, sends nothing over the network and stores
+// nothing on disk.
 package endpointagent
--- a/internal/endpointagent/outcomes.go
+++ b/internal/endpointagent/outcomes.go
@@ -3,49 +3,57 @@
 import "time"
 
 const (
-	// outcomeWindow is one of the two spans of time over which outcomes count.
+	// outcomeWindow is the length of a counting window. The failure percentage covers
+	// the current and the previous window.
 	outcomeWindow = 1200 * time.Millisecond
-	// minOutcomes is how many outcomes it takes to judge.
+	// minOutcomes is the minimum number of outcomes for a failure percentage.
 	minOutcomes = 6
-	// failureThreshold is the share of failures, in percent, from which an endpoint
-	// counts as failing; the share is reported in steps of it, so that it does not
-	// change with each request.
-	failureThreshold = 20
-	// recoverySuccesses in a row end a verdict.
+	// failureThresholdPercent is the lowest percentage of failures at which an endpoint
+	// is reported as failing. The percentage is rounded down to a multiple of it, so
+	// that the reported value does not change with each request.
+	failureThresholdPercent = 20
+	// recoverySuccesses is the number of consecutive successes that resets the
+	// failure percentage to 0.
 	recoverySuccesses = 8
-	// failureExpiry ends a verdict after so long without a failure.
+	// failureExpiry is the time without a failure after which the failure percentage
+	// is reset to 0.
 	failureExpiry = 6 * time.Second
 )
 
-// outcomeStats judges an endpoint by its answers alone, over the current and the
-// previous window. A verdict ends after a row of successes, or once no failure
-// has been seen for a while.
+// outcomeStats computes an endpoint's failure percentage from request outcomes alone,
+// over the current and the previous window. Once the percentage is set, it stays the
+// same until recoverySuccesses or failureExpiry resets it.
 type outcomeStats struct {
-	windowStart         time.Time
+	windowStart time.Time
+	// successes and failures hold the counts of the current window at index 0 and
+	// those of the previous window at index 1.
 	successes, failures [2]int
-	// failurePercent is the verdict, 0 while the endpoint does well enough.
-	failurePercent int
-	lastFailure    time.Time
-	successStreak  int
+	// failurePercent is a multiple of failureThresholdPercent, or 0 if the endpoint is
+	// not failing.
+	failurePercent       int
+	lastFailure          time.Time
+	consecutiveSuccesses int
 }
 
+// record counts one outcome and updates the failure percentage.
 func (s *outcomeStats) record(success bool, now time.Time) {
 	s.rotate(now)
 	if success {
 		s.successes[0]++
-		s.successStreak++
+		s.consecutiveSuccesses++
 	} else {
 		s.failures[0]++
-		s.successStreak, s.lastFailure = 0, now
+		s.consecutiveSuccesses, s.lastFailure = 0, now
 	}
 	if s.failurePercent == 0 {
-		s.judge()
-	} else if s.successStreak >= recoverySuccesses {
+		s.updateFailurePercent()
+	} else if s.consecutiveSuccesses >= recoverySuccesses {
 		*s = outcomeStats{windowStart: now}
 	}
 }
 
-// rotate begins a new window when the current one is over.
+// rotate starts a new window if the current one has ended. The ended window becomes the
+// previous one unless it has expired as well.
 func (s *outcomeStats) rotate(now time.Time) {
 	switch age := now.Sub(s.windowStart); {
 	case age < outcomeWindow:
@@ -59,15 +67,19 @@
 	}
 }
 
-func (s *outcomeStats) judge() {
+// updateFailurePercent sets the failure percentage if there are enough outcomes and the
+// percentage of failures reaches the threshold. At least one outcome must have been
+// counted.
+func (s *outcomeStats) updateFailurePercent() {
 	failures := s.failures[0] + s.failures[1]
 	total := failures + s.successes[0] + s.successes[1]
-	if percent := 100 * failures / total; total >= minOutcomes && percent >= failureThreshold {
-		s.failurePercent = percent / failureThreshold * failureThreshold
+	if percent := 100 * failures / total; total >= minOutcomes && percent >= failureThresholdPercent {
+		s.failurePercent = percent / failureThresholdPercent * failureThresholdPercent
 	}
 }
 
-// expire ends a verdict that no recent failure upholds.
+// expire resets the statistics of a failing endpoint if failureExpiry has passed since
+// its last failure.
 func (s *outcomeStats) expire(now time.Time) {
 	if s.failurePercent > 0 && now.Sub(s.lastFailure) > failureExpiry {
 		*s = outcomeStats{windowStart: now}
--- a/internal/endpointagent/queue.go
+++ b/internal/endpointagent/queue.go
@@ -2,19 +2,24 @@
 
 import "time"
 
-// Priority orders the queue: what can still be answered in time goes first, then
-// by rank and deadline.
+// Priority determines the position of a request in the queue. Requests that are
+// likely to be answered in time go first. Among those, the order is by rank, then
+// other requests before hot reads, then by deadline.
 type Priority struct {
-	// Late marks a request that will hardly be answered in time.
+	// Late marks a request that is unlikely to be answered in time. The calling node
+	// marks requests that are probably retries by the client.
 	Late bool
-	// Rank is the request's class; lower goes first.
-	Rank     int
+	// Rank is the priority of the request's route; lower values go first.
+	Rank int
+	// Deadline is the time at which the request leaves the queue unserved.
 	Deadline time.Time
-	// Hot marks a read of a hot key: it stands behind others of its rank, and
-	// leaves a share of the slots to them.
-	Hot bool
+	// HotRead marks a read of a hot key. Hot reads are queued behind other requests of
+	// the same rank and leave a share of the slots to other requests.
+	HotRead bool
 }
 
+// before reports whether a request with priority p goes before one with priority
+// other.
 func (p Priority) before(other Priority) bool {
 	if p.Late != other.Late {
 		return other.Late
@@ -22,54 +27,61 @@
 	if p.Rank != other.Rank {
 		return p.Rank < other.Rank
 	}
-	if p.Hot != other.Hot {
-		return other.Hot
+	if p.HotRead != other.HotRead {
+		return other.HotRead
 	}
 	return p.Deadline.Before(other.Deadline)
 }
 
-// notQueued is the index of a waiter that has left the queue.
+// notQueued is the heapIndex of a waiter that is no longer in the queue.
 const notQueued = -1
 
 // waiter is a queued request.
 type waiter struct {
 	Priority
-	// decision gets exactly one value: NotRejected with a slot, or the reason why
-	// the queue was emptied. It holds one, so that sending never blocks.
+	// decision receives one value when the agent takes the waiter off the queue:
+	// NotRejected if it has assigned a slot, otherwise the reason for the rejection.
+	// The channel has a buffer of one, so that sending never blocks.
 	decision chan RejectReason
-	index    int
+	// heapIndex is the waiter's index in the waitQueue, or notQueued.
+	heapIndex int
 }
 
-// waitQueue is a heap of waiters, the one that goes first on top.
+// waitQueue is a heap of waiters with the next one to be admitted at the root. It
+// implements heap.Interface.
 type waitQueue []*waiter
 
-func (q waitQueue) Len() int           { return len(q) }
+// Len implements heap.Interface.
+func (q waitQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q waitQueue) Less(i, j int) bool { return q[i].before(q[j].Priority) }
 
+// Swap implements heap.Interface and updates the heap indexes.
 func (q waitQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
-// Push is for package heap.
+// Push implements heap.Interface and sets the waiter's heap index.
 func (q *waitQueue) Push(x any) {
 	w := x.(*waiter)
-	w.index = len(*q)
+	w.heapIndex = len(*q)
 	*q = append(*q, w)
 }
 
-// Pop is for package heap.
+// Pop implements heap.Interface and marks the waiter as notQueued.
 func (q *waitQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	last.index = notQueued
+	last.heapIndex = notQueued
 	return last
 }
 
-// ahead counts how many go before a request that would be queued with p, itself
-// included.
-func (q waitQueue) ahead(p Priority) int {
+// position returns the 1-based position in the queue that a new request with priority
+// p would get.
+func (q waitQueue) position(p Priority) int {
 	n := 1
 	for _, w := range q {
 		if !p.before(w.Priority) {
@@ -79,10 +91,10 @@
 	return n
 }
 
-// onlyHot tells that none but reads of hot keys wait.
-func (q waitQueue) onlyHot() bool {
+// containsOnlyHotReads reports whether no request other than hot reads is queued.
+func (q waitQueue) containsOnlyHotReads() bool {
 	for _, w := range q {
-		if !w.Hot {
+		if !w.HotRead {
 			return false
 		}
 	}
--- a/internal/endpointagent/reject.go
+++ b/internal/endpointagent/reject.go
@@ -1,28 +1,31 @@
 package endpointagent
 
-// RejectReason says why a request got no slot. The values travel to the calling
-// node in a header and never change.
+// RejectReason is the reason why a request was not assigned a slot. The values are
+// sent to the calling node in a response header and must not change.
 type RejectReason string
 
-// What Admit answers.
+// Reasons returned by Admit.
 const (
-	// NotRejected means that the caller holds a slot.
+	// NotRejected means that the request was admitted and holds a slot.
 	NotRejected RejectReason = ""
-	// RejectedNoEndpoint means that no endpoint is known yet.
+	// RejectedNoEndpoint means that the agent knows no endpoint yet.
 	RejectedNoEndpoint RejectReason = "no-life"
-	// RejectedOtherIncarnation means that the endpoint has another identity than
-	// the one that the request was meant for.
+	// RejectedOtherIncarnation means that the current incarnation of the endpoint
+	// is not the one that the request is addressed to.
 	RejectedOtherIncarnation RejectReason = "other-life"
-	// RejectedDraining means that the endpoint takes nothing new.
+	// RejectedDraining means that the endpoint is draining or has deregistered.
 	RejectedDraining RejectReason = "draining"
-	// RejectedUnhealthy means that heartbeats are missing or connections are refused.
+	// RejectedUnhealthy means that the endpoint missed heartbeats or refused
+	// connections.
 	RejectedUnhealthy RejectReason = "unsound"
-	// RejectedQueueFull means that the wait for a slot would be too long.
+	// RejectedQueueFull means that the queue is full or the estimated wait for a slot
+	// is too long.
 	RejectedQueueFull RejectReason = "full"
-	// RejectedLate means that the deadline passed in the queue.
-	RejectedLate RejectReason = "late"
-	// RejectedStopping means that this node shuts down.
+	// RejectedDeadlineExceeded means that the deadline passed while the request was
+	// queued.
+	RejectedDeadlineExceeded RejectReason = "late"
+	// RejectedStopping means that this node is shutting down.
 	RejectedStopping RejectReason = "stopping"
-	// RejectedCanceled means that the caller gave up while it was queued.
+	// RejectedCanceled means that the caller canceled the request while it was queued.
 	RejectedCanceled RejectReason = "gave-up"
 )
--- a/internal/proxy/inbound.go
+++ b/internal/proxy/inbound.go
@@ -168,7 +168,7 @@
 		Late:     h.Get(headerLate) != "",
 		Rank:     r.priority,
 		Deadline: r.deadline,
-		Hot:      h.Get(headerHotKey) != "",
+		HotRead:  h.Get(headerHotKey) != "",
 	}
 	release, rejected := r.inbound.options.Agent.Admit(r.ctx, r.incarnation, priority, r.maxQueueWait())
 	if rejected != endpointagent.NotRejected {
@@ -205,7 +205,7 @@
 		r.recordOutcome(false)
 		return r.reply(nodeDeclined, strconv.Itoa(response.StatusCode))
 	case r.ctx.Err() != nil && outcome != callBroken:
-		return r.reply(nodeRejected, string(endpointagent.RejectedLate))
+		return r.reply(nodeRejected, string(endpointagent.RejectedDeadlineExceeded))
 	case r.ctx.Err() != nil:
 		return r.interrupted()
 	case outcome == callDialFailed:
