--- a/internal/endpointagent/admission_test.go
+++ b/internal/endpointagent/admission_test.go
@@ -10,13 +10,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pendingRequest is a request that waits in Admit until decided is closed.
+// pendingRequest is a call of Admit on its own goroutine. When the call has returned,
+// release and reason hold its results and decided is closed.
 type pendingRequest struct {
 	release func()
 	reason  RejectReason
 	decided chan struct{}
 }
 
+// isDecided reports whether Admit has returned.
 func (r *pendingRequest) isDecided() bool {
 	select {
 	case <-r.decided:
@@ -26,110 +28,125 @@
 	}
 }
 
-// interleavedRun plays one order of two requests, a drain and a new incarnation.
-type interleavedRun struct {
-	t        *testing.T
+// interleaving executes one order of the steps of two requests and of an endpoint that
+// drains, deregisters and is replaced by a new incarnation.
+type interleaving struct {
+	t *testing.T
+	// order contains the thread of each step: the index of a request, or
+	// endpointThread.
 	order    []int
 	agent    *Agent
 	requests [2]pendingRequest
-	steps    [3]int
-	drained  bool
-	// current is the incarnation that runs.
-	current string
+	// stepsDone is the number of steps that each thread has executed.
+	stepsDone [3]int
+	// draining is set once the agent has received the heartbeat that starts the drain.
+	draining bool
+	// wantID is the ID of the current incarnation.
+	wantID string
 }
 
+// endpointThread is the thread that executes the endpoint's steps.
 const endpointThread = 2
 
-// step plays the next step of a thread: a request's are to ask for a slot and to
-// free it, the endpoint's to drain, to deregister and to start anew.
-func (r *interleavedRun) step(ctx context.Context, thread int) {
+// runStep executes the next step of a thread. A request calls Admit, then releases its
+// slot. The endpoint reports that it is draining, deregisters, then sends the first
+// heartbeat of a new incarnation.
+func (r *interleaving) runStep(ctx context.Context, thread int) {
 	switch {
-	case thread < endpointThread && r.steps[thread] == 0:
+	case thread < endpointThread && r.stepsDone[thread] == 0:
 		r.admit(ctx, thread)
 	case thread < endpointThread:
 		r.finish(thread)
-	case r.steps[endpointThread] == 0:
+	case r.stepsDone[endpointThread] == 0:
 		r.agent.RecordHeartbeat(heartbeat("a", "draining", 2))
-		r.drained = true
-	case r.steps[endpointThread] == 1:
+		r.draining = true
+	case r.stepsDone[endpointThread] == 1:
 		r.agent.Deregister("a")
 	default:
 		qt.Check(r.t, r.agent.RecordHeartbeat(heartbeat("b", "ready", 1)), qt.IsTrue)
-		r.current = "b"
+		r.wantID = "b"
 	}
-	r.steps[thread]++
+	r.stepsDone[thread]++
 	synctest.Wait()
 }
 
-func (r *interleavedRun) admit(ctx context.Context, i int) {
-	q := &r.requests[i]
-	q.decided = make(chan struct{})
-	late := r.drained
+// admit starts request i. It fails the test if the request is admitted after the drain.
+func (r *interleaving) admit(ctx context.Context, i int) {
+	request := &r.requests[i]
+	request.decided = make(chan struct{})
+	afterDrain := r.draining
 	go func() {
-		q.release, q.reason = r.agent.Admit(ctx, "a", Priority{Rank: i, Deadline: time.Now().Add(time.Hour)}, time.Hour)
-		close(q.decided)
+		request.release, request.reason = r.agent.Admit(ctx, "a", Priority{Rank: i, Deadline: time.Now().Add(time.Hour)}, time.Hour)
+		close(request.decided)
 	}()
 	synctest.Wait()
-	if late {
-		<-q.decided
-		qt.Check(r.t, q.reason, qt.Not(qt.Equals), NotRejected, qt.Commentf("%v: admitted after the drain", r.order))
+	if afterDrain {
+		<-request.decided
+		qt.Check(r.t, request.reason, qt.Not(qt.Equals), NotRejected, qt.Commentf("%v: admitted after the drain", r.order))
 	}
 }
 
-func (r *interleavedRun) finish(i int) {
-	q := &r.requests[i]
-	if q.isDecided() && q.reason == NotRejected {
-		q.release()
-		q.reason = RejectedCanceled
+// finish releases the slot of request i if it holds one. The reason RejectedCanceled
+// then marks the request as finished.
+func (r *interleaving) finish(i int) {
+	request := &r.requests[i]
+	if request.isDecided() && request.reason == NotRejected {
+		request.release()
+		request.reason = RejectedCanceled
 		synctest.Wait()
 	}
 }
 
-func (r *interleavedRun) checkSlots() {
+// checkInvariants checks that at most one request holds the only slot and that none is
+// queued after the drain.
+func (r *interleaving) checkInvariants() {
 	running := 0
 	for i := range r.requests {
-		q := &r.requests[i]
-		if q.decided == nil {
+		request := &r.requests[i]
+		if request.decided == nil {
 			continue
 		}
-		if !q.isDecided() {
-			qt.Check(r.t, r.drained, qt.IsFalse, qt.Commentf("%v: still queued after the drain", r.order))
-		} else if q.reason == NotRejected {
+		if !request.isDecided() {
+			qt.Check(r.t, r.draining, qt.IsFalse, qt.Commentf("%v: still queued after the drain", r.order))
+		} else if request.reason == NotRejected {
 			running++
 		}
 	}
-	qt.Check(r.t, running <= 1, qt.IsTrue, qt.Commentf("%v: %d in one slot", r.order, running))
+	qt.Check(r.t, running <= 1, qt.IsTrue, qt.Commentf("%v: %d requests hold the only slot", r.order, running))
 }
 
-// Two requests, a drain and a new incarnation, in every order: at most one request
-// holds the only slot, none is admitted after the drain was acknowledged, and none
-// reaches an incarnation that it was not meant for.
-func TestAdmissionInEveryOrderOfDrainAndNewIncarnation(t *testing.T) {
-	n := 0
+// Races between admission, drain and replacement must not break slot accounting. In
+// every interleaving of two requests with a drain and a new incarnation, at most one
+// request holds the only slot, none is admitted after the drain was acknowledged, and
+// none reaches an incarnation that it was not addressed to.
+func TestAdmitInEveryInterleavingWithDrainAndReplacement(t *testing.T) {
+	count := 0
 	interleavings([]int{2, 2, 3}, func(order []int) {
-		n++
+		count++
 		synctest.Test(t, func(t *testing.T) {
 			a := newAgent(time.Now)
 			a.RecordHeartbeat(heartbeat("a", "ready", 1))
-			r := &interleavedRun{t: t, order: order, agent: a, current: "a"}
+			r := &interleaving{t: t, order: order, agent: a, wantID: "a"}
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			for _, thread := range order {
-				r.step(ctx, thread)
-				r.checkSlots()
+				r.runStep(ctx, thread)
+				r.checkInvariants()
 			}
-			qt.Check(t, a.Status().ID, qt.Equals, r.current)
-			qt.Check(t, a.RecordHeartbeat(heartbeat("a", "ready", 9)), qt.IsFalse, qt.Commentf("an ended incarnation came back"))
+			qt.Check(t, a.Status().ID, qt.Equals, r.wantID)
+			qt.Check(t, a.RecordHeartbeat(heartbeat("a", "ready", 9)), qt.IsFalse, qt.Commentf("heartbeat of an ended incarnation was accepted"))
 			qt.Check(t, a.Status().ID, qt.Equals, "b")
 			release, reason := a.Admit(ctx, "b", Priority{Deadline: time.Now().Add(time.Hour)}, time.Hour)
 			qt.Check(t, reason, qt.Equals, NotRejected)
 			release()
 		})
 	})
-	qt.Assert(t, n, qt.Equals, 210)
+	qt.Assert(t, count, qt.Equals, 210)
 }
 
-func TestQueueIsOrderedByRankThenDeadline(t *testing.T) {
+// Queued requests are admitted in priority order, not in order of arrival: late requests
+// last, then by rank, then by deadline.
+func TestQueueOrdersByLateRankAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newAgent(time.Now)
 		h := heartbeat("a", "ready", 1)
@@ -142,14 +159,14 @@
 			releases = append(releases, release)
 		}
 		admitted := make(chan string, 8)
-		for _, x := range []struct {
+		for _, request := range []struct {
 			late     bool
 			rank     int
-			deadline time.Duration
+			deadline time.Duration // in seconds from now
 		}{{false, 2, 10}, {false, 1, 30}, {true, 0, 5}, {false, 1, 20}, {false, 0, 40}} {
 			go func() {
-				release, reason := a.Admit(context.Background(), "a", Priority{Late: x.late, Rank: x.rank, Deadline: time.Now().Add(x.deadline * time.Second)}, time.Minute)
-				admitted <- fmt.Sprintf("%d %d %s", x.rank, int(x.deadline), reason)
+				release, reason := a.Admit(context.Background(), "a", Priority{Late: request.late, Rank: request.rank, Deadline: time.Now().Add(request.deadline * time.Second)}, time.Minute)
+				admitted <- fmt.Sprintf("%d %d %s", request.rank, int(request.deadline), reason)
 				if release != nil {
 					release()
 				}
@@ -164,11 +181,15 @@
 	})
 }
 
+// Hot reads that have reached their slot limit must wait in the queue, where other
+// requests overtake them. Rejecting them refused reads although slots were free.
 func TestHotReadsLeaveSlotsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := New(Options{HeartbeatInterval: time.Hour, MissedHeartbeats: 3, QueuePerSlot: 1, OnChange: func(Status) {}})
 		a.RecordHeartbeat(Heartbeat{ID: "a", Slots: 8, State: "ready", Seq: 1})
-		priority := func(hot bool) Priority { return Priority{Deadline: time.Now().Add(time.Minute), HotRead: hot} }
+		priority := func(hotRead bool) Priority {
+			return Priority{Deadline: time.Now().Add(time.Minute), HotRead: hotRead}
+		}
 		release, reason := a.Admit(context.Background(), "a", priority(false), 0)
 		qt.Assert(t, reason, qt.Equals, NotRejected)
 		release()
@@ -178,7 +199,7 @@
 			qt.Assert(t, reason, qt.Equals, NotRejected)
 			releases = append(releases, release)
 		}
-		// One more waits, and others pass it.
+		// A seventh hot read is queued, and other requests overtake it.
 		decision := make(chan RejectReason, 1)
 		go func() {
 			release, reason := a.Admit(context.Background(), "a", priority(true), time.Minute)
@@ -194,7 +215,7 @@
 		}
 		releases[7]()
 		synctest.Wait()
-		qt.Assert(t, len(decision), qt.Equals, 0, qt.Commentf("that slot is not for hot reads"))
+		qt.Assert(t, len(decision), qt.Equals, 0, qt.Commentf("hot read was admitted to a reserved slot"))
 		releases[0]()
 		synctest.Wait()
 		qt.Assert(t, <-decision, qt.Equals, NotRejected)
@@ -202,7 +223,7 @@
 			release()
 		}
 		qt.Assert(t, a.Load().Running, qt.Equals, 0)
-		// With nobody else about, all slots may be theirs.
+		// Without other requests, the reservation expires and hot reads may use all slots.
 		time.Sleep(2 * reservationPeriod)
 		qt.Assert(t, a.hotSlotLimit(time.Now()), qt.Equals, 8)
 	})
--- a/internal/endpointagent/agent_test.go
+++ b/internal/endpointagent/agent_test.go
@@ -8,7 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestEndpointWithoutHeartbeatsIsUnhealthyUntilItsNextHeartbeat(t *testing.T) {
+// An endpoint whose heartbeats stop must get no requests until a new heartbeat arrives;
+// a repeated one must not make it healthy.
+func TestMissedHeartbeatsMakeEndpointUnhealthyUntilNextHeartbeat(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := newAgent(func() time.Time { return now })
 	a.RecordHeartbeat(heartbeat("a", "ready", 1))
--- a/internal/endpointagent/bench_test.go
+++ b/internal/endpointagent/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkAdmit is what each request costs here while a slot is free.
+// BenchmarkAdmit measures the overhead of the agent per request while a slot is free.
 func BenchmarkAdmit(b *testing.B) {
 	a := newAgent(time.Now)
 	a.RecordHeartbeat(heartbeat("a", "ready", 1))
