--- a/internal/endpointagent/reject.go
+++ b/internal/endpointagent/reject.go
@@ -22,10 +22,11 @@
 	// is too long.
 	RejectedQueueFull RejectReason = "full"
 	// RejectedDeadlineExceeded means that the deadline passed while the request was
-	// queued.
+	// queued, or before the inbound proxy sent it to the endpoint.
 	RejectedDeadlineExceeded RejectReason = "late"
 	// RejectedStopping means that this node is shutting down.
 	RejectedStopping RejectReason = "stopping"
-	// RejectedCanceled means that the caller canceled the request while it was queued.
+	// RejectedCanceled means that the context passed to Admit ended while the request
+	// was queued.
 	RejectedCanceled RejectReason = "gave-up"
 )
