--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -206,12 +206,12 @@
 func (r *outboundRequest) recordAnsweredAttempt(result attemptResult) {
 	r.outbound.routeStats.recordDuration(r.route.Name, result.duration)
 	r.outbound.Flows.add(flowKey{
-		route:    r.route.Name,
-		kind:     r.route.Kind,
-		service:  r.service,
-		endpoint: result.endpoint.ID(),
-		node:     result.endpoint.Node(),
-		target:   r.route.LatencyTarget,
+		route:         r.route.Name,
+		kind:          r.route.Kind,
+		service:       r.service,
+		endpoint:      result.endpoint.ID(),
+		node:          result.endpoint.Node(),
+		latencyTarget: r.route.LatencyTarget,
 	}, result.duration)
 }
 
--- a/internal/proxy/flowmeter.go
+++ b/internal/proxy/flowmeter.go
@@ -9,45 +9,49 @@
 )
 
 const (
-	// flowBuckets and flowBucketSpan make up the window that flows are counted
-	// over: 10 s of past buckets, and the one under way.
-	flowBuckets    = 6
-	flowBucketSpan = 2 * time.Second
+	// flowBuckets is the number of buckets of the window: five complete ones, which
+	// are reported and cover 10 s, and the current one.
+	flowBuckets = 6
+	// flowBucketDuration is the time that one bucket covers.
+	flowBucketDuration = 2 * time.Second
 )
 
-// flowKey is what answered attempts are counted by.
+// flowKey identifies a flow: the answered attempts that are counted together.
 type flowKey struct {
-	route    string
-	kind     routeconfig.RouteKind
-	service  string
-	endpoint string
-	node     string
-	target   time.Duration
+	route         string
+	kind          routeconfig.RouteKind
+	service       string
+	endpoint      string
+	node          string
+	latencyTarget time.Duration
 }
 
+// flowTotal is the number of answered attempts and their total duration.
 type flowTotal struct {
-	count int
-	took  time.Duration
+	attempts int
+	duration time.Duration
 }
 
-// FlowMeter counts the answered attempts of the last seconds by route and
-// endpoint. It is safe for concurrent use.
+// FlowMeter counts the answered attempts of the last 10 s by route and endpoint,
+// and sums up their durations. It is safe for concurrent use.
 type FlowMeter struct {
 	now     func() time.Time
 	started time.Time
 
-	mu      sync.Mutex
-	bucket  int64
+	mu sync.Mutex
+	// bucket is the number of the current bucket, counted from started.
+	bucket int64
+	// buckets is a ring, indexed by the bucket's number modulo flowBuckets.
 	buckets [flowBuckets]map[flowKey]flowTotal
 }
 
-// NewFlowMeter returns a meter that takes the time from now.
+// NewFlowMeter returns an empty meter that uses now as its clock.
 func NewFlowMeter(now func() time.Time) *FlowMeter { return &FlowMeter{now: now, started: now()} }
 
-// advance empties the buckets that the window has left behind and returns the
-// number of the one under way.
+// advance clears the buckets that have left the window and returns the number of
+// the current bucket. The caller must hold m.mu.
 func (m *FlowMeter) advance() int64 {
-	bucket := int64(m.now().Sub(m.started) / flowBucketSpan)
+	bucket := int64(m.now().Sub(m.started) / flowBucketDuration)
 	for ; m.bucket < bucket; m.bucket++ {
 		m.buckets[(m.bucket+1)%flowBuckets] = nil
 		if bucket-m.bucket > flowBuckets {
@@ -57,7 +61,8 @@
 	return bucket
 }
 
-func (m *FlowMeter) add(key flowKey, took time.Duration) {
+// add counts one answered attempt in the current bucket.
+func (m *FlowMeter) add(key flowKey, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	i := m.advance() % flowBuckets
@@ -65,16 +70,17 @@
 		m.buckets[i] = map[flowKey]flowTotal{}
 	}
 	total := m.buckets[i][key]
-	m.buckets[i][key] = flowTotal{total.count + 1, total.took + took}
+	m.buckets[i][key] = flowTotal{total.attempts + 1, total.duration + duration}
 }
 
-// Report returns the flows of the buckets that are past, and the time that these
-// span.
+// Report returns the flows of the complete buckets, with their rates and average
+// durations, and the time that these buckets cover. Until the first bucket is
+// complete it returns nil and 0.
 func (m *FlowMeter) Report() ([]*meshpb.Flow, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	current := m.advance()
-	span := time.Duration(min(current, flowBuckets-1)) * flowBucketSpan
+	span := time.Duration(min(current, flowBuckets-1)) * flowBucketDuration
 	if span == 0 {
 		return nil, 0
 	}
@@ -86,15 +92,15 @@
 			Service:         key.service,
 			Endpoint:        key.endpoint,
 			Node:            key.node,
-			LatencyTargetMs: uint64(key.target / time.Millisecond),
-			PerS:            float64(total.count) / span.Seconds(),
-			WorkMs:          float64(total.took.Milliseconds()) / float64(total.count),
+			LatencyTargetMs: uint64(key.latencyTarget / time.Millisecond),
+			PerS:            float64(total.attempts) / span.Seconds(),
+			WorkMs:          float64(total.duration.Milliseconds()) / float64(total.attempts),
 		})
 	}
 	return flows, span
 }
 
-// totals adds up all buckets but the current one.
+// totals adds up all buckets except the one at index current.
 func (m *FlowMeter) totals(current int64) map[flowKey]flowTotal {
 	totals := map[flowKey]flowTotal{}
 	for i, bucket := range m.buckets {
@@ -103,7 +109,7 @@
 		}
 		for key, total := range bucket {
 			sum := totals[key]
-			totals[key] = flowTotal{sum.count + total.count, sum.took + total.took}
+			totals[key] = flowTotal{sum.attempts + total.attempts, sum.duration + total.duration}
 		}
 	}
 	return totals
