--- a/internal/proxy/pacer_test.go
+++ b/internal/proxy/pacer_test.go
@@ -10,6 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// timedWriter records the time of each write since started, and counts the bytes.
 type timedWriter struct {
 	mu      sync.Mutex
 	writes  []time.Duration
@@ -17,80 +18,81 @@
 	bytes   int
 }
 
-func (s *timedWriter) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.bytes += len(b)
-	s.writes = append(s.writes, time.Since(s.started))
+func (w *timedWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.bytes += len(b)
+	w.writes = append(w.writes, time.Since(w.started))
 	return len(b), nil
 }
 
-func TestPacerKeepsLargeBodiesToTheLinkAndLetsSmallOnesPass(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p, late := NewPacer(8), time.Now().Add(time.Hour)
-		big, small := &timedWriter{started: time.Now()}, &timedWriter{started: time.Now()}
+func TestPacerLimitsLargeBodiesToLinkRateWithoutDelayingSmallOnes(t *testing.T) {
+	inVirtualTime(t, "small bodies beside large ones", func(t *testing.T) {
+		p, deadline := NewPacer(8), time.Now().Add(time.Hour)
+		large, small := &timedWriter{started: time.Now()}, &timedWriter{started: time.Now()}
 		var wg sync.WaitGroup
 		for range 4 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				qt.Check(t, p.write(big, make([]byte, 225_000), late), qt.IsNil)
+				qt.Check(t, p.write(large, make([]byte, 225_000), deadline), qt.IsNil)
 			}()
 		}
 		time.Sleep(100 * time.Millisecond)
 		qt.Assert(t, p.backlog(time.Now()) > 0, qt.IsTrue)
 		for range 10 {
-			qt.Check(t, p.write(small, make([]byte, 500), late), qt.IsNil)
+			qt.Check(t, p.write(small, make([]byte, 500), deadline), qt.IsNil)
 		}
 		qt.Assert(t, small.writes[9], qt.Equals, 100*time.Millisecond)
 		wg.Wait()
-		end := big.writes[len(big.writes)-1]
+		end := large.writes[len(large.writes)-1]
 		qt.Assert(t, end > 940*time.Millisecond && end < 1040*time.Millisecond, qt.IsTrue, qt.Commentf("900 kB at 0.91 of 1 MB/s took %v", end))
-		qt.Assert(t, big.bytes, qt.Equals, 900_000)
+		qt.Assert(t, large.bytes, qt.Equals, 900_000)
 	})
-	synctest.Test(t, func(t *testing.T) {
-		p, late := NewPacer(8), time.Now().Add(time.Hour)
-		first := p.acquire(100_000, late)
+	inVirtualTime(t, "shorter bodies first, one stalled", func(t *testing.T) {
+		p, deadline := NewPacer(8), time.Now().Add(time.Hour)
+		releaseFirst := p.acquire(100_000, deadline)
 		var mu sync.Mutex
 		var order []int
 		var wg sync.WaitGroup
-		for _, n := range []int{300_000, 60_000, 90_000} {
+		const stalled = 60_000
+		for _, size := range []int{300_000, stalled, 90_000} {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l := p.acquire(n, late)
+				release := p.acquire(size, deadline)
 				mu.Lock()
-				order = append(order, n)
+				order = append(order, size)
 				mu.Unlock()
-				if n != 60_000 {
-					l()
+				if size != stalled {
+					release()
 				}
 			}()
 			synctest.Wait()
 		}
-		first()
+		releaseFirst()
 		wg.Wait()
-		qt.Assert(t, order, qt.DeepEquals, []int{60_000, 90_000, 300_000}, qt.Commentf("one whose other side takes nothing must not hold the rest"))
-		qt.Assert(t, p.backlog(time.Now()) >= 0 && p.largeBytes == 0, qt.IsTrue)
+		qt.Assert(t, order, qt.DeepEquals, []int{stalled, 90_000, 300_000}, qt.Commentf("a body whose receiver does not read must not block the others"))
+		qt.Assert(t, p.backlog(time.Now()) >= 0 && p.pendingLargeBytes == 0, qt.IsTrue)
 	})
-	synctest.Test(t, func(t *testing.T) {
+	inVirtualTime(t, "deadline while waiting", func(t *testing.T) {
 		p := NewPacer(8)
-		slow, quick := &timedWriter{started: time.Now()}, &timedWriter{started: time.Now()}
+		holding, waiting := &timedWriter{started: time.Now()}, &timedWriter{started: time.Now()}
 		done := make(chan bool)
 		go func() {
-			qt.Check(t, p.write(slow, make([]byte, 900_000), time.Now().Add(time.Hour)), qt.IsNil)
+			qt.Check(t, p.write(holding, make([]byte, 900_000), time.Now().Add(time.Hour)), qt.IsNil)
 			close(done)
 		}()
 		synctest.Wait()
-		qt.Check(t, p.write(quick, make([]byte, 100_000), time.Now().Add(300*time.Millisecond)), qt.IsNil)
-		end := quick.writes[len(quick.writes)-1]
-		qt.Assert(t, end, qt.Equals, 300*time.Millisecond, qt.Commentf("what is due does not wait for the link"))
+		qt.Check(t, p.write(waiting, make([]byte, 100_000), time.Now().Add(300*time.Millisecond)), qt.IsNil)
+		end := waiting.writes[len(waiting.writes)-1]
+		qt.Assert(t, end, qt.Equals, 300*time.Millisecond, qt.Commentf("a body does not wait for the link beyond its deadline"))
 		<-done
-		qt.Assert(t, p.largeBytes == 0 && !p.busy, qt.IsTrue)
+		qt.Assert(t, p.pendingLargeBytes == 0 && !p.busy, qt.IsTrue)
 	})
-	var none *Pacer
+	var nilPacer *Pacer
 	var b bytes.Buffer
-	qt.Assert(t, none.write(&b, make([]byte, 50_000), time.Time{}), qt.IsNil)
+	qt.Assert(t, nilPacer.write(&b, make([]byte, 50_000), time.Time{}), qt.IsNil)
 	qt.Assert(t, b.Len(), qt.Equals, 50_000)
 	qt.Assert(t, NewPacer(0) == nil, qt.IsTrue)
 }
