--- a/internal/proxy/localreply/localreply.go
+++ b/internal/proxy/localreply/localreply.go
@@ -1,12 +1,12 @@
-// Package localreply has the responses that the mesh writes itself, where no
-// endpoint's own response is passed on.
+// Package localreply defines the responses that the mesh generates itself when it
+// does not forward a response of an endpoint.
 //
-// A status code is a promise. 503, 429, 408 and 421 say that the request has not
-// run and never will, so that a client may send it again; 502 and 504 say that
-// it may have run.
+// The status code guarantees whether the request has run. 503, 429, 408 and 421
+// mean that the request has not run and never will, so that the client may safely
+// retry it; 502 and 504 mean that it may have run.
 //
-// The package is a fixed table: it has no state and writes nothing to a client,
-// which is for package proxy to do.
+// The package is a constant table without state. Package proxy writes the
+// responses to clients.
 package localreply
 
 import (
@@ -14,35 +14,35 @@
 	"time"
 )
 
-// Reply names a response that the mesh writes itself.
+// Reply identifies a response that the mesh generates itself.
 type Reply int
 
 const (
-	// NoRoute says that the configuration has no route for the request.
+	// NoRoute means that no route of the configuration matches the request.
 	NoRoute Reply = iota
-	// NotReady says that this node has no configuration or view yet, or is
+	// NotReady means that this node has no configuration or view yet, or is
 	// shutting down.
 	NotReady
-	// Malformed says that the request's target can't be served.
+	// Malformed means that the request's target is invalid.
 	Malformed
-	// BodyTooLarge says that the request's body is over the configured limit.
+	// BodyTooLarge means that the request's body exceeds the configured limit.
 	BodyTooLarge
-	// NoEndpoint says that no endpoint could take the request.
+	// NoEndpoint means that no endpoint accepted the request.
 	NoEndpoint
-	// Expired says that the request's time was over before it reached an endpoint.
+	// Expired means that the deadline passed before the request reached an endpoint.
 	Expired
-	// Broken says that an endpoint that may have run the request gave no complete
-	// response.
+	// Broken means that an endpoint that may have run the request sent no valid
+	// complete response.
 	Broken
-	// TimedOut says that the request's time was over at an endpoint that may have
-	// run it.
+	// TimedOut means that the deadline passed while an endpoint may have been running
+	// the request.
 	TimedOut
-	// BodyIncomplete says that the request's body broke off.
+	// BodyIncomplete means that the request's body ended early or could not be read.
 	BodyIncomplete
-	// Forbidden says that the route's policy does not allow the request.
+	// Forbidden means that the route's policy denies the request.
 	Forbidden
-	// ShuttingDown says that this node's process ends before the endpoint, which
-	// may have run the request, has answered.
+	// ShuttingDown means that this node's process exits before the endpoint, which
+	// may have run the request, has responded.
 	ShuttingDown
 
 	// Count is the number of replies.
@@ -50,28 +50,32 @@
 )
 
 const (
-	// retryAfterStart is the least time after which a client is asked to retry
-	// at a node that is not ready: a node needs about that long to become ready.
-	retryAfterStart = 500 * time.Millisecond
-	// retryAfterBusy is the least time after which a client is asked to retry
-	// where no endpoint had room.
-	retryAfterBusy = 100 * time.Millisecond
+	// retryAfterNotReady is the minimum delay before clients retry at a node that is
+	// not ready. A node needs about this long to become ready.
+	retryAfterNotReady = 500 * time.Millisecond
+	// retryAfterNoCapacity is the minimum delay before clients retry if no endpoint
+	// had capacity.
+	retryAfterNoCapacity = 100 * time.Millisecond
 )
 
-// definition is what a reply looks like.
+// definition is the content of a reply.
 type definition struct {
-	code       int
+	code int
+	// retryAfter is the minimum delay of a retry, or 0 if the reply suggests none.
 	retryAfter time.Duration
-	text       string
+	// text is the body.
+	text string
 }
 
+// definitions holds the content of each reply. Clients receive the texts as
+// response bodies.
 var definitions = [Count]definition{
 	NoRoute:        {code: http.StatusNotFound, text: "no binding"},
-	NotReady:       {code: http.StatusServiceUnavailable, retryAfter: retryAfterStart, text: "not ready"},
+	NotReady:       {code: http.StatusServiceUnavailable, retryAfter: retryAfterNotReady, text: "not ready"},
 	Malformed:      {code: http.StatusBadRequest, text: "malformed request"},
 	BodyTooLarge:   {code: http.StatusRequestEntityTooLarge, text: "body too large"},
-	NoEndpoint:     {code: http.StatusServiceUnavailable, retryAfter: retryAfterBusy, text: "no endpoint can take this now; it has not run"},
-	Expired:        {code: http.StatusServiceUnavailable, retryAfter: retryAfterBusy, text: "out of time; it has not run"},
+	NoEndpoint:     {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "no endpoint can take this now; it has not run"},
+	Expired:        {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "out of time; it has not run"},
 	Broken:         {code: http.StatusBadGateway, text: "the endpoint gave no whole answer; it may have run"},
 	TimedOut:       {code: http.StatusGatewayTimeout, text: "out of time; it may have run"},
 	BodyIncomplete: {code: http.StatusBadRequest, text: "the body did not arrive whole"},
@@ -79,18 +83,18 @@
 	ShuttingDown:   {code: http.StatusGatewayTimeout, text: "shutting down; it may have run"},
 }
 
-// Code returns the reply's status code.
+// Code returns the reply's HTTP status code.
 func (r Reply) Code() int { return definitions[r].code }
 
 // Text returns the reply's body.
 func (r Reply) Text() string { return definitions[r].text }
 
-// RetryAfter returns the least time after which the client is asked to retry, or
-// 0 where it is not asked to.
+// RetryAfter returns the minimum delay before the client should retry, or 0 if the
+// reply suggests no retry.
 func (r Reply) RetryAfter() time.Duration { return definitions[r].retryAfter }
 
-// GuaranteesNotRun tells whether a status code says that the request has not run
-// and never will.
+// GuaranteesNotRun reports whether an HTTP status code guarantees that the request
+// has not run and never will.
 func GuaranteesNotRun(code int) bool {
 	switch code {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
