--- a/internal/proxy/localreply/localreply.go
+++ b/internal/proxy/localreply/localreply.go
@@ -31,9 +31,9 @@
 	NoEndpoint
 	// Expired means that the deadline passed before the request reached an endpoint.
 	Expired
-	// Broken means that an endpoint that may have run the request sent no valid
-	// complete response.
-	Broken
+	// InvalidResponse means that an endpoint that may have run the request sent no
+	// valid complete response.
+	InvalidResponse
 	// TimedOut means that the deadline passed while an endpoint may have been running
 	// the request.
 	TimedOut
@@ -70,17 +70,17 @@
 // definitions holds the content of each reply. Clients receive the texts as
 // response bodies.
 var definitions = [Count]definition{
-	NoRoute:        {code: http.StatusNotFound, text: "no binding"},
-	NotReady:       {code: http.StatusServiceUnavailable, retryAfter: retryAfterNotReady, text: "not ready"},
-	Malformed:      {code: http.StatusBadRequest, text: "malformed request"},
-	BodyTooLarge:   {code: http.StatusRequestEntityTooLarge, text: "body too large"},
-	NoEndpoint:     {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "no endpoint can take this now; it has not run"},
-	Expired:        {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "out of time; it has not run"},
-	Broken:         {code: http.StatusBadGateway, text: "the endpoint gave no whole answer; it may have run"},
-	TimedOut:       {code: http.StatusGatewayTimeout, text: "out of time; it may have run"},
-	BodyIncomplete: {code: http.StatusBadRequest, text: "the body did not arrive whole"},
-	Forbidden:      {code: http.StatusForbidden, text: "the binding's policy bars this request"},
-	ShuttingDown:   {code: http.StatusGatewayTimeout, text: "shutting down; it may have run"},
+	NoRoute:         {code: http.StatusNotFound, text: "no binding"},
+	NotReady:        {code: http.StatusServiceUnavailable, retryAfter: retryAfterNotReady, text: "not ready"},
+	Malformed:       {code: http.StatusBadRequest, text: "malformed request"},
+	BodyTooLarge:    {code: http.StatusRequestEntityTooLarge, text: "body too large"},
+	NoEndpoint:      {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "no endpoint can take this now; it has not run"},
+	Expired:         {code: http.StatusServiceUnavailable, retryAfter: retryAfterNoCapacity, text: "out of time; it has not run"},
+	InvalidResponse: {code: http.StatusBadGateway, text: "the endpoint gave no whole answer; it may have run"},
+	TimedOut:        {code: http.StatusGatewayTimeout, text: "out of time; it may have run"},
+	BodyIncomplete:  {code: http.StatusBadRequest, text: "the body did not arrive whole"},
+	Forbidden:       {code: http.StatusForbidden, text: "the binding's policy bars this request"},
+	ShuttingDown:    {code: http.StatusGatewayTimeout, text: "shutting down; it may have run"},
 }
 
 // Code returns the reply's HTTP status code.
--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -185,7 +185,7 @@
 	case Failed:
 		p.arrive(endpoint)
 		p.mayHaveRun = true
-		return localreply.Broken, !p.route.Kind.Idempotent() || bodyStarted
+		return localreply.InvalidResponse, !p.route.Kind.Idempotent() || bodyStarted
 	}
 	p.mayHaveRun = true
 	return localreply.TimedOut, true
@@ -249,7 +249,7 @@
 		if expired {
 			return localreply.TimedOut
 		}
-		return localreply.Broken
+		return localreply.InvalidResponse
 	case reply == localreply.NoEndpoint && expired:
 		return localreply.Expired
 	}
--- a/internal/proxy/retry/plan_test.go
+++ b/internal/proxy/retry/plan_test.go
@@ -180,7 +180,7 @@
 	if run.mayHaveRun > 0 {
 		qt.Assert(t, run.purchaseEnded, qt.IsTrue)
 		reply, _ := run.purchase.AttemptFailed(run.purchaseAt, Failed, false)
-		qt.Assert(t, run.purchase.FinalReply(reply, false), qt.Equals, localreply.Broken)
+		qt.Assert(t, run.purchase.FinalReply(reply, false), qt.Equals, localreply.InvalidResponse)
 	} else {
 		qt.Assert(t, action != Send || endpoint != nil, qt.IsTrue)
 	}
