--- a/internal/proxy/faultrig_test.go
+++ b/internal/proxy/faultrig_test.go
@@ -193,6 +193,8 @@
 	client *http.Transport
 }
 
+// faultConfig has one route for each kind of route. Its argument is the maximum number
+// of attempts.
 const faultConfig = `{"stamp":"r1","resourceList":[
 {"variant":"bindingList","metadata":{"name":"p"},"specification":{"hostname":"a","pathPrefix":"/p/","bindingKind":"pure","timeoutS":3,"targetS":0.5,"serviceName":"s","maxAttempts":%[1]d}},
 {"variant":"bindingList","metadata":{"name":"d"},"specification":{"hostname":"a","pathPrefix":"/d/","bindingKind":"download","timeoutS":3,"targetS":0.5,"serviceName":"s","maxAttempts":%[1]d}},
@@ -212,84 +214,86 @@
 // newFaultRig starts a node and the given number of endpoints. All of its routes
 // allow maxAttempts attempts.
 func newFaultRig(t *testing.T, hop string, endpoints, maxAttempts int, f fault) *faultRig {
-	s := &faultRig{
+	rig := &faultRig{
 		network: &memoryNetwork{},
 		runs:    &runLog{runs: map[string][]string{}, bodies: map[string]string{}},
 		fault:   f,
 	}
 	view := &meshpb.View{Version: 1, Nodes: 1}
 	for i := range endpoints {
-		view.Endpoints = append(view.Endpoints, s.addEndpoint(hop, i))
+		view.Endpoints = append(view.Endpoints, rig.addEndpoint(hop, i))
 	}
 	balancer := loadbalancer.New("z", 1, 1)
 	balancer.ApplyView(view)
-	s.outbound = NewOutbound(OutboundOptions{
+	rig.outbound = NewOutbound(OutboundOptions{
 		Service:     "caller",
 		Balancer:    balancer,
 		Routes:      compileRoutes(t, fmt.Sprintf(faultConfig, maxAttempts)),
-		Transport:   s.network.Transport(),
-		AppClient:   s.network.appClient(),
+		Transport:   rig.network.Transport(),
+		AppClient:   rig.network.appClient(),
 		RetryBudget: newTestBudget(400),
 		Ready:       alwaysReady,
 		BufferLimit: testBufferLimit,
 	})
-	go serveHTTP(s.outbound, s.network.Listen("out"))
-	s.client = s.network.Transport()
-	return s
+	go serveHTTP(rig.outbound, rig.network.Listen("out"))
+	rig.client = rig.network.Transport()
+	return rig
 }
 
 // addEndpoint starts the faulty peer: the endpoint or, for nodeToNode, its sidecar.
 // For inboundToEndpoint it also starts a working sidecar in front of the endpoint.
-func (s *faultRig) addEndpoint(hop string, index int) *meshpb.Endpoint {
+func (rig *faultRig) addEndpoint(hop string, index int) *meshpb.Endpoint {
 	const slots = 4
 	id, appAddr, inboundAddr := fmt.Sprint("e", index), fmt.Sprint("app", index), fmt.Sprint("in", index)
 	e := &meshpb.Endpoint{Id: id, Service: "s", Zone: "z", Slots: slots, State: "up"}
 	switch hop {
 	case gatewayToEndpoint:
 		e.Addr = appAddr
-		go s.serve(id, s.network.Listen(appAddr))
+		go rig.serve(id, rig.network.Listen(appAddr))
 	case nodeToNode:
 		e.Inbound = inboundAddr
-		go s.serve(id, s.network.Listen(inboundAddr))
+		go rig.serve(id, rig.network.Listen(inboundAddr))
 	default:
 		e.Inbound = inboundAddr
-		go s.serve(id, s.network.Listen(appAddr))
+		go rig.serve(id, rig.network.Listen(appAddr))
 		agent := newTestAgent(id, slots)
-		s.agents = append(s.agents, agent)
-		inbound := NewInbound(InboundOptions{AppAddr: appAddr, Agent: agent, AppClient: s.network.appClient(), BufferLimit: testBufferLimit})
-		go serveHTTP(inbound, s.network.Listen(inboundAddr))
+		rig.agents = append(rig.agents, agent)
+		inbound := NewInbound(InboundOptions{AppAddr: appAddr, Agent: agent, AppClient: rig.network.appClient(), BufferLimit: testBufferLimit})
+		go serveHTTP(inbound, rig.network.Listen(inboundAddr))
 	}
 	return e
 }
 
 // shouldInject reports whether the fault is to be injected now, and disarms the rig
 // unless the fault occurs always.
-func (s *faultRig) shouldInject() bool {
-	return s.armed.Load() && (s.fault.always || s.armed.CompareAndSwap(true, false))
+func (rig *faultRig) shouldInject() bool {
+	return rig.armed.Load() && (rig.fault.always || rig.armed.CompareAndSwap(true, false))
 }
 
 // close closes the network and waits, in virtual time, for all goroutines to end.
-func (s *faultRig) close() {
-	s.network.Close()
+func (rig *faultRig) close() {
+	rig.network.Close()
 	time.Sleep(time.Minute)
 }
 
-func (s *faultRig) serve(id string, l net.Listener) {
+// serve accepts the connections to the peer of the endpoint with the given ID.
+func (rig *faultRig) serve(id string, l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go s.serveConn(id, &faultyPeer{Conn: c, reader: bufio.NewReader(c)})
+		go rig.serveConn(id, &faultyPeer{Conn: c, reader: bufio.NewReader(c)})
 	}
 }
 
-func (s *faultRig) serveConn(id string, c *faultyPeer) {
+// serveConn answers the requests on a connection and injects the fault.
+func (rig *faultRig) serveConn(id string, c *faultyPeer) {
 	defer closeQuietly(c)
 	for ; ; c.requestCount++ {
-		eligible := c.requestCount > 0 || !s.fault.reusedOnly
-		if eligible && s.fault.beforeRequest != nil && s.shouldInject() {
-			s.fault.beforeRequest(c)
+		eligible := c.requestCount > 0 || !rig.fault.reusedOnly
+		if eligible && rig.fault.beforeRequest != nil && rig.shouldInject() {
+			rig.fault.beforeRequest(c)
 			return
 		}
 		r, err := http.ReadRequest(c.reader)
@@ -299,13 +303,13 @@
 		if r.Header.Get("Expect") != "" {
 			writeText(c, "HTTP/1.1 100 Continue\r\n\r\n")
 		}
-		b, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		s.runs.add(r.Header.Get(headerRequestID), id, string(b))
-		if eligible && s.fault.afterRequest != nil && s.shouldInject() {
-			if !s.fault.afterRequest(c, r) {
+		rig.runs.add(r.Header.Get(headerRequestID), id, string(body))
+		if eligible && rig.fault.afterRequest != nil && rig.shouldInject() {
+			if !rig.fault.afterRequest(c, r) {
 				return
 			}
 			continue
@@ -325,11 +329,12 @@
 }
 
 // send sends a request of the given kind to the node and reads the response.
-func (s *faultRig) send(kind, id string, deadline time.Duration) testResponse {
-	return s.sendWithContext(context.Background(), kind, id, deadline)
+func (rig *faultRig) send(kind, id string, deadline time.Duration) testResponse {
+	return rig.sendWithContext(context.Background(), kind, id, deadline)
 }
 
-func (s *faultRig) sendWithContext(ctx context.Context, kind, id string, deadline time.Duration) testResponse {
+// sendWithContext is like send but cancels the request when ctx ends.
+func (rig *faultRig) sendWithContext(ctx context.Context, kind, id string, deadline time.Duration) testResponse {
 	k := requestKinds[kind]
 	r, err := http.NewRequestWithContext(ctx, k.method, "http://out"+k.path, strings.NewReader(strings.Repeat("x", k.bodyBytes)))
 	if err != nil {
@@ -341,7 +346,7 @@
 	// With this header, net/http considers any request safe to send again. The node
 	// must not.
 	r.Header.Set("Idempotency-Key", "k")
-	return roundTrip(s.client, r)
+	return roundTrip(rig.client, r)
 }
 
 // roundTrip sends a request and reads the whole response.
