--- a/internal/routeconfig/hot_key_test.go
+++ b/internal/routeconfig/hot_key_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestHotKeysAreExtractedFromTheirSource(t *testing.T) {
+func TestHotKeyIsExtractedFromItsSource(t *testing.T) {
 	header := func(name string) string { return map[string]string{"X-Coop": "c7"}[name] }
 	for text, want := range map[string]string{"path 1": "final", "path 2": "seats", "path 3": "", "query co-op": "a%20b", "query nope": "", "header x-coop": "c7", "header X-No": ""} {
 		source, err := ParseHotKeySource(text)
@@ -22,7 +22,7 @@
 {"variant":"serviceList","metadata":{"name":"s"},"specification":{"soundnessPath":"/h"}}]}`
 	config, err := Parse([]byte(data))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, config.Resources[0].Route.HotKey, qt.Equals, HotKeySource{Location: LocationPath, Segment: 1})
+	qt.Assert(t, config.Resources[0].Route.HotKey, qt.Equals, HotKeySource{Location: HotKeyLocationPath, Segment: 1})
 	_, err = Parse([]byte(strings.Replace(data, "path 1", "path one", 1)))
 	qt.Assert(t, err, qt.ErrorMatches, ".*hotKey.*path one.*")
 	other, _ := Parse([]byte(strings.Replace(data, `"r1"`, `"r9"`, 1)))
--- a/internal/routeconfig/session_key.go
+++ b/internal/routeconfig/session_key.go
@@ -6,34 +6,34 @@
 	"strings"
 )
 
-// Places that a request may name its session in.
+// Locations of a session key in a request, as the configuration writes them.
 const (
-	sessionInHeader = "header"
-	sessionInCookie = "cookie"
+	sessionLocationHeader = "header"
+	sessionLocationCookie = "cookie"
 )
 
-// SessionKeySource tells where requests of a route name their session; nowhere
-// if Name is empty.
+// SessionKeySource tells where a route's requests carry their session key. An empty
+// Name means that they carry none.
 type SessionKeySource struct {
-	// FromCookie chooses a cookie; otherwise it is a header.
+	// FromCookie is true if the key is in a cookie, and false if it is in a header.
 	FromCookie bool
-	// Name is the cookie's, or the header's in canonical form.
+	// Name is the name of the cookie, or of the header in canonical form.
 	Name string
 }
 
-// String returns the source as ParseSessionKeySource reads it.
+// String returns the source in the form that ParseSessionKeySource reads.
 func (k SessionKeySource) String() string {
 	switch {
 	case k.Name == "":
 		return ""
 	case k.FromCookie:
-		return sessionInCookie + " " + k.Name
+		return sessionLocationCookie + " " + k.Name
 	}
-	return sessionInHeader + " " + k.Name
+	return sessionLocationHeader + " " + k.Name
 }
 
-// ParseSessionKeySource reads "header NAME" or "cookie NAME"; an empty text
-// names no source.
+// ParseSessionKeySource parses "header NAME" or "cookie NAME" and returns an error for
+// any other text. An empty text gives the zero SessionKeySource.
 func ParseSessionKeySource(text string) (SessionKeySource, error) {
 	if text == "" {
 		return SessionKeySource{}, nil
@@ -41,16 +41,16 @@
 	location, name, _ := strings.Cut(text, " ")
 	if isToken(name) {
 		switch location {
-		case sessionInHeader:
+		case sessionLocationHeader:
 			return SessionKeySource{Name: textproto.CanonicalMIMEHeaderKey(name)}, nil
-		case sessionInCookie:
+		case sessionLocationCookie:
 			return SessionKeySource{FromCookie: true, Name: name}, nil
 		}
 	}
-	return SessionKeySource{}, fmt.Errorf("%q is no \"header NAME\" or \"cookie NAME\"", text)
+	return SessionKeySource{}, fmt.Errorf("%q is not \"header NAME\" or \"cookie NAME\"", text)
 }
 
-// isToken tells whether the text may be the name of a header or a cookie.
+// isToken reports whether the text can be the name of a header or a cookie.
 func isToken(text string) bool {
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", c)
