--- a/internal/routeconfig/config.go
+++ b/internal/routeconfig/config.go
@@ -11,63 +11,75 @@
 	"github.com/go-faster/jx"
 )
 
-// Service is a group of endpoints that do the same.
+// Service is a group of interchangeable endpoints.
 type Service struct {
+	// Name is the name of the service's resource.
 	Name string
-	// HealthCheckPath is what health checks ask for.
+	// HealthCheckPath is the path that health checks request.
 	HealthCheckPath string
-	MaxConnections  int
-	Protocol        string
-	TLS             bool
+	// MaxConnections is the configured maximum number of connections.
+	MaxConnections int
+	// Protocol is the configured protocol, such as h1.
+	Protocol string
+	// TLS is the configured TLS mode.
+	TLS bool
 }
 
-// Limits bounds what a node accepts from its clients.
+// Limits restricts what a node accepts from its clients.
 type Limits struct {
+	// MaxHeaderBytes is the maximum size of a request's headers.
 	MaxHeaderBytes int
-	MaxBodyBytes   int64
-	// HeaderTimeout is for how long a client may take to send a request's headers.
+	// MaxBodyBytes is the maximum size of a request's body.
+	MaxBodyBytes int64
+	// HeaderTimeout is how long a client may take to send a request's headers.
 	HeaderTimeout time.Duration
-	// IdleTimeout is for how long a connection is kept without a request.
+	// IdleTimeout is how long a connection is kept open without a request.
 	IdleTimeout time.Duration
 }
 
-// DefaultLimits holds where the configuration gives none.
+// DefaultLimits returns the limits that apply where the configuration sets none.
 func DefaultLimits() Limits {
 	return Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
-// Resource is one entry of the configuration: what was read of it, and its own
+// Resource is one entry of the configuration: its decoded fields and its original
 // bytes.
 type Resource struct {
-	// Variant is the kind of the resource, as the configuration has it; it decides
+	// Variant is the resource's type as the configuration writes it; it determines
 	// which one of Route, Service and Limits is set.
 	Variant string
-	Name    string
-	Raw     jx.Raw
-	Route   Route
+	// Name is unique within the variant; it may be empty for limits.
+	Name string
+	// Raw is the resource's JSON as it was received, unknown fields included.
+	Raw jx.Raw
+	// Route is set if the variant is bindingList.
+	Route Route
+	// Service is set if the variant is serviceList.
 	Service Service
-	Limits  Limits
+	// Limits is set if the variant is limitSet.
+	Limits Limits
 }
 
-// resourceID names a resource within a configuration.
+// resourceID identifies a resource within a configuration.
 type resourceID struct{ variant, name string }
 
 func (r Resource) id() resourceID { return resourceID{r.Variant, r.Name} }
 
-// Config is a configuration.
+// Config holds the resources of one version of the configuration.
 type Config struct {
-	// Version rises with each change; 0 is no configuration.
-	Version   uint64
+	// Version increases with each change; 0 means that there is no configuration.
+	Version uint64
+	// Resources are in the order of the configuration.
 	Resources []Resource
 }
 
-// HasHotKeys tells that some route has a hot key.
+// HasHotKeys reports whether any route has a hot key source.
 func (c Config) HasHotKeys() bool {
 	return slices.ContainsFunc(c.Resources, func(r Resource) bool { return r.Route.HotKey.Location != "" })
 }
 
-// Marshal writes the configuration as Parse reads it, each resource byte for
-// byte as it came.
+// Marshal encodes the configuration in the form that Parse reads. Each resource
+// keeps its original bytes.
 func (c Config) Marshal() []byte {
 	var e jx.Encoder
 	e.ObjStart()
@@ -83,12 +95,13 @@
 	return slices.Clone(e.Bytes())
 }
 
-// ContentDigest tells configurations apart by their content, whatever their
-// version and the order of their resources. It is a SHA-256 in hexadecimal.
+// ContentDigest identifies the content of the configuration. It is a SHA-256 in
+// hexadecimal and does not depend on the version, the order of the resources or the
+// white space between JSON tokens.
 func (c Config) ContentDigest() string {
 	contents := make([][]byte, 0, len(c.Resources))
 	for _, r := range c.Resources {
-		contents = append(contents, compact(r.Raw))
+		contents = append(contents, compactJSON(r.Raw))
 	}
 	slices.SortFunc(contents, bytes.Compare)
 	digest := sha256.New()
@@ -99,8 +112,9 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// compact leaves out white space between the tokens.
-func compact(raw jx.Raw) []byte {
+// compactJSON removes the white space between tokens; invalid JSON is returned
+// unchanged.
+func compactJSON(raw jx.Raw) []byte {
 	var b bytes.Buffer
 	if json.Compact(&b, raw) != nil {
 		return raw
--- a/internal/routeconfig/doc.go
+++ b/internal/routeconfig/doc.go
@@ -1,19 +1,22 @@
-// Package routeconfig reads the operator's configuration of routes, services and
-// limits, checks it, tells two configurations apart, and compiles one to the
-// table that requests are matched against.
+// Package routeconfig parses, validates, compares and patches the operator's
+// configuration of routes, services and limits, and compiles it to the table that
+// requests are matched against.
 //
-// The configuration is JSON: a version and a list of resources. Parse reads the
-// fields it knows, one by one, with the place of what is wrong in the error, and
-// keeps each resource's own bytes: fields that it does not know survive. A Patch
-// replaces and removes single resources; PatchFrom finds the patch between two
-// configurations, and Apply carries one out.
+// The configuration is a JSON document with a version and a list of resources.
+// Parse decodes the fields that it knows; an error names the path of the invalid
+// field. Each resource also keeps its original bytes, so that fields unknown to this
+// release are preserved when the configuration is stored or sent on. A Patch
+// replaces, adds and removes single resources: Config.PatchFrom computes the patch
+// between two configurations, and Config.Apply applies one.
 //
-// Nothing here has a goroutine, a clock or I/O. A Config and a Table are values
-// that are never changed after they are made; processes share them and replace
-// them whole.
+// The package starts no goroutines, reads no clock and does no I/O. A Config and a
+// Table are immutable once they are made; they are shared between goroutines and
+// replaced as a whole.
 package routeconfig
 
 import "github.com/zeebo/errs"
 
-// Error is the class of this package's errors. All of them refuse an input.
+// Error is the class of this package's errors. An error from parsing, validating or
+// patching a configuration means that the input was rejected; Policy.Allows returns
+// one if the evaluation fails.
 var Error = errs.Class("routeconfig")
--- a/internal/routeconfig/wire.go
+++ b/internal/routeconfig/wire.go
@@ -1,7 +1,8 @@
 package routeconfig
 
-// Words of the configuration as it is sent, stored and passed between
-// processes. They are frozen; each stands only here.
+// JSON keys of the configuration and of patches as they are stored and sent between
+// processes. They must not change. Each is written only here, so that the rest of the
+// code uses the standard terms.
 const (
 	keyVersion       = "stamp"
 	keyResources     = "resourceList"
@@ -37,12 +38,12 @@
 	keyIdleTimeout    = "idleTimeoutS"
 )
 
-// Variants of resources.
+// Variants of resources in the configuration; like the keys, they must not change.
 const (
 	variantRoute   = "bindingList"
 	variantService = "serviceList"
 	variantLimits  = "limitSet"
 )
 
-// variants lists them in the order that a patch names removals in.
+// variants lists all variants in the order of the removals in an encoded patch.
 var variants = []string{variantRoute, variantService, variantLimits}
