--- a/internal/routeconfig/policy.go
+++ b/internal/routeconfig/policy.go
@@ -7,35 +7,42 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Bounds of a policy: the bytes of its text, and the nodes of its syntax tree.
 const (
+	// maxPolicyBytes is the maximum length of a policy's text.
 	maxPolicyBytes = 4 << 10
+	// maxPolicyNodes is the maximum number of nodes in a policy's syntax tree.
 	maxPolicyNodes = 500
 )
 
-// PolicyInput is what a policy may look at.
+// PolicyInput holds the properties of a request that a policy can use.
 type PolicyInput struct {
+	// Method is the request's HTTP method.
 	Method string `expr:"method"`
-	// Path and Query are raw.
-	Path  string `expr:"path"`
+	// Path is the raw path, not percent-decoded.
+	Path string `expr:"path"`
+	// Query is the raw query, not percent-decoded.
 	Query string `expr:"query"`
-	// Caller is the service that the request comes from.
+	// Caller is the name of the service that sent the request.
 	Caller string `expr:"caller"`
-	// BodyBytes is the announced length; -1 if there is none.
-	BodyBytes int                 `expr:"bodyBytes"`
-	Header    func(string) string `expr:"header"`
+	// BodyBytes is the declared content length; -1 if there is none.
+	BodyBytes int `expr:"bodyBytes"`
+	// Header returns the value of a request header.
+	Header func(string) string `expr:"header"`
 }
 
-// Policy is a route's condition, compiled. It is safe for concurrent use.
+// Policy is the compiled condition under which a route accepts a request. It is safe
+// for concurrent use.
 type Policy struct{ program *vm.Program }
 
-// CompilePolicy compiles a condition; an empty text is no policy, nil.
+// CompilePolicy compiles a Boolean expression over the fields of PolicyInput. An empty
+// text gives nil, which means no policy. It returns an error if the expression is
+// invalid, not Boolean or exceeds the size limits.
 func CompilePolicy(text string) (*Policy, error) {
 	if text == "" {
 		return nil, nil
 	}
 	if len(text) > maxPolicyBytes {
-		return nil, fmt.Errorf("a policy has %d bytes at most", maxPolicyBytes)
+		return nil, fmt.Errorf("policy has %d bytes, more than the maximum of %d", len(text), maxPolicyBytes)
 	}
 	program, err := expr.Compile(text, expr.Env(PolicyInput{}), expr.AsBool(), expr.MaxNodes(maxPolicyNodes))
 	if err != nil {
@@ -44,8 +51,8 @@
 	return &Policy{program}, nil
 }
 
-// Allows evaluates the condition. Where that fails the request is barred, and
-// the error says why.
+// Allows reports whether the policy accepts the request. If the evaluation fails, it
+// returns false and an error of class Error with the cause.
 func (p *Policy) Allows(input PolicyInput) (bool, error) {
 	result, err := expr.Run(p.program, input)
 	if err != nil {
