--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -7,17 +7,21 @@
 	"github.com/go-faster/jx"
 )
 
-// Patch changes some resources of a configuration.
+// Patch replaces, adds and removes resources of a configuration.
 type Patch struct {
-	// Version is that of the configuration after the patch.
+	// Version is the version of the patched configuration.
 	Version uint64
-	// Upserts replace the resources of the same variant and name, or are added.
+	// Upserts replace the resources with the same variant and name, or are added. Of
+	// several for one resource the last applies.
 	Upserts []Resource
-	// Removals are names, by variant. One that is also in Upserts is not removed.
+	// Removals are names, by variant. A resource that is also in Upserts is not
+	// removed.
 	Removals map[string][]string
 }
 
-// Apply returns the configuration after the patch, and whether that is valid.
+// Apply returns the patched configuration and leaves c unchanged. It returns an error
+// of class Error if the patched configuration is not valid. Removals of resources
+// that do not exist are ignored.
 func (c Config) Apply(p Patch) (Config, error) {
 	removed := map[resourceID]bool{}
 	for variant, names := range p.Removals {
@@ -25,7 +29,8 @@
 			removed[resourceID{variant, name}] = true
 		}
 	}
-	// upserts holds what is not placed yet; of several for one resource the last.
+	// upserts holds the index of the last upsert of each resource; the entry is
+	// deleted once the upsert has replaced a resource.
 	upserts := map[resourceID]int{}
 	for i, r := range p.Upserts {
 		upserts[r.id()] = i
@@ -49,8 +54,9 @@
 	return next, next.Validate()
 }
 
-// ApplyPatches returns the configuration that the patches, applied in their order,
-// make of c. It is an error if that does not have the version.
+// ApplyPatches applies the encoded patches to c in order and returns the result. It
+// returns an error of class Error if a patch is invalid or the result does not have
+// the given version.
 func (c Config) ApplyPatches(version uint64, patches [][]byte) (Config, error) {
 	for _, data := range patches {
 		patch, err := ParsePatch(data)
@@ -62,41 +68,42 @@
 		}
 	}
 	if c.Version != version {
-		return Config{}, Error.New("the patches lead to %s, not %s", FormatVersion(c.Version), FormatVersion(version))
+		return Config{}, Error.New("patches produce version %s, expected %s", FormatVersion(c.Version), FormatVersion(version))
 	}
 	return c, nil
 }
 
-// PatchFrom writes the patch that leads from an older configuration to this
-// one, as ParsePatch reads it.
+// PatchFrom encodes the patch that changes the configuration old into c, in the form
+// that ParsePatch reads. The patch does not carry the order of the resources.
 func (c Config) PatchFrom(old Config) []byte {
-	before := make(map[resourceID]jx.Raw, len(old.Resources))
+	oldRaw := make(map[resourceID]jx.Raw, len(old.Resources))
 	for _, r := range old.Resources {
-		before[r.id()] = r.Raw
+		oldRaw[r.id()] = r.Raw
 	}
-	kept := make(map[resourceID]bool, len(c.Resources))
+	present := make(map[resourceID]bool, len(c.Resources))
 	for _, r := range c.Resources {
-		kept[r.id()] = true
+		present[r.id()] = true
 	}
 	var e jx.Encoder
 	e.ObjStart()
 	e.FieldStart(keyVersion)
 	e.Str(FormatVersion(c.Version))
 	e.FieldStart(keyUpserts)
-	c.writeUpserts(&e, before)
+	c.writeUpserts(&e, oldRaw)
 	e.FieldStart(keyRemovals)
-	old.writeRemovals(&e, kept)
+	old.writeRemovals(&e, present)
 	e.ObjEnd()
 	return slices.Clone(e.Bytes())
 }
 
-// writeUpserts writes the resources that are new or not what they were before.
-func (c Config) writeUpserts(e *jx.Encoder, before map[resourceID]jx.Raw) {
+// writeUpserts encodes the resources that are not in oldRaw or whose bytes differ
+// from it.
+func (c Config) writeUpserts(e *jx.Encoder, oldRaw map[resourceID]jx.Raw) {
 	e.ObjStart()
 	e.FieldStart(keyResources)
 	e.ArrStart()
 	for _, r := range c.Resources {
-		if raw, known := before[r.id()]; !known || !bytes.Equal(raw, r.Raw) {
+		if raw, known := oldRaw[r.id()]; !known || !bytes.Equal(raw, r.Raw) {
 			e.Raw(r.Raw)
 		}
 	}
@@ -104,14 +111,14 @@
 	e.ObjEnd()
 }
 
-// writeRemovals writes the names of the resources that are not kept.
-func (c Config) writeRemovals(e *jx.Encoder, kept map[resourceID]bool) {
+// writeRemovals encodes the names of the resources of c that are not present.
+func (c Config) writeRemovals(e *jx.Encoder, present map[resourceID]bool) {
 	e.ObjStart()
 	for _, variant := range variants {
 		e.FieldStart(variant)
 		e.ArrStart()
 		for _, r := range c.Resources {
-			if r.Variant == variant && !kept[r.id()] {
+			if r.Variant == variant && !present[r.id()] {
 				e.Str(r.Name)
 			}
 		}
