--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -119,7 +119,7 @@
 	endpoint.BeginAttempt()
 	defer endpoint.EndAttempt()
 	usual := r.usualTime()
-	slow := time.AfterFunc(retry.SlowLimit(usual), func() { recordSlowEndpoint(endpoint) })
+	slow := time.AfterFunc(retry.SlowThreshold(usual), func() { recordSlowEndpoint(endpoint) })
 	started := time.Now()
 	result := attemptResult{endpoint: endpoint}
 	if endpoint.IsDirect() {
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -120,12 +120,12 @@
 	h := r.newHeaders(endpoint)
 	remaining := time.Until(r.deadline) - r.outbound.options.DeadlineMargin
 	wait := retry.QueueWait{
-		Target:    r.route.LatencyTarget,
-		Passed:    time.Since(r.started),
-		Remaining: remaining,
-		Usual:     r.usualTime(),
-		FirstSeen: r.firstSeen,
-		Short:     shortWait,
+		LatencyTarget: r.route.LatencyTarget,
+		Elapsed:       time.Since(r.started),
+		Remaining:     remaining,
+		MeanLatency:   r.usualTime(),
+		FirstSeen:     r.firstSeen,
+		ShortWait:     shortWait,
 	}
 	h[headerPriority] = []string{strconv.Itoa(r.route.Priority)}
 	h[headerDeadline] = []string{formatMillis(remaining)}
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -6,133 +6,141 @@
 )
 
 const (
-	// budgetBuckets is how many parts the budget's window is counted in.
-	budgetBuckets = 10
-	// A node spends ratio and slack divided by reservedDivisor; the rest is for
-	// retries that others cause and for nodes that come and go.
-	reservedDivisor = 2
+	// windowBuckets is the number of buckets in the sliding window of a Budget.
+	windowBuckets = 10
+	// headroomDivisor divides the configured ratio and slack. The remainder is
+	// headroom for retries from other sources and for nodes that join or leave.
+	headroomDivisor = 2
 )
 
-// serviceUse is what one node sent and spent on one service in the last window.
-type serviceUse struct {
-	bucket      int64
-	requests    [budgetBuckets]float64
-	retries     [budgetBuckets]float64
-	requestsSum float64
-	retriesSum  float64
+// serviceUsage counts the requests and retries of one node for one service in a
+// sliding window.
+type serviceUsage struct {
+	// bucket is the number of the current bucket since time zero of the clock.
+	bucket        int64
+	requests      [windowBuckets]float64
+	retries       [windowBuckets]float64
+	totalRequests float64
+	totalRetries  float64
 }
 
-// Budget pays for retries and hedged attempts, service by service. A node
-// spends at most its share of the slack and of what its own requests of the
-// last window allow, so that the sum over all nodes stays under the zone's
-// bound whatever their number; half of both is left for retries that others
-// cause and for nodes that come and go. A node that has just started grows into
-// its share over one window. A Budget is safe for concurrent use.
+// Budget limits retries and hedged attempts per service. In any window, a node
+// may spend a ratio of its own requests plus an equal share of the slack, so
+// that all nodes together stay within the limit for the zone, however many they
+// are. Half of the ratio and of the slack is kept as headroom for retries from
+// other sources and for nodes that join or leave. After
+// a start, a node's share of the slack grows linearly over one window, so that
+// the limit also holds while nodes join and restart. A Budget is safe for
+// concurrent use.
 type Budget struct {
-	ratio      float64
-	slack      float64
-	window     time.Duration
-	bucketSpan time.Duration
-	started    time.Duration
-	nodes      func() int
-	now        func() time.Duration
+	ratio          float64
+	slack          float64
+	window         time.Duration
+	bucketDuration time.Duration
+	startedAt      time.Duration
+	nodeCount      func() int
+	now            func() time.Duration
 
 	mu       sync.Mutex
-	services map[string]*serviceUse
+	services map[string]*serviceUsage
 }
 
 // NewBudget returns the budget of one node. Over any window, the retries of all
-// nodes stay under ratio times their requests plus slack; nodes returns how many
-// nodes share that, and now the time on any clock that does not run backwards.
-func NewBudget(ratio, slack float64, window time.Duration, nodes func() int, now func() time.Duration) *Budget {
+// nodes are limited to ratio times their requests plus slack, which is a number
+// of attempts. nodeCount returns the number of nodes that share the slack. now
+// returns the time of a monotonic clock with an arbitrary zero.
+func NewBudget(ratio, slack float64, window time.Duration, nodeCount func() int, now func() time.Duration) *Budget {
 	return &Budget{
-		ratio:      ratio / reservedDivisor,
-		slack:      slack / reservedDivisor,
-		window:     max(window, budgetBuckets),
-		bucketSpan: max(window/budgetBuckets, 1),
-		started:    now(),
-		nodes:      nodes,
-		now:        now,
-		services:   map[string]*serviceUse{},
+		ratio:          ratio / headroomDivisor,
+		slack:          slack / headroomDivisor,
+		window:         max(window, windowBuckets),
+		bucketDuration: max(window/windowBuckets, 1),
+		startedAt:      now(),
+		nodeCount:      nodeCount,
+		now:            now,
+		services:       map[string]*serviceUsage{},
 	}
 }
 
-// use returns a service's counts, with the buckets emptied that have left the
-// window.
-func (b *Budget) use(service string) *serviceUse {
+// usage returns the counts for a service, after clearing the buckets that have
+// left the window. The caller holds mu.
+func (b *Budget) usage(service string) *serviceUsage {
 	u := b.services[service]
-	bucket := int64(b.now() / b.bucketSpan)
+	bucket := int64(b.now() / b.bucketDuration)
 	if u == nil {
-		u = &serviceUse{bucket: bucket}
+		u = &serviceUsage{bucket: bucket}
 		b.services[service] = u
 	}
-	if bucket-u.bucket >= budgetBuckets {
-		*u = serviceUse{bucket: bucket}
+	if bucket-u.bucket >= windowBuckets {
+		*u = serviceUsage{bucket: bucket}
 	}
 	for ; u.bucket < bucket; u.bucket++ {
-		i := (u.bucket + 1) % budgetBuckets
-		u.requestsSum -= u.requests[i]
-		u.retriesSum -= u.retries[i]
+		i := (u.bucket + 1) % windowBuckets
+		u.totalRequests -= u.requests[i]
+		u.totalRetries -= u.retries[i]
 		u.requests[i], u.retries[i] = 0, 0
 	}
 	return u
 }
 
-func (b *Budget) balance(u *serviceUse) float64 {
-	grown := min(float64(b.now()-b.started)/float64(b.window), 1)
-	return b.ratio*u.requestsSum + grown*b.slack/float64(max(b.nodes(), 1)) - u.retriesSum
+// balance returns how many more attempts the usage allows. The caller holds mu.
+func (b *Budget) balance(u *serviceUsage) float64 {
+	rampUp := min(float64(b.now()-b.startedAt)/float64(b.window), 1)
+	return b.ratio*u.totalRequests + rampUp*b.slack/float64(max(b.nodeCount(), 1)) - u.totalRetries
 }
 
-// RecordRequest counts a request for the service.
+// RecordRequest counts a request to the service, which adds to the balance. A
+// request counts once, however many attempts it takes.
 func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.use(service)
-	u.requests[u.bucket%budgetBuckets]++
-	u.requestsSum++
+	u := b.usage(service)
+	u.requests[u.bucket%windowBuckets]++
+	u.totalRequests++
 }
 
-// Spend pays for one more attempt and tells whether the balance allowed it.
+// Spend charges one attempt and reports whether the balance allowed it. If not,
+// nothing is charged.
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.use(service)
+	u := b.usage(service)
 	if b.balance(u) < 1 {
 		return false
 	}
-	u.retries[u.bucket%budgetBuckets]++
-	u.retriesSum++
+	u.retries[u.bucket%windowBuckets]++
+	u.totalRetries++
 	return true
 }
 
-// CanSpend tells whether one more attempt could be paid for now.
+// CanSpend reports whether Spend would succeed now.
 func (b *Budget) CanSpend(service string) bool {
 	return b.Balance(service) >= 1
 }
 
-// canSpendOnHedge tells whether more than half of the allowance is left: what
-// may wait must not spend what failures will need.
+// canSpendOnHedge reports whether more than half of the allowance is left. Hedged
+// attempts are optional and must not use up what retries after failures need.
 func (b *Budget) canSpendOnHedge(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.use(service)
+	u := b.usage(service)
 	balance := b.balance(u)
-	return balance >= 1 && balance > u.retriesSum
+	return balance >= 1 && balance > u.totalRetries
 }
 
-// Balance returns how many attempts could be paid for now.
+// Balance returns how many attempts to the service the budget allows now, as a
+// fraction.
 func (b *Budget) Balance(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.balance(b.use(service))
+	return b.balance(b.usage(service))
 }
 
-// refund gives back what was spent on an attempt that did not reach its
-// endpoint.
+// refund reverses the charge for an attempt that did not reach its endpoint.
 func (b *Budget) refund(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.use(service)
-	u.retries[u.bucket%budgetBuckets]--
-	u.retriesSum--
+	u := b.usage(service)
+	u.retries[u.bucket%windowBuckets]--
+	u.totalRetries--
 }
--- a/internal/proxy/retry/budget_test.go
+++ b/internal/proxy/retry/budget_test.go
@@ -9,82 +9,86 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The sum over all nodes of what is spent in any window stays under the bound
-// that the requests of that window and the slack allow, also while nodes join
-// with a stale count and while some start anew.
+// In any window, the retries of all nodes together stay within the limit given by
+// the requests of that window and the slack. The limit must also hold while new
+// nodes join before the node count is updated, and while nodes restart.
 func TestBudgetsOfAllNodesStayUnderTheBound(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 60.0
 	for _, n := range []int{3, 16, 100} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(n)))
 			now := time.Duration(0)
-			known := n / 2
-			count := func() int { return max(known, 1) }
-			mk := func() *Budget { return NewBudget(ratio, slack, window, count, func() time.Duration { return now }) }
-			var bs []*Budget
-			for range known {
-				bs = append(bs, mk())
+			knownNodes := n / 2
+			nodeCount := func() int { return max(knownNodes, 1) }
+			newBudget := func() *Budget {
+				return NewBudget(ratio, slack, window, nodeCount, func() time.Duration { return now })
 			}
-			type at struct {
-				t         time.Duration
-				asks, got int
+			var budgets []*Budget
+			for range knownNodes {
+				budgets = append(budgets, newBudget())
 			}
-			var log []at
+			type sample struct {
+				at                time.Duration
+				requests, retries int
+			}
+			var samples []sample
 			for now < 40*time.Second {
 				now += 50 * time.Millisecond
 				if now == 8*time.Second {
-					for len(bs) < n {
-						bs = append(bs, mk())
+					for len(budgets) < n {
+						budgets = append(budgets, newBudget())
 					}
 				}
 				if now == 8500*time.Millisecond {
-					known = n
+					knownNodes = n
 				}
 				if now == 20*time.Second {
 					for i := range n / 4 {
-						bs[i] = mk()
+						budgets[i] = newBudget()
 					}
 				}
-				e := at{t: now}
-				for _, b := range bs {
+				current := sample{at: now}
+				for _, b := range budgets {
 					if rng.Float64() < 0.2 {
 						b.RecordRequest("s")
-						e.asks++
+						current.requests++
 					}
 					for b.Spend("s") {
-						e.got++
+						current.retries++
 					}
 				}
-				log = append(log, e)
+				samples = append(samples, current)
 			}
 			total := 0
-			for i := range log {
-				asks, got := 0, 0
-				for j := i; j < len(log) && log[j].t-log[i].t < window; j++ {
-					asks += log[j].asks
-					got += log[j].got
+			for i := range samples {
+				requests, retries := 0, 0
+				for j := i; j < len(samples) && samples[j].at-samples[i].at < window; j++ {
+					requests += samples[j].requests
+					retries += samples[j].retries
 				}
-				total += got
-				qt.Assert(t, float64(got) <= ratio*float64(asks)+slack, qt.IsTrue, qt.Commentf("from %v: %d spent, %d asked", log[i].t, got, asks))
+				total += retries
+				qt.Assert(t, float64(retries) <= ratio*float64(requests)+slack, qt.IsTrue, qt.Commentf("window from %v: %d retries, %d requests", samples[i].at, retries, requests))
 			}
 			qt.Assert(t, total > 0, qt.IsTrue)
 		})
 	}
 }
 
-func TestShareBelowOneAddsUpToOneRetry(t *testing.T) {
+// With 100 nodes, the share of one node in the slack is 0.25 attempts. Together
+// with 0.1 attempts per request it must still add up to whole retries.
+func TestFractionalShareAccumulatesToRetries(t *testing.T) {
 	now := time.Duration(0)
 	b := NewBudget(0.2, 50, 10*time.Second, func() int { return 100 }, func() time.Duration { return now })
 	qt.Assert(t, b.Spend("s"), qt.IsFalse)
-	n := 0
+	retries := 0
 	for range 100 {
 		now += 20 * time.Millisecond
 		b.RecordRequest("s")
 		if b.Spend("s") {
-			n++
+			retries++
 		}
 	}
-	qt.Assert(t, n, qt.Equals, 10)
+	qt.Assert(t, retries, qt.Equals, 10)
 	now += 11 * time.Second
 	qt.Assert(t, b.Balance("s"), qt.Equals, 0.25)
 }
--- a/internal/proxy/retry/doc.go
+++ b/internal/proxy/retry/doc.go
@@ -1,11 +1,10 @@
-// Package retry decides how often and where a request is tried.
+// Package retry decides how often a request is attempted and at which endpoints.
 //
-// A Plan decides, attempt by attempt, what becomes of one request. It knows no
-// clock and no network, so that live requests and replayed ones go through the
-// same rules; it belongs to the goroutine that carries the request. Whether an
-// attempt follows depends on what the last one's Outcome says of the request: one
-// that has not run may go on, one that may have run goes on only if its route
-// says that it can be repeated. Each attempt that reaches a second endpoint is
-// paid from the node's Budget, which all of a node's requests share and which is
-// safe for concurrent use.
+// A Plan holds the retry decisions for one request. It uses neither clock nor
+// network, so that live and replayed requests follow the same rules, and it
+// belongs to the goroutine that handles the request. The Outcome of an attempt
+// decides whether another may follow: a request that has not run may be retried;
+// one that may have run is retried only if its route is idempotent. Every attempt
+// after the first to reach an endpoint is charged to the Budget, which all
+// requests of a node share and which is safe for concurrent use.
 package retry
--- a/internal/proxy/retry/outcome.go
+++ b/internal/proxy/retry/outcome.go
@@ -1,29 +1,33 @@
 package retry
 
-// Outcome is how one attempt ended.
+// Outcome is the result of one attempt.
 type Outcome int
 
 const (
-	// Answered attempts got the endpoint's own complete response.
+	// Answered means that the endpoint itself sent a response.
 	Answered Outcome = iota
-	// Rejected attempts were refused by the node beside the endpoint, or did not
-	// reach it: the endpoint has not seen them.
+	// Rejected means that the node beside the endpoint refused the attempt or
+	// could not be reached, or could not reach the endpoint. The endpoint has not
+	// seen the request.
 	Rejected
-	// Unreachable attempts found no connection to the endpoint.
+	// Unreachable means that an endpoint without a sidecar could not be connected
+	// to, or that the request was not sent on the connection.
 	Unreachable
-	// Declined attempts reached the endpoint, which said that it has not run the
-	// request.
+	// Declined means that the endpoint received the request and stated that it has
+	// not run it.
 	Declined
-	// Failed attempts broke off; the request may have run.
+	// Failed means that the attempt ended without a usable response. The request
+	// may have run.
 	Failed
-	// TimedOut attempts were still under way when the request's time was over;
-	// the request may have run.
+	// TimedOut means that the attempt was still in progress at the request's
+	// deadline. The request may have run.
 	TimedOut
-	// Canceled attempts were given up because the client left.
+	// Canceled means that the client disconnected during the attempt.
 	Canceled
 )
 
-// outcomeNames are the outcomes as request records keep them.
+// outcomeNames are the names of the outcomes in stored request records and
+// replay files.
 var outcomeNames = [...]string{
 	Answered:    "ran",
 	Rejected:    "bounced",
@@ -34,10 +38,11 @@
 	Canceled:    "quit",
 }
 
-// String returns the outcome as request records keep it.
+// String returns the name of the outcome in request records.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// ParseOutcome reads an outcome from a request record.
+// ParseOutcome returns the outcome with the given name in request records, and
+// false if there is none.
 func ParseOutcome(name string) (Outcome, bool) {
 	for o, n := range outcomeNames {
 		if n == name {
--- a/internal/proxy/retry/plan_test.go
+++ b/internal/proxy/retry/plan_test.go
@@ -21,6 +21,9 @@
 
 func oneNode() int { return 1 }
 
+// A session that moves to another endpoint gets a new plan. Its attempts that
+// reached an endpoint under the earlier plans must count towards the limit of the
+// route and be charged to the budget, or each move would allow extra retries.
 func TestPlanOfAMovedSessionCountsEarlierArrivals(t *testing.T) {
 	balancer := loadbalancer.New("z", 1, 1)
 	view := &meshpb.View{Version: 1, Nodes: 1}
@@ -52,170 +55,177 @@
 	qt.Assert(t, budget.Balance("s"), qt.Equals, 0.0)
 }
 
-// hotKeyView returns a view of six endpoints, without the one that is gone, in
-// which the key has that many copies.
-func hotKeyView(version uint64, key uint64, copies uint32, gone string) *meshpb.View {
+// hotKeyView returns a view of six endpoints, without the one with removedID, in
+// which reads of the key go to the given number of endpoints.
+func hotKeyView(version uint64, key uint64, width uint32, removedID string) *meshpb.View {
 	v := &meshpb.View{Epoch: 1, Version: version, Nodes: 1}
 	for i := range 6 {
 		id := fmt.Sprint("e", i)
-		if id != gone {
+		if id != removedID {
 			v.Endpoints = append(v.Endpoints, &meshpb.Endpoint{Id: id, Service: "s", Inbound: "in-" + id, Node: "n-" + id, Zone: "z", Slots: 4, State: "up"})
 		}
 	}
-	if copies > 1 {
-		v.HotKeys = []*meshpb.HotKey{{Key: key, Service: "s", Width: copies}}
+	if width > 1 {
+		v.HotKeys = []*meshpb.HotKey{{Key: key, Service: "s", Width: width}}
 	}
 	return v
 }
 
-// Who makes the next step in an order of TestPlansOutliveChangesOfAHotKey.
+// The kinds of steps that TestPlansSurviveHotKeyChanges interleaves.
 const (
+	// viewStep applies the next view.
 	viewStep = iota
-	purchaseStep
+	// writeStep starts or ends an attempt of the write.
+	writeStep
+	// readStep starts or ends an attempt of the read.
 	readStep
-	otherReadsStep
-	stepKinds
+	// pickStep picks endpoints for other reads of the key.
+	pickStep
+	stepKindCount
 )
 
-// hotKeyRun is a purchase and a read of a hot key while views come in.
-type hotKeyRun struct {
+// hotKeyScenario runs a non-idempotent write and an idempotent read of one key
+// while new views change the width of the key and remove an endpoint.
+type hotKeyScenario struct {
 	t        *testing.T
 	now      int64
 	key      uint64
 	balancer *loadbalancer.Balancer
-	purchase Plan
+	write    Plan
 	read     Plan
 
-	purchaseAt, readAt    *loadbalancer.Endpoint
-	purchaseEnded, readOK bool
-	// mayHaveRun counts the endpoints that may have run the purchase.
-	mayHaveRun int
-	views      []*meshpb.View
+	writeEndpoint, readEndpoint *loadbalancer.Endpoint
+	writeDone, readDone         bool
+	// possibleRuns counts the endpoints that may have run the write.
+	possibleRuns int
+	views        []*meshpb.View
 }
 
-func newHotKeyRun(t *testing.T) *hotKeyRun {
+func newHotKeyScenario(t *testing.T) *hotKeyScenario {
 	key := hotkeys.Hash("s", "final")
-	run := &hotKeyRun{t: t, now: int64(time.Hour), key: key}
-	run.views = []*meshpb.View{hotKeyView(2, key, 4, ""), hotKeyView(3, key, 4, "e2"), hotKeyView(4, key, 1, "e2")}
-	run.balancer = loadbalancer.New("z", 2, 5).SlowStart(time.Second)
+	s := &hotKeyScenario{t: t, now: int64(time.Hour), key: key}
+	s.views = []*meshpb.View{hotKeyView(2, key, 4, ""), hotKeyView(3, key, 4, "e2"), hotKeyView(4, key, 1, "e2")}
+	s.balancer = loadbalancer.New("z", 2, 5).SlowStart(time.Second)
 	random := rand.New(rand.NewPCG(1, 1))
-	run.balancer.SetRandomAndClock(random.Float64, func() int64 { return run.now })
-	run.balancer.ApplyView(hotKeyView(1, run.key, 1, ""))
-	budget := NewBudget(0.2, 400, 10*time.Second, oneNode, func() time.Duration { return time.Duration(run.now) })
-	run.now += int64(time.Minute)
-	run.purchase = NewPlan(run.balancer, budget, testRoute(routeconfig.KindEffectful), "s", false)
-	run.purchase.SetKey(run.key)
-	qt.Assert(t, run.purchase.key, qt.Equals, uint64(0))
-	run.read = NewPlan(run.balancer, budget, testRoute(routeconfig.KindPure), "s", false)
-	run.read.SetKey(run.key)
-	return run
+	s.balancer.SetRandomAndClock(random.Float64, func() int64 { return s.now })
+	s.balancer.ApplyView(hotKeyView(1, s.key, 1, ""))
+	budget := NewBudget(0.2, 400, 10*time.Second, oneNode, func() time.Duration { return time.Duration(s.now) })
+	s.now += int64(time.Minute)
+	s.write = NewPlan(s.balancer, budget, testRoute(routeconfig.KindEffectful), "s", false)
+	s.write.SetKey(s.key)
+	qt.Assert(t, s.write.key, qt.Equals, uint64(0))
+	s.read = NewPlan(s.balancer, budget, testRoute(routeconfig.KindPure), "s", false)
+	s.read.SetKey(s.key)
+	return s
 }
 
-// step makes the nth step of a kind.
-func (run *hotKeyRun) step(kind, nth int) {
-	run.now += int64(50 * time.Millisecond)
+// step executes the nth step of the kind, counted from 0.
+func (s *hotKeyScenario) step(kind, nth int) {
+	s.now += int64(50 * time.Millisecond)
 	switch kind {
 	case viewStep:
-		run.balancer.ApplyView(run.views[nth])
-	case purchaseStep:
-		run.stepPurchase(nth)
+		s.balancer.ApplyView(s.views[nth])
+	case writeStep:
+		s.stepWrite(nth)
 	case readStep:
-		run.stepRead(nth)
-	case otherReadsStep:
-		choseGone := false
+		s.stepRead(nth)
+	case pickStep:
+		pickedRemoved := false
 		for range 20 {
-			e := run.balancer.Pick(loadbalancer.Criteria{Service: "s", Key: run.key})
-			choseGone = choseGone || e != nil && e.ID() == "e2" && run.balancer.Find("s", "e2") == nil
+			e := s.balancer.Pick(loadbalancer.Criteria{Service: "s", Key: s.key})
+			pickedRemoved = pickedRemoved || e != nil && e.ID() == "e2" && s.balancer.Find("s", "e2") == nil
 		}
-		qt.Assert(run.t, choseGone, qt.IsFalse)
+		qt.Assert(s.t, pickedRemoved, qt.IsFalse)
 	}
 }
 
-// stepPurchase has the purchase rejected once; then its endpoint breaks off.
-func (run *hotKeyRun) stepPurchase(nth int) {
-	if run.purchaseEnded {
+// stepWrite makes two attempts of the write: the first is rejected, the second
+// fails and may have run.
+func (s *hotKeyScenario) stepWrite(nth int) {
+	if s.writeDone {
 		return
 	}
 	if nth%2 == 0 {
-		endpoint, action := run.purchase.Next()
+		endpoint, action := s.write.Next()
 		if action != Send {
-			run.purchaseEnded = true
+			s.writeDone = true
 			return
 		}
-		run.purchaseAt = endpoint
+		s.writeEndpoint = endpoint
 		return
 	}
 	outcome := Rejected
 	if nth == 3 {
 		outcome = Failed
-		run.mayHaveRun++
+		s.possibleRuns++
 	}
-	_, run.purchaseEnded = run.purchase.AttemptFailed(run.purchaseAt, outcome, false)
+	_, s.writeDone = s.write.AttemptFailed(s.writeEndpoint, outcome, false)
 }
 
-// stepRead has the read's first endpoint break off.
-func (run *hotKeyRun) stepRead(nth int) {
-	if run.readOK {
+// stepRead makes two attempts of the read: the first fails, the second succeeds.
+func (s *hotKeyScenario) stepRead(nth int) {
+	if s.readDone {
 		return
 	}
 	if nth%2 == 0 {
-		endpoint, action := run.read.Next()
-		qt.Assert(run.t, action, qt.Equals, Send)
-		run.readAt = endpoint
+		endpoint, action := s.read.Next()
+		qt.Assert(s.t, action, qt.Equals, Send)
+		s.readEndpoint = endpoint
 		return
 	}
 	if nth == 1 {
-		_, ends := run.read.AttemptFailed(run.readAt, Failed, false)
-		qt.Assert(run.t, ends, qt.IsFalse)
+		_, done := s.read.AttemptFailed(s.readEndpoint, Failed, false)
+		qt.Assert(s.t, done, qt.IsFalse)
 		return
 	}
-	run.readOK = true
+	s.readDone = true
 }
 
-// check checks the end: what may have run must not be sent on, whatever the
-// views say.
-func (run *hotKeyRun) check() {
-	t := run.t
-	endpoint, action := run.purchase.Next()
-	if run.mayHaveRun > 0 {
-		qt.Assert(t, run.purchaseEnded, qt.IsTrue)
-		reply, _ := run.purchase.AttemptFailed(run.purchaseAt, Failed, false)
-		qt.Assert(t, run.purchase.FinalReply(reply, false), qt.Equals, localreply.Broken)
+// checkOutcome checks that a write that may have run is not sent again, whatever
+// the views contain, and that the read has ended.
+func (s *hotKeyScenario) checkOutcome() {
+	t := s.t
+	endpoint, action := s.write.Next()
+	if s.possibleRuns > 0 {
+		qt.Assert(t, s.writeDone, qt.IsTrue)
+		reply, _ := s.write.AttemptFailed(s.writeEndpoint, Failed, false)
+		qt.Assert(t, s.write.FinalReply(reply, false), qt.Equals, localreply.Broken)
 	} else {
 		qt.Assert(t, action != Send || endpoint != nil, qt.IsTrue)
 	}
-	qt.Assert(t, run.mayHaveRun <= 1, qt.IsTrue)
-	qt.Assert(t, run.readOK, qt.IsTrue)
+	qt.Assert(t, s.possibleRuns <= 1, qt.IsTrue)
+	qt.Assert(t, s.readDone, qt.IsTrue)
 }
 
-// Each order in which views widen, narrow and lose a copy while a purchase and a
-// read of the key are under way: at most one endpoint may have run the purchase,
-// and the read ends somewhere.
-func TestPlansOutliveChangesOfAHotKey(t *testing.T) {
+// Hot key changes must not affect requests in progress. In every interleaving of
+// views that widen the key, remove an endpoint and narrow the key with the
+// attempts of a write and a read, at most one endpoint may have run the write, and
+// the read completes.
+func TestPlansSurviveHotKeyChanges(t *testing.T) {
 	orders := 0
-	var walk func(left [stepKinds]int, order []int)
-	walk = func(left [stepKinds]int, order []int) {
+	var permute func(remaining [stepKindCount]int, order []int)
+	permute = func(remaining [stepKindCount]int, order []int) {
 		complete := true
-		for kind, count := range left {
+		for kind, count := range remaining {
 			if count > 0 {
 				complete = false
-				rest := left
+				rest := remaining
 				rest[kind]--
-				walk(rest, append(order[:len(order):len(order)], kind))
+				permute(rest, append(order[:len(order):len(order)], kind))
 			}
 		}
 		if !complete {
 			return
 		}
-		run := newHotKeyRun(t)
-		var made [stepKinds]int
+		scenario := newHotKeyScenario(t)
+		var stepsDone [stepKindCount]int
 		for _, kind := range order {
-			run.step(kind, made[kind])
-			made[kind]++
+			scenario.step(kind, stepsDone[kind])
+			stepsDone[kind]++
 		}
-		run.check()
+		scenario.checkOutcome()
 		orders++
 	}
-	walk([stepKinds]int{viewStep: 3, purchaseStep: 4, readStep: 4, otherReadsStep: 1}, nil)
+	permute([stepKindCount]int{viewStep: 3, writeStep: 4, readStep: 4, pickStep: 1}, nil)
 	t.Logf("%d orders", orders)
 }
--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -111,7 +111,7 @@
 	if a.model.direct {
 		return r.remaining()
 	}
-	return retry.QueueWait{Target: r.route.LatencyTarget, Passed: r.elapsed(), Remaining: r.remaining(), Usual: latency, FirstSeen: r.record.FirstSeen, Short: r.plan.ShortWait()}.Limit()
+	return retry.QueueWait{LatencyTarget: r.route.LatencyTarget, Elapsed: r.elapsed(), Remaining: r.remaining(), MeanLatency: latency, FirstSeen: r.record.FirstSeen, ShortWait: r.plan.ShortWait()}.Limit()
 }
 
 // reject ends the attempt at an endpoint whose queue is full.
--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -218,7 +218,7 @@
 		r.setHotKey()
 	}
 	if !r.hotKeyChanged() {
-		r.plan.PreferFirst(r.nextRecordedEndpoint)
+		r.plan.SetPreferred(r.nextRecordedEndpoint)
 	}
 }
 
