--- a/internal/hotkeys/meter.go
+++ b/internal/hotkeys/meter.go
@@ -14,8 +14,8 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Hash returns the number by which nodes and cluster controller know a key of a
-// service. It is 0 for the empty key only.
+// Hash returns the hash that identifies a key of a service on the nodes and at the
+// cluster controller. It is 0 if and only if the key is empty.
 func Hash(service, key string) uint64 {
 	if key == "" {
 		return 0
@@ -24,108 +24,113 @@
 }
 
 const (
-	// windowPanes and paneSpan make up the sliding window that reads are counted
-	// over: 2 s, of which the pane under way is half full on average.
-	windowPanes = 4
-	paneSpan    = 500 * time.Millisecond
-	// maxReported is how many keys a node reports at most.
-	maxReported = 16
-	// maxMetered bounds the keys whose route and service are remembered.
-	maxMetered = 64 * maxReported
-	// minReportedRate is the rate, in reads a second, below which a key is not
-	// reported.
+	// windowBuckets and bucketDuration define the sliding window of 2 s in which
+	// reads are counted. The current bucket covers half its duration on average.
+	windowBuckets  = 4
+	bucketDuration = 500 * time.Millisecond
+	// maxReportedKeys is the maximum number of keys in the report of a node.
+	maxReportedKeys = 16
+	// maxTrackedKeys is the maximum number of keys whose route and service a Meter
+	// keeps.
+	maxTrackedKeys = 64 * maxReportedKeys
+	// minReportedRate is the lowest rate that is reported, in reads per second.
 	minReportedRate = 1.0
-	// rateStep is the ratio between rates that are told apart: reports change
-	// only when a rate has changed by about that much.
+	// rateStep is the ratio between adjacent values that rates are rounded to, so
+	// that a report changes only if a rate has changed by about that factor.
 	rateStep = 1.25
-	// sketchEpsilon and sketchDelta are the error and the confidence of a pane's
-	// count-min sketch.
+	// sketchEpsilon and sketchDelta are the relative error and the confidence that
+	// the count-min sketch of each bucket is created with.
 	sketchEpsilon = 0.002
 	sketchDelta   = 0.99
 )
 
-// Meter counts the reads of keys in a sliding window of sketches, so that its
-// size does not depend on the number of keys. It is safe for concurrent use; a
-// nil Meter counts nothing.
+// Meter counts reads per key in a sliding window of count-min sketches, so that its
+// memory use does not depend on the number of keys. It is safe for concurrent use.
+// A nil Meter counts nothing.
 type Meter struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	panes    [windowPanes]*boom.TopK
-	pane     int64
-	metered  map[uint64]meteredKey
-	reported []*meshpb.KeyRate
+	mu sync.Mutex
+	// sketches has one sketch per bucket of the window; nil if the bucket was
+	// never used.
+	sketches [windowBuckets]*boom.TopK
+	// bucket is the number of the current bucket since 1970.
+	bucket     int64
+	keys       map[uint64]keyInfo
+	lastReport []*meshpb.KeyRate
 }
 
-// meteredKey is what a meter remembers of a key beside its count.
-type meteredKey struct {
+// keyInfo holds what a report contains about a key besides its rate.
+type keyInfo struct {
 	route, service string
-	work           time.Duration
-	lastPane       int64
+	meanLatency    time.Duration
+	// lastBucket is the number of the bucket that the key was last read in.
+	lastBucket int64
 }
 
-// NewMeter returns a meter that takes the time from now.
+// NewMeter returns a meter that uses now as its clock.
 func NewMeter(now func() time.Time) *Meter {
-	return &Meter{now: now, metered: map[uint64]meteredKey{}}
+	return &Meter{now: now, keys: map[uint64]keyInfo{}}
 }
 
-// currentPane empties the panes that the window has left behind and returns the
-// one under way.
-func (m *Meter) currentPane() *boom.TopK {
-	pane := m.now().UnixNano() / int64(paneSpan)
-	for i := max(m.pane+1, pane-windowPanes+1); i <= pane; i++ {
-		if sketch := m.panes[i%windowPanes]; sketch != nil {
+// currentSketch resets the sketches whose buckets have left the window and returns
+// the sketch of the current bucket. The caller holds mu.
+func (m *Meter) currentSketch() *boom.TopK {
+	bucket := m.now().UnixNano() / int64(bucketDuration)
+	for i := max(m.bucket+1, bucket-windowBuckets+1); i <= bucket; i++ {
+		if sketch := m.sketches[i%windowBuckets]; sketch != nil {
 			sketch.Reset()
 		}
 	}
-	m.pane = pane
-	i := pane % windowPanes
-	if m.panes[i] == nil {
-		m.panes[i] = boom.NewTopK(sketchEpsilon, sketchDelta, maxReported)
+	m.bucket = bucket
+	i := bucket % windowBuckets
+	if m.sketches[i] == nil {
+		m.sketches[i] = boom.NewTopK(sketchEpsilon, sketchDelta, maxReportedKeys)
 	}
-	return m.panes[i]
+	return m.sketches[i]
 }
 
-// Record counts one read of a key; work is how long the route's requests
-// usually take.
-func (m *Meter) Record(key uint64, route, service string, work time.Duration) {
+// Record counts one read of the key with the hash, unless that is 0. meanLatency is
+// the mean latency of the route.
+func (m *Meter) Record(key uint64, route, service string, meanLatency time.Duration) {
 	if m == nil || key == 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.currentPane().Add(binary.BigEndian.AppendUint64(nil, key))
-	if _, ok := m.metered[key]; ok || len(m.metered) < maxMetered {
-		m.metered[key] = meteredKey{route, service, work, m.pane}
+	m.currentSketch().Add(binary.BigEndian.AppendUint64(nil, key))
+	if _, ok := m.keys[key]; ok || len(m.keys) < maxTrackedKeys {
+		m.keys[key] = keyInfo{route, service, meanLatency, m.bucket}
 	}
 }
 
-// Rates returns the most read keys of the window, heaviest first, with rates
-// rounded so that small changes do not show. Unchanged tells that they are those
-// of the call before.
+// Rates returns the most frequently read keys in the window, in descending order of
+// rate. Rates are in reads per second, rounded so that small changes have no
+// effect. unchanged means that keys and rates are those of the previous call.
 func (m *Meter) Rates() (rates []*meshpb.KeyRate, unchanged bool) {
 	if m == nil {
 		return nil, true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.metered) == 0 && len(m.reported) == 0 {
+	if len(m.keys) == 0 && len(m.lastReport) == 0 {
 		return nil, true
 	}
-	m.currentPane()
-	rates = m.heaviest()
-	m.forgetUnread()
-	unchanged = slices.EqualFunc(rates, m.reported, func(a, b *meshpb.KeyRate) bool {
+	m.currentSketch()
+	rates = m.heavyHitters()
+	m.evictIdle()
+	unchanged = slices.EqualFunc(rates, m.lastReport, func(a, b *meshpb.KeyRate) bool {
 		return a.Key == b.Key && a.PerS == b.PerS
 	})
-	m.reported = rates
+	m.lastReport = rates
 	return rates, unchanged
 }
 
-// heaviest returns the most read keys, heaviest first.
-func (m *Meter) heaviest() []*meshpb.KeyRate {
+// heavyHitters returns the most frequently read keys in the window, in descending
+// order of rate. The caller holds mu.
+func (m *Meter) heavyHitters() []*meshpb.KeyRate {
 	counts := map[uint64]uint64{}
-	for _, sketch := range m.panes {
+	for _, sketch := range m.sketches {
 		if sketch == nil {
 			continue
 		}
@@ -133,38 +138,40 @@
 			counts[binary.BigEndian.Uint64(e.Data)] += e.Freq
 		}
 	}
-	window := (windowPanes - 0.5) * paneSpan.Seconds()
+	window := (windowBuckets - 0.5) * bucketDuration.Seconds()
 	var rates []*meshpb.KeyRate
 	for key, count := range counts {
-		known := m.metered[key]
+		info := m.keys[key]
 		rate := float64(count) / window
-		if rate < minReportedRate || known.lastPane <= 0 {
+		if rate < minReportedRate || info.lastBucket <= 0 {
 			continue
 		}
 		rates = append(rates, &meshpb.KeyRate{
 			Key:     key,
 			PerS:    roundToStep(rate),
-			WorkMs:  uint32(roundToStep(float64(known.work.Milliseconds()))),
-			Route:   known.route,
-			Service: known.service,
+			WorkMs:  uint32(roundToStep(float64(info.meanLatency.Milliseconds()))),
+			Route:   info.route,
+			Service: info.service,
 		})
 	}
 	slices.SortFunc(rates, func(a, b *meshpb.KeyRate) int {
 		return cmp.Or(cmp.Compare(b.PerS, a.PerS), cmp.Compare(a.Key, b.Key))
 	})
-	return rates[:min(len(rates), maxReported)]
+	return rates[:min(len(rates), maxReportedKeys)]
 }
 
-// forgetUnread drops the keys that were not read for two windows.
-func (m *Meter) forgetUnread() {
-	for key, known := range m.metered {
-		if m.pane-known.lastPane > 2*windowPanes {
-			delete(m.metered, key)
+// evictIdle removes the keys that have not been read for two windows. The caller
+// holds mu.
+func (m *Meter) evictIdle() {
+	for key, info := range m.keys {
+		if m.bucket-info.lastBucket > 2*windowBuckets {
+			delete(m.keys, key)
 		}
 	}
 }
 
-// roundToStep rounds to the nearest power of rateStep, with two decimals.
+// roundToStep rounds x to the nearest power of rateStep, with two decimals. It
+// returns 0 for an x of 0 or less.
 func roundToStep(x float64) float64 {
 	if x <= 0 {
 		return 0
--- a/internal/hotkeys/tracker.go
+++ b/internal/hotkeys/tracker.go
@@ -12,74 +12,83 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// narrowThreshold is the part of what the next smaller width can serve below
-// which a width falls, so that it does not oscillate.
+// narrowThreshold is the fraction of the capacity of the next smaller width below
+// which the demand must fall before a width is reduced. The gap keeps widths from
+// oscillating.
 const narrowThreshold = 0.7
 
-// Options bound the keys whose reads are spread over several endpoints.
+// Options limit how reads of hot keys are spread over several endpoints.
 type Options struct {
-	// SlotShare is the part of one endpoint's slots that a key's reads may fill
-	// before they go to another endpoint too.
+	// SlotShare is the fraction of an endpoint's slots that the reads of one key may
+	// occupy before they are spread over more endpoints.
 	SlotShare float64
-	// MaxKeys is how many keys may be hot at once; 0 turns the spreading off.
+	// MaxKeys is the maximum number of hot keys; 0 disables spreading.
 	MaxKeys int
-	// MaxWidth is over how many endpoints a key's reads go at most.
+	// MaxWidth is the maximum number of endpoints that the reads of a key are
+	// spread over.
 	MaxWidth int
-	// NarrowAfter is how long the demand must have been lower before a width falls
-	// by a step.
+	// NarrowAfter is how long the demand must stay below what the width is needed
+	// for before the width is reduced by one step.
 	NarrowAfter time.Duration
 }
 
-// WidthChange says that the reads of a key go to more or fewer endpoints.
+// WidthChange is a change of the number of endpoints that the reads of a key are
+// spread over.
 type WidthChange struct {
-	Key      uint64
-	Service  string
+	// Key is the hash of the key, as returned by Hash.
+	Key uint64
+	// Service is the name of the service that the key belongs to.
+	Service string
+	// From and To are the widths before and after the change; 1 means that the key
+	// is not hot.
 	From, To uint32
-	// Reason gives the demand that caused it, for people.
+	// Reason is a human-readable description of the demand behind the change.
 	Reason string
 }
 
-// trackedKey is a key whose reads go to more than one endpoint.
+// trackedKey is a hot key: its reads are spread over more than one endpoint.
 type trackedKey struct {
 	*meshpb.HotKey
-	// neededAt is when the demand last asked for this width.
-	neededAt time.Duration
+	// lastNeededAt is the last time at which the demand required this width.
+	lastNeededAt time.Duration
 }
 
-// Tracker keeps over how many endpoints each key's reads go. Not safe for use by
-// several goroutines.
+// Tracker decides the width of each hot key from the demand on all nodes. It is not
+// safe for concurrent use.
 type Tracker struct {
-	options                    Options
+	options Options
+	// tracked has the hot keys by their hash.
 	tracked                    map[uint64]*trackedKey
 	widened, narrowed, refused uint64
 }
 
-// NewTracker creates a tracker without hot keys.
+// NewTracker returns a tracker without hot keys.
 func NewTracker(o Options) *Tracker {
 	return &Tracker{options: o, tracked: map[uint64]*trackedKey{}}
 }
 
-// Restore takes over the hot keys of the last view; their widths stand until the
-// demand has been lower for Options.NarrowAfter.
+// Restore replaces the hot keys by those of the last view. Their widths are not
+// reduced before the demand has been lower for Options.NarrowAfter from now on.
 func (t *Tracker) Restore(keys []*meshpb.HotKey, now time.Duration) {
 	t.tracked = map[uint64]*trackedKey{}
 	for _, k := range keys {
-		t.tracked[k.Key] = &trackedKey{HotKey: k, neededAt: now}
+		t.tracked[k.Key] = &trackedKey{HotKey: k, lastNeededAt: now}
 	}
 }
 
-// Counts returns how many widths were raised and lowered, and how many keys
-// stayed at one endpoint since MaxKeys others were hot.
+// Counts returns how often a width was raised, how often one was lowered, and how
+// often Update left a key at one endpoint because MaxKeys others were hot.
 func (t *Tracker) Counts() *meshpb.HotCounts {
 	return &meshpb.HotCounts{Widened: t.widened, Narrowed: t.narrowed, Refused: t.refused}
 }
 
-// Update takes what each node reads now and the endpoints that there are, and
-// returns all hot keys, ordered by key, and the changes since the last call. Times
-// by now are those of a monotonic clock; wallUs, in microseconds since 1970, is
-// what a key that becomes hot shows as its beginning.
+// Update sets the widths according to the latest report of each node and the
+// current endpoints. It returns all hot keys, sorted by key, and the widths that it
+// changed; a key whose service has no endpoint left is dropped without a
+// WidthChange. now is the time of a monotonic clock. wallUs is the wall-clock time
+// in microseconds since 1970, which the keys with a new width get as SinceUs.
 func (t *Tracker) Update(reports iter.Seq[[]*meshpb.KeyRate], endpoints []*meshpb.Endpoint, now time.Duration, wallUs int64) ([]*meshpb.HotKey, []WidthChange) {
-	demands := sumDemands(reports)
+	demands := aggregateDemands(reports)
 	if len(demands) == 0 && len(t.tracked) == 0 {
 		return nil, nil
 	}
@@ -96,51 +105,53 @@
 			delete(t.tracked, d.Key)
 			continue
 		}
-		if to := t.decideWidth(d, c, now); to > 0 {
-			changes = append(changes, t.setWidth(d, c, to, now, wallUs))
+		if width := t.decideWidth(d, c, now); width > 0 {
+			changes = append(changes, t.setWidth(d, c, width, now, wallUs))
 		}
 	}
 	return t.hotKeys(), changes
 }
 
-// decideWidth returns the width that a key is to have instead of its present one,
-// or 0 if that stays, and counts the decision.
+// decideWidth returns the new width of a key, or 0 if its width does not change. It
+// counts the decision.
 func (t *Tracker) decideWidth(d *demand, c capacity, now time.Duration) int {
-	share := c.share(t.options.SlotShare)
-	wanted := max(min(int(math.Ceil(d.slots()/share)), t.options.MaxWidth, c.endpoints), 1)
+	slotLimit := c.slotLimit(t.options.SlotShare)
+	desired := max(min(int(math.Ceil(d.busySlots()/slotLimit)), t.options.MaxWidth, c.endpoints), 1)
 	k := t.tracked[d.Key]
 	switch {
-	case k == nil && wanted < 2:
+	case k == nil && desired < 2:
 	case k == nil && len(t.tracked) >= t.options.MaxKeys:
 		t.refused++
-	case k == nil || wanted > int(k.Width):
+	case k == nil || desired > int(k.Width):
 		t.widened++
-		return wanted
-	case d.slots() > narrowThreshold*share*float64(k.Width-1):
-		k.neededAt = now
-	case now-k.neededAt >= t.options.NarrowAfter:
+		return desired
+	case d.busySlots() > narrowThreshold*slotLimit*float64(k.Width-1):
+		k.lastNeededAt = now
+	case now-k.lastNeededAt >= t.options.NarrowAfter:
 		t.narrowed++
-		return max(int(k.Width)/2, wanted)
+		return max(int(k.Width)/2, desired)
 	}
 	return 0
 }
 
-func (t *Tracker) setWidth(d *demand, c capacity, to int, now time.Duration, wallUs int64) WidthChange {
-	change := WidthChange{Key: d.Key, Service: d.Service, From: 1, To: uint32(to), Reason: describe(d, c.share(t.options.SlotShare))}
+// setWidth applies a new width to a key; a key of width 1 is no longer tracked.
+func (t *Tracker) setWidth(d *demand, c capacity, width int, now time.Duration, wallUs int64) WidthChange {
+	change := WidthChange{Key: d.Key, Service: d.Service, From: 1, To: uint32(width), Reason: widthReason(d, c.slotLimit(t.options.SlotShare))}
 	if k := t.tracked[d.Key]; k != nil {
 		change.From = k.Width
 	}
 	delete(t.tracked, d.Key)
-	if to > 1 {
+	if width > 1 {
 		t.tracked[d.Key] = &trackedKey{
-			HotKey: &meshpb.HotKey{Key: d.Key, Width: uint32(to), Service: d.Service, Route: d.Route, PerS: d.PerS,
+			HotKey: &meshpb.HotKey{Key: d.Key, Width: uint32(width), Service: d.Service, Route: d.Route, PerS: d.PerS,
 				SinceUs: wallUs, Nodes: d.nodes, Why: change.Reason},
-			neededAt: now,
+			lastNeededAt: now,
 		}
 	}
 	return change
 }
 
+// hotKeys returns the hot keys, sorted by key.
 func (t *Tracker) hotKeys() []*meshpb.HotKey {
 	var keys []*meshpb.HotKey
 	for _, k := range t.tracked {
@@ -150,22 +161,26 @@
 	return keys
 }
 
-func describe(d *demand, share float64) string {
-	return fmt.Sprintf("%.0f reads a second from %d nodes fill %.1f slots; one endpoint is given %.1f", d.PerS, d.nodes, d.slots(), share)
+// widthReason describes the demand for WidthChange.Reason and HotKey.Why.
+func widthReason(d *demand, slotLimit float64) string {
+	return fmt.Sprintf("%.0f reads a second from %d nodes fill %.1f slots; one endpoint is given %.1f", d.PerS, d.nodes, d.busySlots(), slotLimit)
 }
 
-// SameWidths tells that no node would act on the difference.
+// SameWidths reports whether a and b have the same keys with the same widths and
+// services. Nodes use nothing else of a hot key.
 func SameWidths(a, b []*meshpb.HotKey) bool {
 	return slices.EqualFunc(a, b, func(x, y *meshpb.HotKey) bool {
 		return x.Key == y.Key && x.Width == y.Width && x.Service == y.Service
 	})
 }
 
-// demand is how much one key is read by all nodes.
+// demand is the read load of one key, summed over all nodes.
 type demand struct {
+	// KeyRate has the summed rate in PerS; its WorkMs is not used.
 	*meshpb.KeyRate
+	// nodes is the number of nodes that reported the key.
 	nodes uint32
-	// workMsPerS is how many milliseconds of work its reads cause in a second.
+	// workMsPerS is the sum of rate times latency, in milliseconds per second.
 	workMsPerS float64
 }
 
@@ -173,10 +188,12 @@
 	return &demand{KeyRate: &meshpb.KeyRate{Key: key, Service: service, Route: route}}
 }
 
-// slots is how many slots the reads keep busy.
-func (d *demand) slots() float64 { return d.workMsPerS / 1000 }
+// busySlots returns the mean number of slots that the reads occupy: rate times
+// latency.
+func (d *demand) busySlots() float64 { return d.workMsPerS / 1000 }
 
-func sumDemands(reports iter.Seq[[]*meshpb.KeyRate]) map[uint64]*demand {
+// aggregateDemands sums the reports of all nodes by key.
+func aggregateDemands(reports iter.Seq[[]*meshpb.KeyRate]) map[uint64]*demand {
 	demands := map[uint64]*demand{}
 	for rates := range reports {
 		for _, r := range rates {
@@ -193,8 +210,8 @@
 	return demands
 }
 
-// sortByDemand puts the keys with the highest demand first, so that these become
-// hot where not all can.
+// sortByDemand returns the demands in descending order, so that the keys with the
+// highest demand become hot first if Options.MaxKeys does not allow all.
 func sortByDemand(demands map[uint64]*demand) []*demand {
 	sorted := make([]*demand, 0, len(demands))
 	for _, d := range demands {
@@ -206,14 +223,17 @@
 	return sorted
 }
 
-// capacity is what the endpoints of a service that are up can serve.
+// capacity is the number of endpoints of a service that are up, and of their slots.
 type capacity struct{ endpoints, slots int }
 
-// share is how many slots of one endpoint a key's reads may fill.
-func (c capacity) share(slotShare float64) float64 {
+// slotLimit returns how many slots of an average endpoint of the service the reads
+// of one key may occupy.
+func (c capacity) slotLimit(slotShare float64) float64 {
 	return slotShare * float64(c.slots) / float64(c.endpoints)
 }
 
+// serviceCapacities returns the capacity of each service. An endpoint that reports
+// no slots counts as having one.
 func serviceCapacities(endpoints []*meshpb.Endpoint) map[string]capacity {
 	capacities := map[string]capacity{}
 	for _, e := range endpoints {
--- a/internal/hotkeys/tracker_test.go
+++ b/internal/hotkeys/tracker_test.go
@@ -22,72 +22,80 @@
 	return endpoints
 }
 
-// reports is what n nodes report of a key, each the same.
-func reports(n int, key uint64, perS float64) (out [][]*meshpb.KeyRate) {
+// reportsOf returns identical reports of n nodes that read the key perS times a
+// second.
+func reportsOf(n int, key uint64, perS float64) (reports [][]*meshpb.KeyRate) {
 	for range n {
-		out = append(out, []*meshpb.KeyRate{{Key: key, PerS: perS, WorkMs: 40, Service: "s", Route: "read"}})
+		reports = append(reports, []*meshpb.KeyRate{{Key: key, PerS: perS, WorkMs: 40, Service: "s", Route: "read"}})
 	}
-	return out
+	return reports
 }
 
-func TestKeyHotOnlyInSumIsWidenedAndNarrowedSlowly(t *testing.T) {
+// A key whose rate on each node is too low to matter must become hot from the sum
+// over all nodes. A short drop in demand must not narrow it; a long one narrows it
+// in steps.
+func TestKeyHotOnlyInSumIsWidenedAndNarrowedInSteps(t *testing.T) {
 	tracker := NewTracker(testOptions)
 	endpoints := endpointsUp(10)
-	at := func(s float64, reports [][]*meshpb.KeyRate) []*meshpb.HotKey {
-		out, _ := tracker.Update(slices.Values(reports), endpoints, time.Duration(s*float64(time.Second)), 0)
-		return out
+	updateAt := func(seconds float64, reports [][]*meshpb.KeyRate) []*meshpb.HotKey {
+		hot, _ := tracker.Update(slices.Values(reports), endpoints, time.Duration(seconds*float64(time.Second)), 0)
+		return hot
 	}
-	// 2 a second fill 0.08 slots at one node; 281 nodes' reads fill 22.5.
-	qt.Assert(t, at(0, reports(1, 7, 2)), qt.HasLen, 0)
-	qt.Assert(t, at(1, reports(281, 7, 2))[0].Width, qt.Equals, uint32(6))
-	// A short lull changes nothing, a long one lowers the width by steps.
-	qt.Assert(t, at(2, reports(1, 7, 2))[0].Width, qt.Equals, uint32(6))
-	qt.Assert(t, at(4, reports(281, 7, 2))[0].Width, qt.Equals, uint32(6))
-	var seen []uint32
-	for s := 5.0; s < 25; s += 0.25 {
-		out := at(s, nil)
-		if len(out) == 0 {
-			seen = append(seen, 1)
+	// 2 reads per second from one node occupy 0.08 slots, those of 281 nodes 22.5.
+	qt.Assert(t, updateAt(0, reportsOf(1, 7, 2)), qt.HasLen, 0)
+	qt.Assert(t, updateAt(1, reportsOf(281, 7, 2))[0].Width, qt.Equals, uint32(6))
+	// A short drop in demand changes nothing, a long one lowers the width in steps.
+	qt.Assert(t, updateAt(2, reportsOf(1, 7, 2))[0].Width, qt.Equals, uint32(6))
+	qt.Assert(t, updateAt(4, reportsOf(281, 7, 2))[0].Width, qt.Equals, uint32(6))
+	var widths []uint32
+	for seconds := 5.0; seconds < 25; seconds += 0.25 {
+		hot := updateAt(seconds, nil)
+		if len(hot) == 0 {
+			widths = append(widths, 1)
 			break
 		}
-		if w := out[0].Width; len(seen) == 0 || seen[len(seen)-1] != w {
-			seen = append(seen, w)
+		if w := hot[0].Width; len(widths) == 0 || widths[len(widths)-1] != w {
+			widths = append(widths, w)
 		}
 	}
-	qt.Assert(t, seen, qt.DeepEquals, []uint32{6, 3, 1})
+	qt.Assert(t, widths, qt.DeepEquals, []uint32{6, 3, 1})
 }
 
+// If more than MaxKeys keys qualify, those with the highest demand become hot. A
+// width is limited by the number of endpoints, and without endpoints no key is hot.
 func TestHotKeysAreLimitedToThoseOfHighestDemand(t *testing.T) {
 	tracker := NewTracker(testOptions)
-	all := append(append(reports(50, 1, 10), reports(50, 2, 30)...), reports(50, 3, 20)...)
-	out, _ := tracker.Update(slices.Values(all), endpointsUp(3), 0, 0)
-	qt.Assert(t, out, qt.HasLen, 2)
-	qt.Assert(t, []uint64{out[0].Key, out[1].Key}, qt.DeepEquals, []uint64{2, 3})
-	qt.Assert(t, out[0].Width, qt.Equals, uint32(3), qt.Commentf("no wider than the service"))
+	all := append(append(reportsOf(50, 1, 10), reportsOf(50, 2, 30)...), reportsOf(50, 3, 20)...)
+	hot, _ := tracker.Update(slices.Values(all), endpointsUp(3), 0, 0)
+	qt.Assert(t, hot, qt.HasLen, 2)
+	qt.Assert(t, []uint64{hot[0].Key, hot[1].Key}, qt.DeepEquals, []uint64{2, 3})
+	qt.Assert(t, hot[0].Width, qt.Equals, uint32(3), qt.Commentf("limited by the number of endpoints"))
 	qt.Assert(t, tracker.refused, qt.Equals, uint64(1))
-	out, _ = tracker.Update(slices.Values(all), nil, time.Second, 0)
-	qt.Assert(t, out, qt.HasLen, 0, qt.Commentf("its service is gone"))
+	hot, _ = tracker.Update(slices.Values(all), nil, time.Second, 0)
+	qt.Assert(t, hot, qt.HasLen, 0, qt.Commentf("the service has no endpoints"))
 }
 
+// A new master knows the widths only from the last view, here received as a delta,
+// and has no reports yet. It must not change a width because of that.
 func TestNewMasterRestoresWidthsFromLastView(t *testing.T) {
 	tracker := NewTracker(testOptions)
 	endpoints := endpointsUp(10)
-	was, _ := tracker.Update(slices.Values(reports(100, 7, 4)), endpoints, 0, 0)
-	view := &meshpb.View{Epoch: 1, Version: 3, HotKeys: was}
-	b, err := proto.Marshal(view.Since(&meshpb.View{Epoch: 1, Version: 2}))
+	before, _ := tracker.Update(slices.Values(reportsOf(100, 7, 4)), endpoints, 0, 0)
+	view := &meshpb.View{Epoch: 1, Version: 3, HotKeys: before}
+	encoded, err := proto.Marshal(view.Since(&meshpb.View{Epoch: 1, Version: 2}))
 	qt.Assert(t, err, qt.IsNil)
 	delta := &meshpb.View{}
-	qt.Assert(t, proto.Unmarshal(b, delta), qt.IsNil)
+	qt.Assert(t, proto.Unmarshal(encoded, delta), qt.IsNil)
 	restored := delta.ApplyTo(&meshpb.View{Epoch: 1, Version: 2, HotKeys: hotKeyOfWidth(1)})
 	successor := NewTracker(testOptions)
 	successor.Restore(restored.HotKeys, 10*time.Second)
 	// No node has reported anything yet.
-	out, changes := successor.Update(slices.Values[[][]*meshpb.KeyRate](nil), endpoints, 11*time.Second, 0)
+	hot, changes := successor.Update(slices.Values[[][]*meshpb.KeyRate](nil), endpoints, 11*time.Second, 0)
 	qt.Assert(t, changes, qt.HasLen, 0)
-	qt.Assert(t, SameWidths(out, was), qt.IsTrue)
-	out, changes = successor.Update(slices.Values(reports(100, 7, 4)), endpoints, 13*time.Second, 0)
+	qt.Assert(t, SameWidths(hot, before), qt.IsTrue)
+	hot, changes = successor.Update(slices.Values(reportsOf(100, 7, 4)), endpoints, 13*time.Second, 0)
 	qt.Assert(t, changes, qt.HasLen, 0)
-	qt.Assert(t, SameWidths(out, was), qt.IsTrue)
+	qt.Assert(t, SameWidths(hot, before), qt.IsTrue)
 	qt.Assert(t, view.ForNodes().HotKeys, qt.HasLen, 1)
 }
 
