--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -24,14 +24,13 @@
 	totalRetries  float64
 }
 
-// Budget limits retries and hedged attempts per service. In any window, a node
-// may spend a ratio of its own requests plus an equal share of the slack, so
-// that all nodes together stay within the limit for the zone, however many they
-// are. Half of the ratio and of the slack is kept as headroom for retries from
-// other sources and for nodes that join or leave. After
-// a start, a node's share of the slack grows linearly over one window, so that
-// the limit also holds while nodes join and restart. A Budget is safe for
-// concurrent use.
+// Budget limits retries and hedged attempts per service. In any window, a node may
+// spend a ratio of its own requests plus an equal share of the slack, so that all
+// nodes together stay within the limit for the zone, however many they are. Half
+// of the ratio and of the slack is kept as headroom for retries from other sources
+// and for nodes that join or leave. After a start, a node's share of the slack
+// grows linearly over one window, so that the limit also holds while nodes join
+// and restart. A Budget is safe for concurrent use.
 type Budget struct {
 	ratio          float64
 	slack          float64
@@ -128,8 +127,8 @@
 	return balance >= 1 && balance > u.totalRetries
 }
 
-// Balance returns how many attempts to the service the budget allows now, as a
-// fraction.
+// Balance returns how many more attempts to the service the budget allows now. The
+// result may be fractional or negative.
 func (b *Budget) Balance(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/retry/outcome.go
+++ b/internal/proxy/retry/outcome.go
@@ -4,11 +4,11 @@
 type Outcome int
 
 const (
-	// Answered means that the endpoint itself sent a response.
+	// Answered means that the endpoint itself sent a valid response.
 	Answered Outcome = iota
-	// Rejected means that the node beside the endpoint refused the attempt or
-	// could not be reached, or could not reach the endpoint. The endpoint has not
-	// seen the request.
+	// Rejected means that the sidecar of the endpoint refused the attempt, could
+	// not be reached or could not reach the endpoint. The endpoint has not seen
+	// the request.
 	Rejected
 	// Unreachable means that an endpoint without a sidecar could not be connected
 	// to, or that the request was not sent on the connection.
--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -61,7 +61,9 @@
 	unreachable int
 	queueTime   time.Duration
 	mayHaveRun  bool
-	anyZone     bool
+	// anyZone means that attempts need not stay in the local zone. It is set once
+	// an endpoint has declined the request.
+	anyZone bool
 	// tried are the endpoints that are not picked again.
 	tried []*loadbalancer.Endpoint
 	// reached are the endpoints that attempts have reached.
