--- a/internal/proxy/retry/plan.go
+++ b/internal/proxy/retry/plan.go
@@ -146,14 +146,14 @@
 	endpoint := p.preferredEndpoint()
 	if endpoint == nil {
 		endpoint = p.balancer.Pick(loadbalancer.Criteria{
-			Service:    p.service,
-			Bulk:       p.bulk,
-			Upload:     p.bulk && p.route.Kind != routeconfig.KindDownload,
-			Idempotent: p.route.Kind.Idempotent(),
-			Target:     p.route.LatencyTarget,
-			Tried:      p.tried,
-			AnyZone:    p.anyZone,
-			Key:        p.key,
+			Service:       p.service,
+			Bulk:          p.bulk,
+			Upload:        p.bulk && p.route.Kind != routeconfig.KindDownload,
+			Idempotent:    p.route.Kind.Idempotent(),
+			LatencyTarget: p.route.LatencyTarget,
+			Tried:         p.tried,
+			AnyZone:       p.anyZone,
+			Key:           p.key,
 		})
 	}
 	if endpoint != nil {
