--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -15,7 +15,7 @@
 	// tries to choose one again.
 	noEndpointRetryDelay = 20 * time.Millisecond
 	// slowEjectionTime is how long a direct endpoint is ejected if it does not
-	// respond within retry.SlowLimit.
+	// respond within retry.SlowThreshold.
 	slowEjectionTime = time.Second
 )
 
@@ -152,7 +152,7 @@
 }
 
 // ejectSlowEndpoint records a failure of a direct endpoint that exceeded
-// retry.SlowLimit, and ejects it. The health of other endpoints is tracked by
+// retry.SlowThreshold, and ejects it. The health of other endpoints is tracked by
 // their sidecars.
 func ejectSlowEndpoint(endpoint *loadbalancer.Endpoint) {
 	if endpoint.IsDirect() {
@@ -217,7 +217,7 @@
 
 // recordDirectResult updates the health state of an endpoint without a sidecar
 // after an attempt. InTime reports whether the attempt ended within
-// retry.SlowLimit.
+// retry.SlowThreshold.
 func recordDirectResult(result attemptResult, average time.Duration, inTime bool) {
 	endpoint, now := result.endpoint, time.Now()
 	switch result.outcome {
