--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -31,7 +31,7 @@
 	if base == 0 {
 		baseText = "0"
 	}
-	return operatorRequest{"PUT", configPath, baseText, configText(formatVersion(version), host)}
+	return operatorRequest{"PUT", configPath, baseText, configJSON(formatVersion(version), host)}
 }
 
 // patchChange returns a PATCH of version base that adds or replaces a route for host.
@@ -99,22 +99,22 @@
 		"no fault": func(*cluster, *member) {},
 		"the owner is killed and another member takes over": func(core *cluster, m *member) {
 			m.kill()
-			core.owner()
+			core.waitForOwner()
 			m.start(false)
 		},
 		"the owner is disconnected for a while": func(core *cluster, m *member) {
 			core.setDisconnected(m.addr, true)
-			core.owner()
+			core.waitForOwner()
 			core.setDisconnected(m.addr, false)
 		},
 		"the owner loses its disk and the next owner is killed": func(core *cluster, m *member) {
 			m.kill()
 			m.disk = &memoryDisk{}
 			m.start(false)
-			nextOwner := core.owner()
+			nextOwner := core.waitForOwner()
 			time.Sleep(6 * time.Second)
 			nextOwner.kill()
-			core.owner()
+			core.waitForOwner()
 			nextOwner.start(false)
 		},
 		"all members restart": func(core *cluster, _ *member) {
@@ -139,7 +139,7 @@
 				comment := qt.Commentf("%s, pair %d", name, i)
 				code, _ := core.sendUntilDecided(i, pair.first)
 				qt.Assert(t, code, qt.Equals, 200, comment)
-				inject(core, core.owner())
+				inject(core, core.waitForOwner())
 				code, _ = core.sendUntilDecided(i+1, pair.second)
 				qt.Assert(t, code, qt.Equals, 412, comment)
 				code, _ = core.sendUntilDecided(i+2, pair.first)
@@ -166,7 +166,7 @@
 			core.expectCode(changeSequence(1), 200, "at first")
 			if row.diskBlocked {
 				synctest.Wait()
-				defer core.members[0].disk.block()()
+				defer core.members[0].disk.blockWrites()()
 			}
 			var got, want [8]int
 			var wg sync.WaitGroup
@@ -207,7 +207,7 @@
 			code, _ := core.sendUntilDecided(0, row.setup)
 			qt.Assert(t, code, qt.Equals, 200)
 			synctest.Wait()
-			unblock := core.members[0].disk.block()
+			unblock := core.members[0].disk.blockWrites()
 			for i := range 3 {
 				code, _ = core.sendOnce("m0", row.change)
 				qt.Check(t, code, qt.Equals, 500, qt.Commentf("%s, request %d", name, i))
@@ -244,27 +244,27 @@
 			change   operatorRequest
 			code     int
 		}{
-			{"large, while another large one is checked", true, 0, pad(putChange(5, 1, "a"), bulkBodyBytes), 503},
+			{"large, while another large one is checked", true, 0, pad(putChange(5, 1, "a"), largeBodyBytes), 503},
 			{"small, while a large one is checked", true, 0, putChange(5, 1, "b"), 200},
 			{"already accepted, while a large one is checked", true, 0, putChange(5, 1, "b"), 200},
-			{"outdated, while a large one is checked", true, 0, pad(putChange(7, 1, "c"), bulkBodyBytes), 412},
+			{"outdated, while a large one is checked", true, 0, pad(putChange(7, 1, "c"), largeBodyBytes), 412},
 			{"pending bodies at the limit", false, maxPendingBodyBytes - 10, putChange(9, 5, "d"), 503},
 			{"too large", false, 0, pad(putChange(9, 5, "e"), maxConfigBytes), 413},
-			{"large", false, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
-			{"large and already accepted, while another is checked", true, 0, pad(putChange(9, 5, "f"), bulkBodyBytes), 200},
+			{"large", false, 0, pad(putChange(9, 5, "f"), largeBodyBytes), 200},
+			{"large and already accepted, while another is checked", true, 0, pad(putChange(9, 5, "f"), largeBodyBytes), 200},
 		} {
 			if row.bulkBusy {
-				server.bodies.bulkTurn <- struct{}{}
+				server.bodies.largeBodySem <- struct{}{}
 			}
 			server.bodies.pending.Add(row.pending)
 			code, _ := core.sendOnce("m0", row.change)
 			qt.Check(t, code, qt.Equals, row.code, qt.Commentf("%s", row.name))
 			server.bodies.pending.Add(-row.pending)
 			if row.bulkBusy {
-				<-server.bodies.bulkTurn
+				<-server.bodies.largeBodySem
 			}
 			qt.Check(t, server.bodies.pending.Load(), qt.Equals, int64(0), qt.Commentf("%s", row.name))
-			qt.Check(t, len(server.bodies.bulkTurn), qt.Equals, 0, qt.Commentf("%s", row.name))
+			qt.Check(t, len(server.bodies.largeBodySem), qt.Equals, 0, qt.Commentf("%s", row.name))
 		}
 		qt.Assert(t, core.currentVersion(), qt.Equals, "r9")
 	})
@@ -362,7 +362,7 @@
 			disk.records = append(disk.records, record)
 			core := newCluster(t, 1, disk)
 			defer core.close()
-			core.owner()
+			core.waitForOwner()
 			for i, row := range []struct {
 				request operatorRequest
 				code    int
