--- a/internal/proxy/clients_test.go
+++ b/internal/proxy/clients_test.go
@@ -169,7 +169,7 @@
 
 // The transport reads a request body once more after its last byte. If the response
 // has started by then, the server has closed the body: the read would fail and end
-// the endpoint's connection in the middle of its response (see readToLength).
+// the endpoint's connection in the middle of its response (see limitToLength).
 func TestResponseIsCompleteIfItStartsBeforeTheEndOfTheRequestBodyIsRead(t *testing.T) {
 	const (
 		addr = "delayed"
--- a/internal/replication/handler.go
+++ b/internal/replication/handler.go
@@ -18,7 +18,7 @@
 }
 
 // responseOrError converts the result of a mailbox call to that of an RPC. It returns
-// errNoAnswer if the response is nil, or if there is none since the mailbox was
+// errNoResponse if the response is nil, or if there is none since the mailbox was
 // closed or the call was cancelled.
 func responseOrError[Response any](response *Response, ok bool) (*Response, error) {
 	if !ok || response == nil {
@@ -59,7 +59,7 @@
 
 // Replicate handles entries, epoch changes and full states from an owner. The response
 // comes once they are on disk. It returns errMalformed if the header has no sender,
-// and errNoAnswer if a write failed.
+// and errNoResponse if a write failed.
 func (h Handler) Replicate(ctx context.Context, request *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
@@ -74,7 +74,7 @@
 
 // RequestVotes handles a candidate's requests for votes and pre-votes. The response
 // comes once the votes are on disk. It returns errMalformed if the header has no
-// sender, and errNoAnswer if a write failed.
+// sender, and errNoResponse if a write failed.
 func (h Handler) RequestVotes(ctx context.Context, request *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
 	if !hasSender(request.Header) {
 		return nil, errMalformed
@@ -98,7 +98,7 @@
 }
 
 // AcceptMembership adopts a newer membership. The response comes once it is on disk.
-// It returns errMalformed if the membership is empty, and errNoAnswer if the write
+// It returns errMalformed if the membership is empty, and errNoResponse if the write
 // failed.
 func (h Handler) AcceptMembership(ctx context.Context, request *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
 	if len(request.GetMembership().GetMembers()) == 0 {
--- a/internal/replication/learner.go
+++ b/internal/replication/learner.go
@@ -60,7 +60,7 @@
 }
 
 // caughtUp reports whether, for every shard, this learner was found within the last
-// learnerFreshness to hold what the owner had committed one heartbeat earlier.
+// learnerCaughtUpMaxAge to hold what the owner had committed one heartbeat earlier.
 func (r *Replica) caughtUp() bool {
 	for _, s := range r.shards {
 		if r.now()-s.catchUp.caughtUpAt > learnerCaughtUpMaxAge {
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -34,7 +34,7 @@
 
 // commitIsSlow reports whether the owner of s should replicate to more members than
 // the preferred peers: during a takeover or a transfer, and when an entry has been
-// uncommitted for longer than commitDelay.
+// uncommitted for longer than slowReplicationThreshold.
 func (r *Replica) commitIsSlow(s *shard) bool {
 	if !s.isOwned() {
 		return false
--- a/internal/replication/transfer.go
+++ b/internal/replication/transfer.go
@@ -46,7 +46,7 @@
 
 // mustTransfer reports whether this member must give up the shard: it is leaving, its
 // disk failed, or its disk is stalled. A stalled disk doesn't count until the ownership
-// is older than stalledOwnership, because a new owner writes a lot at first.
+// is older than minimumStalledOwnership, because a new owner writes a lot at first.
 func (r *Replica) mustTransfer(s *shard) bool {
 	stalled := r.diskStalled() && r.now()-s.ownership.startedAt > r.options.minimumStalledOwnership()
 	return r.leaving || r.disk.failed || stalled
@@ -65,7 +65,7 @@
 
 // mayTransferToPreferred reports whether the shard can move to its preferred owner: the
 // membership is complete, this member has owned the shard for minimumOwnership, and the
-// preferred owner is another member that has been healthy for successorHealthyFor and
+// preferred owner is another member that has been healthy for minimumSuccessorHealthyTime and
 // has almost caught up. Only one shard is transferred at a time.
 func (r *Replica) mayTransferToPreferred(s *shard) bool {
 	if len(r.membership.Members) < int(r.membership.Size) {
@@ -128,7 +128,7 @@
 
 // HandleTransferOwnership processes an owner's notice that it has given up shards. This
 // member ends the leases that it granted to the owner. If it is the successor, it starts
-// elections without a pre-vote; otherwise it starts none for bystanderBackoff.
+// elections without a pre-vote; otherwise it starts none for nonSuccessorBackoff.
 func (r *Replica) HandleTransferOwnership(request *meshpb.TransferOwnershipRequest) *meshpb.TransferOwnershipResponse {
 	header := request.Header
 	if header.To != r.self.Id || header.Membership != r.membership.Version || !r.isMember() {
