--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// PathVariable is the environment variable that names the settings file.
+	// PathVariable is the environment variable that holds the path of the settings
+	// file.
 	PathVariable = "CORKCOVE_CONFIG"
 
 	defaultPath = "/etc/corkcove/settings.toml"
 )
 
-// Path is the settings file's path.
+// Path returns the path of the settings file: the value of PathVariable, or
+// /etc/corkcove/settings.toml if it is unset or empty.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -24,12 +26,13 @@
 	return defaultPath
 }
 
-// Load reads a settings file and checks it for a role; an empty role checks
-// what all roles need.
+// Load reads the settings file at path and validates it for role; see
+// Options.Validate. It fails with class Error if the file cannot be read or
+// parsed, or if the settings are invalid.
 func Load(path, role string) (Options, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return Options{}, Error.New("%s: no such file; name the settings file in %s", path, PathVariable)
+		return Options{}, Error.New("settings file %s does not exist; set %s to its path", path, PathVariable)
 	}
 	if err != nil {
 		return Options{}, Error.Wrap(err)
@@ -37,16 +40,17 @@
 	return Parse(data, role)
 }
 
-// Parse is Load for a file's content.
+// Parse is like Load for the content of a settings file.
 func Parse(data []byte, role string) (Options, error) {
-	options := defaults()
+	options := defaultOptions()
 	if err := toml.Unmarshal(data, &options); err != nil {
 		return Options{}, decodeError(err)
 	}
 	return options, options.Validate(role)
 }
 
-// decodeError says where in the file the error is.
+// decodeError adds the line, column and field to a TOML error where they are
+// known.
 func decodeError(err error) error {
 	var located *toml.DecodeError
 	if !errors.As(err, &located) {
@@ -56,8 +60,8 @@
 	return Error.New("line %d, column %d: field %s: %v", line, column, strings.Join(located.Key(), "."), located)
 }
 
-// defaults are the settings of an empty file.
-func defaults() Options {
+// defaultOptions returns the settings that an empty file yields.
+func defaultOptions() Options {
 	return Options{
 		Affinity:   Affinity{IdleSeconds: 600, MaxSessions: 100000},
 		HotKeys:    DefaultHotKeys(),
@@ -70,29 +74,30 @@
 	}
 }
 
-// DefaultHotKeys holds where the settings give nothing else.
+// DefaultHotKeys returns the hot-key settings that apply to fields missing from
+// the file.
 func DefaultHotKeys() HotKeys {
 	return HotKeys{SlotShare: 0.4, MaxKeys: 64, MaxEndpoints: 32, DecaySeconds: 5, SlowStartSeconds: 2}
 }
 
 func defaultBounds() Bounds {
 	return Bounds{
-		SeedLagSeconds:     3,
-		ReuseAfterSeconds:  2,
-		ContactSeconds:     3,
-		AckSeconds:         4,
-		CatchUpSeconds:     4,
-		DrainSeconds:       2,
-		GraceSeconds:       6,
-		LossSlackSeconds:   0.2,
-		ConfigApplySeconds: 2,
-		RevertSlackSeconds: 0.25,
-		StretchSeconds:     5,
-		RetryRatio:         0.2,
-		RetryWindowSeconds: 10,
-		RetrySlack:         50,
-		RecoverSeconds:     15,
-		HistorySeconds:     20,
-		ReleaseSeconds:     1.5,
+		SeedLagSeconds:              3,
+		ReuseAfterSeconds:           2,
+		MinUndisturbedSeconds:       3,
+		AckSeconds:                  4,
+		CatchUpSeconds:              4,
+		DrainSeconds:                2,
+		GraceSeconds:                6,
+		LossSlackSeconds:            0.2,
+		ConfigApplySeconds:          2,
+		RevertSlackSeconds:          0.25,
+		ConfigApplyExtensionSeconds: 5,
+		RetryRatio:                  0.2,
+		RetryWindowSeconds:          10,
+		RetrySlack:                  50,
+		RecoverySeconds:             15,
+		HistorySeconds:              20,
+		LockReleaseSeconds:          1.5,
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,258 +6,286 @@
 	"time"
 )
 
-// Roles that a process may have.
+// Roles of a process.
 const (
 	RoleCore    = "core"
 	RoleEdge    = "edge"
 	RoleSidecar = "sidecar"
 )
 
-// Ways by which endpoints become known.
+// Sources of endpoint discovery, the values of Platform.Discovery.
 const (
-	// SourceHeartbeats means that endpoints report to the sidecars beside them.
+	// SourceHeartbeats means that each endpoint sends heartbeats to its sidecar.
 	SourceHeartbeats = "local_file"
-	// SourceCloud means that the platform lists them.
+	// SourceCloud means that the platform's API lists the endpoints.
 	SourceCloud = "cloud"
 )
 
-// Ways by which clients arrive.
+// Entry points of client traffic, the values of Platform.ClientEntry.
 const (
-	// EntryLocal means that each client uses the sidecar on its machine.
+	// EntryLocal means that each client connects to the sidecar on its own machine.
 	EntryLocal = "local_file"
-	// EntryVirtualIP means that clients come to the edges from outside.
+	// EntryVirtualIP means that external clients connect to the edges.
 	EntryVirtualIP = "vip"
 )
 
-// Options are the settings of one process. Durations are in seconds.
+// Options holds the settings of one process. Durations are in seconds.
 type Options struct {
-	// HotKeys bounds how far reads of a frequent key are spread.
+	// HotKeys limits the spreading of reads of hot keys over endpoints.
 	HotKeys HotKeys `toml:"hotSet"`
-	// Affinity bounds the sessions that are kept at one endpoint.
+	// Affinity limits the sessions that are pinned to an endpoint.
 	Affinity Affinity `toml:"pinSet"`
-	// RequestLog bounds what a node remembers of its requests.
+	// RequestLog limits the request records that a node keeps.
 	RequestLog RequestLog `toml:"recordSet"`
-	// Self is who and where the process is.
+	// Self identifies the process and its location.
 	Self Self `toml:"self"`
 	// Network holds the addresses of the process and of the core.
 	Network Network `toml:"network"`
-	// Platform is what the process runs on.
+	// Platform describes the host platform.
 	Platform Platform `toml:"hostPlatform"`
-	// Requirements are what the deployment has agreed on.
+	// Requirements holds the service levels agreed for the deployment.
 	Requirements Requirements `toml:"termTable"`
 }
 
-// Self is who and where a process is.
+// Self identifies a process, its location and its resources.
 type Self struct {
-	// NodeName is unique in the deployment.
+	// NodeName is the node's name, unique in the deployment.
 	NodeName string `toml:"nodeName"`
-	// Role is what the deployment calls the process's role. The command line, not
-	// this field, decides what the process does.
+	// Role is the deployment's name for the role of the process. It is
+	// informational: the command line selects the role that the process runs.
 	Role string `toml:"role"`
-	// MachineClass and ServedRoles are what the machine is, and what it serves.
-	MachineClass string   `toml:"machineClass"`
-	ServedRoles  []string `toml:"servedRoles"`
-	// IP is the address that other processes reach this one at.
+	// MachineClass is the type of the machine.
+	MachineClass string `toml:"machineClass"`
+	// ServedRoles lists the roles that the machine serves.
+	ServedRoles []string `toml:"servedRoles"`
+	// IP is the address at which other processes reach this one.
 	IP string `toml:"ip"`
-	// ZoneName is where the machine is; nodes prefer endpoints in their zone.
-	ZoneName   string `toml:"siteName"`
+	// ZoneName is the zone of the machine; nodes prefer endpoints in their own zone.
+	ZoneName string `toml:"siteName"`
+	// RegionName is the region of the machine.
 	RegionName string `toml:"regionName"`
-	// LossCounted says that the machine counts among those that the deployment
-	// tolerates to lose.
+	// LossCounted reports whether the loss of this machine counts towards
+	// Tolerance.MachineLosses.
 	LossCounted bool `toml:"lossCounted"`
-	// FirstStart is true only when the whole system starts for the first time, on
-	// empty disks: the seeds then bootstrap the core. Set wrongly, seeds
-	// with empty disks could form a second core.
+	// FirstStart must be true only when the whole system starts for the first time
+	// with empty disks: the seeds then bootstrap the core. If it is set at any other
+	// time, seeds with empty disks may form a second core.
 	FirstStart bool `toml:"firstStart"`
-	// DataDir is where a core member keeps its log and snapshots.
+	// DataDir is the directory of a core member's log and snapshots.
 	DataDir string `toml:"dataDir"`
-	// AppAddr and ServiceName are those of the endpoint beside a sidecar.
-	AppAddr     string `toml:"appAddr"`
+	// AppAddr is the address (IP:port) of the endpoint that a sidecar serves.
+	AppAddr string `toml:"appAddr"`
+	// ServiceName is the service of that endpoint.
 	ServiceName string `toml:"serviceName"`
-	// Limits are the resources of the process.
+	// Limits holds the resources available to the process.
 	Limits ResourceLimits `toml:"limitSet"`
 }
 
-// ResourceLimits are the resources that a process gets. 0 is no known limit.
+// ResourceLimits holds the resources available to a process; 0 means that the
+// limit is unknown.
 type ResourceLimits struct {
-	// CPUShare is the part of a core that the process gets.
+	// CPUShare is the fraction of a CPU core that the process may use.
 	CPUShare float64 `toml:"cpuShare"`
-	// CoreCount is how many times as fast as one core that part runs.
+	// CoreCount is the speed of that fraction relative to one core.
 	CoreCount float64 `toml:"coreCount"`
-	// MemoryMB is what the process may use; it keeps below it where it can. 16 at
-	// least.
-	MemoryMB           int64 `toml:"memoryMb"`
+	// MemoryMB is the memory that the process may use, in MiB; at least 16 if set.
+	// The process tries to stay below it, but the limit is not strict.
+	MemoryMB int64 `toml:"memoryMb"`
+	// MaxFileDescriptors is the largest number of open file descriptors.
 	MaxFileDescriptors int64 `toml:"maxFds"`
-	// LinkMbps is the bandwidth of the machine's link, in megabits a second.
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s.
 	LinkMbps float64 `toml:"linkMbps"`
-	DiskMB   int64   `toml:"diskMb"`
+	// DiskMB is the available disk space in MB.
+	DiskMB int64 `toml:"diskMb"`
 }
 
 // Network holds the addresses of a process and of the core.
 type Network struct {
-	// InternalPorts are the first and the last port for calls between processes;
-	// the first one is used, and is the same on all machines.
+	// InternalPorts holds the first and last port of the range reserved for calls
+	// between processes. Only the first is used; it must be the same on all
+	// machines.
 	InternalPorts []int `toml:"innerPortRange"`
-	// Seeds are the control addresses of some core members. They may be out of
-	// date, but one of them has to be reached for the process to find the others.
+	// Seeds holds the control addresses (IP:port) of some core members. The list
+	// may be outdated, but a process discovers the other members only if it can
+	// reach at least one of these.
 	Seeds []string `toml:"seedList"`
-	// Listen holds the addresses that the process serves.
-	Listen Listen `toml:"listenAddrs"`
-	// Zones are the zones of the deployment, with their regions.
+	// Listen holds the addresses on which the process listens.
+	Listen ListenAddrs `toml:"listenAddrs"`
+	// Zones maps each zone of the deployment to its region.
 	Zones map[string]string `toml:"sites"`
 }
 
-// Listen holds the addresses that a process serves, as IP:port. Which of them
-// are needed depends on the role.
-type Listen struct {
-	// Ingress is where clients reach an edge.
+// ListenAddrs holds the addresses (IP:port) on which a process listens. The role
+// determines which of them are required.
+type ListenAddrs struct {
+	// Ingress accepts client requests at an edge.
 	Ingress string `toml:"front"`
-	// Inbound is where other nodes reach the endpoint beside a sidecar.
+	// Inbound accepts requests from other nodes for a sidecar's endpoint.
 	Inbound string `toml:"inboundAddr"`
-	// Outbound is where the endpoint beside a sidecar sends its own requests.
+	// Outbound accepts the requests that a sidecar's endpoint sends.
 	Outbound string `toml:"outboundAddr"`
-	// Ready answers readiness checks.
+	// Ready serves readiness checks.
 	Ready string `toml:"readyAddr"`
-	// Control serves operators, applications and endpoints.
+	// Control serves the API for operators, applications and endpoints.
 	Control string `toml:"controlAddr"`
 }
 
-// Platform is what a process runs on.
+// Platform describes the host platform of a process.
 type Platform struct {
-	// HeartbeatSeconds is how often endpoints send a heartbeat; default 1.5. If it
-	// is too low, endpoints are taken for dead between two heartbeats.
+	// HeartbeatSeconds is the interval at which endpoints send heartbeats; default
+	// 1.5. If it is shorter than the actual interval, endpoints are considered dead
+	// between two heartbeats.
 	HeartbeatSeconds float64 `toml:"beatS"`
-	// Discovery is SourceHeartbeats, the default, or SourceCloud.
+	// Discovery is SourceHeartbeats (the default) or SourceCloud.
 	Discovery string `toml:"discoverySource"`
-	// ClientEntry is EntryLocal, the default, or EntryVirtualIP.
-	ClientEntry    string `toml:"entryKind"`
+	// ClientEntry is EntryLocal (the default) or EntryVirtualIP.
+	ClientEntry string `toml:"entryKind"`
+	// DeploymentSpec identifies the specification of the deployment. It is not
+	// used.
 	DeploymentSpec string `toml:"deploymentSpec"`
-	// Cloud is the platform's API, for SourceCloud.
+	// Cloud configures access to the platform's API; only SourceCloud uses it.
 	Cloud CloudAPI `toml:"cloudApi"`
 }
 
-// CloudAPI is the platform's API.
+// CloudAPI configures access to the platform's API.
 type CloudAPI struct {
-	// Address serves the list of endpoints, as IP:port.
+	// Address is the address (IP:port) that serves the list of endpoints.
 	Address string `toml:"address"`
-	// RequestsPerSecond is how many requests the platform takes from all nodes
-	// together; default 10. If it is too high, requests are refused.
+	// RequestsPerSecond is the platform's rate limit for all nodes together;
+	// default 10. If it is set too high, the platform rejects requests.
 	RequestsPerSecond float64 `toml:"ratePerS"`
-	// MaxLagSeconds is how far the list may be behind; default 1.
+	// MaxLagSeconds is the maximum staleness of the list; default 1.
 	MaxLagSeconds float64 `toml:"maxLagS"`
-	// SingletonRoles are the duties that the platform expects one node at a time
-	// to have.
+	// SingletonRoles lists the roles that the platform expects exactly one node to
+	// hold at a time.
 	SingletonRoles []string `toml:"dutyList"`
 }
 
-// Requirements are what the deployment has agreed on with its users.
+// Requirements holds the service levels agreed with the users of the deployment.
 type Requirements struct {
-	// Contracts names the parts that are in force.
-	Contracts []string  `toml:"contractSet"`
+	// Contracts names the parts of the agreement that are in force.
+	Contracts []string `toml:"contractSet"`
+	// Tolerance holds the simultaneous losses that must be tolerated.
 	Tolerance Tolerance `toml:"tolerance"`
-	Bounds    Bounds    `toml:"boundSet"`
+	// Bounds holds the agreed time bounds and retry limits.
+	Bounds Bounds `toml:"boundSet"`
 }
 
-// Tolerance is what may be lost at the same time with all requirements kept.
+// Tolerance holds the simultaneous losses under which all requirements must
+// still be met.
 type Tolerance struct {
-	// MachineLosses counts machines with LossCounted.
+	// MachineLosses is the number of machines with Self.LossCounted that may be
+	// lost.
 	MachineLosses int `toml:"machineLosses"`
-	Zones         int `toml:"sites"`
-	RegionLosses  int `toml:"regionLosses"`
+	// ZoneLosses is the number of zones that may be lost.
+	ZoneLosses int `toml:"sites"`
+	// RegionLosses is the number of regions that may be lost.
+	RegionLosses int `toml:"regionLosses"`
 }
 
-// Bounds are the times and figures that the deployment has agreed on. Not all of
-// them are used; the others are read so that one of the wrong type is found.
+// Bounds holds the time bounds and retry limits agreed for the deployment. Unused
+// fields are declared so that values of the wrong type are still reported.
 type Bounds struct {
-	// SeedLagSeconds is how far lists of core members may be behind.
+	// SeedLagSeconds is the maximum staleness of lists of core members.
 	SeedLagSeconds float64 `toml:"seedLagS"`
-	// ReuseAfterSeconds is after how long an ended endpoint's address may belong to
-	// another service.
+	// ReuseAfterSeconds is the time after an endpoint has ended before another
+	// service may reuse its address.
 	ReuseAfterSeconds float64 `toml:"reuseAfterS"`
-	// ContactSeconds is for how long a machine must have run undisturbed for the
-	// bounds to hold for it.
-	ContactSeconds float64 `toml:"contactS"`
-	// AckSeconds is within which a change is acknowledged.
+	// MinUndisturbedSeconds is how long a machine must have run without a fault
+	// before the bounds apply to it.
+	MinUndisturbedSeconds float64 `toml:"contactS"`
+	// AckSeconds is the maximum time until a change is acknowledged.
 	AckSeconds float64 `toml:"ackS"`
-	// CatchUpSeconds is within which a returned machine counts again.
+	// CatchUpSeconds is the maximum time until a recovered machine counts as
+	// available again.
 	CatchUpSeconds float64 `toml:"catchUpS"`
-	// DrainSeconds is within which no request is sent any more to an endpoint that
-	// drains. The platform's list is read at a third of it.
+	// DrainSeconds is the time after which a draining endpoint must receive no new
+	// requests. The platform's endpoint list is polled at a third of it.
 	DrainSeconds float64 `toml:"drainS"`
-	// GraceSeconds is how long a process has between SIGTERM and its end. If it is
-	// too high, requests are cut by the platform.
+	// GraceSeconds is the time between SIGTERM and the forced end of a process. If
+	// it exceeds the platform's own grace period, the platform kills the process
+	// while requests are still in progress.
 	GraceSeconds float64 `toml:"graceS"`
-	// LossSlackSeconds is how long after its last byte a request counts as taken.
+	// LossSlackSeconds is the time after its last byte for which a request counts as
+	// accepted.
 	LossSlackSeconds float64 `toml:"lossSlackS"`
-	// ConfigApplySeconds is within which all nodes follow a configuration.
+	// ConfigApplySeconds is the maximum time until all nodes apply a new
+	// configuration.
 	ConfigApplySeconds float64 `toml:"configApplyS"`
-	// RevertSlackSeconds is for how long after a version's first effect requests
-	// may still be handled by the one before.
+	// RevertSlackSeconds is how long after a configuration version first takes
+	// effect requests may still be handled according to the previous version.
 	RevertSlackSeconds float64 `toml:"revertSlackS"`
-	// StretchSeconds prolongs ConfigApplySeconds while the core has no owner.
-	StretchSeconds float64 `toml:"stretchS"`
-	// RetryRatio is how many retries the budget allows for each request.
+	// ConfigApplyExtensionSeconds extends ConfigApplySeconds while the core has no
+	// owner.
+	ConfigApplyExtensionSeconds float64 `toml:"stretchS"`
+	// RetryRatio is the number of retries per request that the retry budget allows.
 	RetryRatio float64 `toml:"retryRatio"`
-	// RetryWindowSeconds is the time over which the budget counts.
+	// RetryWindowSeconds is the length of the window over which the retry budget is
+	// computed.
 	RetryWindowSeconds float64 `toml:"retryWindowS"`
-	// RetrySlack is how many retries all nodes together may send in a window
-	// beside the ratio.
+	// RetrySlack is the number of retries per window that all nodes together may
+	// send in addition to those that RetryRatio allows.
 	RetrySlack float64 `toml:"retrySlack"`
-	// RecoverSeconds is within which service is back after a loss of everything.
-	RecoverSeconds float64 `toml:"recoverS"`
-	// HistorySeconds is for how long a watcher may be away and miss no event. If it
-	// is too low, watchers have to read all keys again.
+	// RecoverySeconds is the maximum time until service is restored after a complete
+	// outage.
+	RecoverySeconds float64 `toml:"recoverS"`
+	// HistorySeconds is how long a watcher may be disconnected without missing
+	// events. If it is too short, watchers have to read all keys again.
 	HistorySeconds float64 `toml:"historyS"`
-	// ReleaseSeconds is within which an expired lock is free.
-	ReleaseSeconds float64 `toml:"releaseS"`
+	// LockReleaseSeconds is the maximum time until an expired lock is released.
+	LockReleaseSeconds float64 `toml:"releaseS"`
 }
 
-// Affinity bounds the sessions that are kept at one endpoint.
+// Affinity limits the sessions that are pinned to an endpoint.
 type Affinity struct {
-	// IdleSeconds is for how long an unused session is kept; default 600.
+	// IdleSeconds is the time after which an unused session is dropped; default 600.
 	IdleSeconds float64 `toml:"idleS"`
-	// MaxSessions is how many are kept; default 100,000. Beyond it new sessions
-	// are not kept at one endpoint.
+	// MaxSessions is the maximum number of pinned sessions; default 100,000. Further
+	// sessions are not pinned.
 	MaxSessions int `toml:"most"`
 }
 
-// RequestLog bounds what a node remembers of the requests it forwarded, for the
-// replay of a day.
+// RequestLog limits the records that a node keeps of forwarded requests, from
+// which recorded traffic can be replayed.
 type RequestLog struct {
-	// MaxRequests is how many are kept; default 4,096, 0 keeps none.
+	// MaxRequests is the maximum number of records; default 4,096, 0 disables
+	// recording.
 	MaxRequests int `toml:"requests"`
-	// RetentionSeconds is for how long they are kept; default 120.
+	// RetentionSeconds is how long records are kept; default 120.
 	RetentionSeconds float64 `toml:"spanS"`
 }
 
-// HotKeys bounds the keys whose reads are spread, and how far.
+// HotKeys limits how many hot keys have their reads spread over several
+// endpoints, and over how many.
 type HotKeys struct {
-	// SlotShare is the part of one endpoint's slots that a key's reads may fill
-	// before they go to another one too; 0.05 to 1, default 0.4.
+	// SlotShare is the fraction of one endpoint's slots that the reads of a key may
+	// occupy before they are spread to another endpoint; 0.05 to 1, default 0.4.
 	SlotShare float64 `toml:"share"`
-	// MaxKeys is how many keys are spread at the same time; 0 to 1,024, default 64.
+	// MaxKeys is the maximum number of keys that are spread at the same time; 0 to
+	// 1,024, default 64.
 	MaxKeys int `toml:"most"`
-	// MaxEndpoints is how many endpoints a key's reads go to; 1 to 1,024, default
-	// 32.
+	// MaxEndpoints is the maximum number of endpoints that serve the reads of a key;
+	// 1 to 1,024, default 32.
 	MaxEndpoints int `toml:"mostWidth"`
-	// DecaySeconds is for how long a key stays spread after its reads have become
-	// fewer; 0.5 to 600, default 5.
+	// DecaySeconds is how long the demand for a key must have been lower before its
+	// reads go to fewer endpoints; 0.5 to 600, default 5.
 	DecaySeconds float64 `toml:"fallS"`
-	// SlowStartSeconds is the time in which an endpoint that is new to a key gets
-	// its full part of the reads; 0 to 60, default 2.
+	// SlowStartSeconds is the time over which an endpoint that was added for a key
+	// ramps up to its full share of the reads; 0 to 60, default 2.
 	SlowStartSeconds float64 `toml:"slowStartS"`
 }
 
-// Seconds is a number of seconds as a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// InternalAddr is where the process serves calls from other processes.
+// InternalAddr returns the address (IP:port) at which the process serves calls
+// from other processes. The options must be valid.
 func (o Options) InternalAddr() string {
 	return joinHostPort(o.Self.IP, o.Network.internalPort())
 }
 
-// SeedInternalAddrs are the addresses at which the seeds serve calls from other
-// processes.
+// SeedInternalAddrs returns the addresses (IP:port) at which the seeds serve calls
+// from other processes. It skips seeds that cannot be parsed.
 func (o Options) SeedInternalAddrs() []string {
 	var addrs []string
 	for _, seed := range o.Network.Seeds {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,39 +30,40 @@
 graceS = 6
 `
 
-func TestInvalidFieldsAreNamed(t *testing.T) {
+func TestInvalidFieldsAreReported(t *testing.T) {
 	for _, role := range []string{"core", "sidecar"} {
 		options, err := Parse([]byte(validSettings), role)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, options.InternalAddr(), qt.Equals, "127.0.0.1:7600")
 		qt.Assert(t, options.Requirements.Bounds.HistorySeconds, qt.Equals, 20.0)
 	}
-	for _, row := range []struct{ old, new, why string }{
+	for _, row := range []struct{ old, new, want string }{
 		{`nodeName = "n"`, ``, "self.nodeName is missing"},
 		{`"127.0.0.1:2"`, `"here"`, `inboundAddr: "here"`},
 		{`[7600, 7610]`, `[7610, 7600]`, "innerPortRange"},
 		{`[7600, 7610]`, `7600`, "innerPortRange"},
 		{`["127.0.0.1:1"]`, `[]`, "seedList"},
-		{`graceS = 6`, `graceS = 0`, "graceS: 0 must be above 0"},
+		{`graceS = 6`, `graceS = 0`, "graceS: 0 must be greater than 0"},
 		{`graceS = 6`, `graceS = "six"`, "graceS"},
 		{`serviceName = "shop"`, ``, "serviceName"},
 		{`[network]`, `[network`, "line"},
-		{`[network]`, "[hotSet]\nshare = 1.5\n[network]", "hotSet.share: 1.5 must be from 0.05 to 1"},
+		{`[network]`, "[hotSet]\nshare = 1.5\n[network]", "hotSet.share: 1.5 must be between 0.05 and 1"},
 		{`[network]`, "[hotSet]\nmost = -1\n[network]", "hotSet.most"},
 		{`[network]`, "[hotSet]\nmostWidth = 0\n[network]", "hotSet.mostWidth"},
 		{`[network]`, "[hotSet]\nfallS = 0.1\n[network]", "hotSet.fallS"},
 		{`[network]`, "[hotSet]\nslowStartS = -1\n[network]", "hotSet.slowStartS"},
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, row.old, row.new, 1)), "sidecar")
-		qt.Check(t, err, qt.ErrorMatches, "(?s).*"+row.why+".*")
+		qt.Check(t, err, qt.ErrorMatches, "(?s).*"+row.want+".*")
 	}
 }
 
-// The paths in messages are those of the struct tags.
-func TestNamedFieldsExist(t *testing.T) {
+// TestReportedFieldsExist guards against validation messages that name a field
+// which no struct tag defines: the paths in the messages are written by hand.
+func TestReportedFieldsExist(t *testing.T) {
 	known := map[string]bool{}
 	collectPaths(reflect.TypeFor[Options](), "", known)
-	named := 0
+	reported := 0
 	for _, role := range []string{RoleCore, RoleEdge, RoleSidecar} {
 		options := Options{Network: Network{Seeds: []string{""}}, Platform: Platform{Discovery: SourceCloud, Cloud: CloudAPI{MaxLagSeconds: -1}}}
 		options.Self.Limits.MemoryMB, options.RequestLog.MaxRequests, options.Requirements.Bounds.RetryRatio = 1, -1, -1
@@ -70,19 +71,20 @@
 		for _, line := range strings.Split(text, "\n  ") {
 			path := regexp.MustCompile(`^[A-Za-z.]+`).FindString(line)
 			qt.Check(t, known[path], qt.IsTrue, qt.Commentf("%s: %s", role, line))
-			named++
+			reported++
 		}
 	}
-	qt.Check(t, named > 60, qt.IsTrue, qt.Commentf("%d fields named", named))
+	qt.Check(t, reported > 60, qt.IsTrue, qt.Commentf("%d fields reported", reported))
 }
 
-func collectPaths(section reflect.Type, prefix string, to map[string]bool) {
+// collectPaths adds the dotted path of each field of section to paths.
+func collectPaths(section reflect.Type, prefix string, paths map[string]bool) {
 	for i := range section.NumField() {
 		field := section.Field(i)
 		path := prefix + field.Tag.Get("toml")
-		to[path] = true
+		paths[path] = true
 		if field.Type.Kind() == reflect.Struct {
-			collectPaths(field.Type, path+".", to)
+			collectPaths(field.Type, path+".", paths)
 		}
 	}
 }
