--- a/cmd/controlload/mesh.go
+++ b/cmd/controlload/mesh.go
@@ -34,7 +34,7 @@
 }
 
 func newLoadMesh(services int) *loadMesh {
-	transport := rpc.Transport(time.Second, 5*time.Second, 90*time.Second, 4)
+	transport := rpc.NewTransport(time.Second, 5*time.Second, 90*time.Second, 4)
 	return &loadMesh{clients: rpc.NewClients(&http.Client{Transport: transport}), startedAt: time.Now(), services: services}
 }
 
--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -131,7 +131,7 @@
 // controller's shard. openReplica must follow.
 func newCoreNode(p *process) *coreNode {
 	box := mailbox.New()
-	clients := rpc.NewClients(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
+	clients := rpc.NewClients(&http.Client{Transport: rpc.NewProbingTransport(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
 	c := &coreNode{process: p, mailbox: box, service: coordination.NewService(box, shardCount), clients: clients}
 	c.master = clustercontroller.NewMaster(c.masterOptions(), mailbox.New(), clients, c)
 	return c
@@ -194,7 +194,7 @@
 // serveControlAPI answers operators and applications.
 func (c *coreNode) serveControlAPI(listener net.Listener) *controlapi.CoreServer {
 	api := controlapi.NewCoreServer(c.service, apiRetryTimeout)
-	api.PeerTransport = rpc.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
+	api.PeerTransport = rpc.NewTransport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
 	api.OnConfigAccepted = func(version uint64) {
 		c.trace(changetrace.KindConfig, "acknowledged", c.replica.MasterEpoch(), version)
 	}
--- a/cmd/corkcove/core_discovery.go
+++ b/cmd/corkcove/core_discovery.go
@@ -28,7 +28,7 @@
 func (c *coreNode) pollDiscovery(ctx context.Context) {
 	platform := c.options.Platform.Cloud
 	client := discovery.New(discovery.Options{Address: platform.Address, RequestsPerSecond: platform.RequestsPerSecond, Log: c.log("discovery"),
-		HTTPClient: &http.Client{Timeout: discoveryTimeout, Transport: rpc.Transport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
+		HTTPClient: &http.Client{Timeout: discoveryTimeout, Transport: rpc.NewTransport(400*time.Millisecond, time.Second, 30*time.Second, 1)}})
 	drain := settings.Seconds(c.options.Requirements.Bounds.DrainSeconds)
 	interval := min(max(drain/3, minDiscoveryInterval), maxDiscoveryInterval)
 	backoff := discoveryBackoff
--- a/cmd/corkcove/core_node_test.go
+++ b/cmd/corkcove/core_node_test.go
@@ -72,7 +72,7 @@
 			}()
 			synctest.Wait()
 		}
-		data, _ := proto.Marshal(&meshpb.Config{Version: 7, Packed: rpc.Pack([]byte("{}"))})
+		data, _ := proto.Marshal(&meshpb.Config{Version: 7, Packed: rpc.Compress([]byte("{}"))})
 		gate(true)
 		propose(&meshpb.Blob{Name: controlapi.ConfigBlob, Version: 7, Data: data})
 		propose(&meshpb.Blob{Name: viewBlob, Version: 1})
--- a/cmd/corkcove/core_stored.go
+++ b/cmd/corkcove/core_stored.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	blob := &meshpb.Blob{Name: viewBlob, Version: view.Version, Data: rpc.Pack(data)}
+	blob := &meshpb.Blob{Name: viewBlob, Version: view.Version, Data: rpc.Compress(data)}
 	_, err = coordination.Transact(ctx, c.service, controllerShard, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
 		return coordination.Decision[struct{}]{Change: &meshpb.Change{Blob: blob}}
 	})
@@ -43,7 +43,7 @@
 	if blob == nil {
 		return view
 	}
-	data, err := rpc.Unpack(blob.Data)
+	data, err := rpc.Decompress(blob.Data)
 	if err != nil || proto.Unmarshal(data, view) != nil {
 		return &meshpb.View{Version: blob.Version}
 	}
--- a/cmd/corkcove/coreclient.go
+++ b/cmd/corkcove/coreclient.go
@@ -51,7 +51,7 @@
 		}
 		seeds = options.SeedInternalAddrs()
 	}
-	transport := rpc.Transport(toolDialTimeout, 2*time.Second, time.Second, 2)
+	transport := rpc.NewTransport(toolDialTimeout, 2*time.Second, time.Second, 2)
 	return &coreClient{globalOptions: global, clients: rpc.NewClients(&http.Client{Transport: transport}), seeds: seeds}, nil
 }
 
--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -54,8 +54,8 @@
 
 func newEdgeOutbound(node *trafficNode) *proxy.Outbound {
 	options := node.outboundOptions()
-	options.AppClient = proxy.NewAppClient(rpc.Transport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
-		rpc.Transport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
+	options.AppClient = proxy.NewAppClient(rpc.NewTransport(300*time.Millisecond, 800*time.Millisecond, 6*time.Second, 4),
+		rpc.NewTransport(300*time.Millisecond, 800*time.Millisecond, time.Second, 1))
 	return proxy.NewOutbound(options)
 }
 
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -92,7 +92,7 @@
 	s := &sidecar{
 		trafficNode:       newTrafficNode(p, balancer, &meshpb.NodeState{Inbound: p.options.Network.Listen.Inbound, Service: self.ServiceName}),
 		pacer:             proxy.NewPacer(self.Limits.LinkMbps),
-		endpointTransport: rpc.Transport(300*time.Millisecond, 0, 4*time.Second, 64),
+		endpointTransport: rpc.NewTransport(300*time.Millisecond, 0, 4*time.Second, 64),
 	}
 	s.endpoint = endpointagent.New(endpointagent.Options{Service: self.ServiceName, HeartbeatInterval: settings.Seconds(p.options.Platform.HeartbeatSeconds),
 		MissedHeartbeats: missedHeartbeats, QueuePerSlot: queuePerSlot, Log: p.log("endpointagent"), OnChange: s.reportEndpoint})
@@ -114,11 +114,11 @@
 func (s *sidecar) newInbound() *proxy.Inbound {
 	self := s.options.Self
 	return proxy.NewInbound(proxy.InboundOptions{AppAddr: self.AppAddr, LinkMbps: self.Limits.LinkMbps, Pacer: s.pacer, Agent: s.endpoint,
-		AppClient: proxy.NewAppClient(s.endpointTransport, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), BufferLimit: inboundBufferBytes})
+		AppClient: proxy.NewAppClient(s.endpointTransport, rpc.NewTransport(300*time.Millisecond, 0, time.Second, 1)), BufferLimit: inboundBufferBytes})
 }
 
 func (s *sidecar) newOutbound() *proxy.Outbound {
-	transport := rpc.Transport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
+	transport := rpc.NewTransport(200*time.Millisecond, 600*time.Millisecond, 30*time.Second, 64)
 	transport.ExpectContinueTimeout = time.Second
 	options := s.outboundOptions()
 	options.Service, options.Transport, options.Pacer = s.options.Self.ServiceName, transport, s.pacer
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -76,7 +76,7 @@
 // of itself.
 func newTrafficNode(p *process, balancer *loadbalancer.Balancer, state *meshpb.NodeState) *trafficNode {
 	options, bounds := p.options, p.options.Requirements.Bounds
-	clients := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
+	clients := rpc.NewClients(&http.Client{Transport: rpc.NewTransport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
 	agent := &nodeagent.Agent{Clients: clients, Seeds: options.SeedInternalAddrs(), Incarnation: newID(), Name: options.Self.NodeName, RegisterAfter: registerAfter,
 		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
 	state.Name, state.Incarnation, state.Addr, state.Zone = options.Self.NodeName, agent.Incarnation, options.InternalAddr(), options.Self.ZoneName
--- a/internal/clustercontroller/configs_test.go
+++ b/internal/clustercontroller/configs_test.go
@@ -98,9 +98,9 @@
 // patch to each of them.
 func configWithPatches(versions ...uint64) *meshpb.Config {
 	c := packedConfigOf(versions[len(versions)-1], "d")
-	c.Packed = rpc.Pack(make([]byte, 64<<10))
+	c.Packed = rpc.Compress(make([]byte, 64<<10))
 	for _, v := range versions {
-		c.Patches = append(c.Patches, &meshpb.ConfigPatch{BaseVersion: v - 1, Version: v, Patch: rpc.Pack([]byte("p"))})
+		c.Patches = append(c.Patches, &meshpb.ConfigPatch{BaseVersion: v - 1, Version: v, Patch: rpc.Compress([]byte("p"))})
 	}
 	return c
 }
--- a/internal/clustercontroller/relay_test.go
+++ b/internal/clustercontroller/relay_test.go
@@ -28,7 +28,7 @@
 		qt.Check(t, total >= 3*120, qt.IsTrue, qt.Commentf("%d targets relayed; want the polls, configurations and views of 120 nodes", total))
 		// A changed configuration takes one call to each relay.
 		before := members[0].relayCalls
-		cluster.setConfig(&meshpb.Config{Version: 6, Packed: rpc.Pack([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Pack([]byte("p"))}}})
+		cluster.setConfig(&meshpb.Config{Version: 6, Packed: rpc.Compress([]byte("e")), Patches: []*meshpb.ConfigPatch{{BaseVersion: 5, Version: 6, Patch: rpc.Compress([]byte("p"))}}})
 		advance(100 * time.Millisecond)
 		cluster.checkAllNodesUpToDate(t, 6)
 		qt.Check(t, members[0].relayCalls-before, qt.Equals, 1)
--- a/internal/clustercontroller/testcluster_test.go
+++ b/internal/clustercontroller/testcluster_test.go
@@ -281,7 +281,7 @@
 }
 
 func packedConfigOf(version uint64, document string) *meshpb.Config {
-	return &meshpb.Config{Version: version, Packed: rpc.Pack([]byte(document))}
+	return &meshpb.Config{Version: version, Packed: rpc.Compress([]byte(document))}
 }
 
 // publish sends a view to a node as the master of that epoch. It reports
--- a/internal/clustercontroller/updates_test.go
+++ b/internal/clustercontroller/updates_test.go
@@ -127,12 +127,12 @@
 	qt.Assert(s.t, err, qt.IsNil)
 	after, err := routeconfig.Parse(configDocument(4+i, 400, 3+float64(i)))
 	qt.Assert(s.t, err, qt.IsNil)
-	patch := &meshpb.ConfigPatch{BaseVersion: before.Version, Version: after.Version, Patch: rpc.Pack(after.PatchFrom(before))}
-	return &meshpb.Config{Version: after.Version, Packed: rpc.Pack(after.Marshal()), Patches: append(patches, patch)}
+	patch := &meshpb.ConfigPatch{BaseVersion: before.Version, Version: after.Version, Patch: rpc.Compress(after.PatchFrom(before))}
+	return &meshpb.Config{Version: after.Version, Packed: rpc.Compress(after.Marshal()), Patches: append(patches, patch)}
 }
 
 func (s *updateScenario) checkConfigsArriveAsPatches() {
-	last := &meshpb.Config{Version: 3, Packed: rpc.Pack(configDocument(3, 400, 2))}
+	last := &meshpb.Config{Version: 3, Packed: rpc.Compress(configDocument(3, 400, 2))}
 	s.becomeMaster(1, nil, last, &meshpb.Membership{Version: 1})
 	s.registerAll()
 	advance(3 * time.Second)
--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -311,7 +311,7 @@
 		}
 		legacy.Accepted = append(legacy.Accepted, &meshpb.AcceptedChange{Version: config.Version, Digest: legacyDigest(change)})
 		legacy.Accepted = legacy.Accepted[max(0, len(legacy.Accepted)-256):]
-		stored, _ := proto.Marshal(&meshpb.Config{Version: config.Version, Packed: rpc.Pack(config.Marshal())})
+		stored, _ := proto.Marshal(&meshpb.Config{Version: config.Version, Packed: rpc.Compress(config.Marshal())})
 		legacyData, _ := proto.Marshal(legacy)
 		blob := &meshpb.Blob{Name: "configuration", Data: append(stored, legacyData...), Version: config.Version}
 		if i == len(changes)-5 {
--- a/internal/controlapi/config_store.go
+++ b/internal/controlapi/config_store.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, errOutcomeUnknown
 	}
-	text, err := rpc.Unpack(config.Packed)
+	text, err := rpc.Decompress(config.Packed)
 	if err != nil {
 		return nil, errOutcomeUnknown
 	}
@@ -77,10 +77,10 @@
 // contains the full configuration and the patches that lead to it from the preceding
 // ones, so that any master can update nodes that have one of those.
 func (s *CoreServer) encodeConfig(current *meshpb.Config, config routeconfig.Config) ([]byte, error) {
-	next := &meshpb.Config{Version: config.Version, Packed: rpc.Pack(config.Marshal())}
+	next := &meshpb.Config{Version: config.Version, Packed: rpc.Compress(config.Marshal())}
 	if current.Version > 0 {
 		if previous, err := s.configs.parse(current); err == nil {
-			patch := &meshpb.ConfigPatch{BaseVersion: current.Version, Version: config.Version, Patch: rpc.Pack(config.PatchFrom(previous))}
+			patch := &meshpb.ConfigPatch{BaseVersion: current.Version, Version: config.Version, Patch: rpc.Compress(config.PatchFrom(previous))}
 			next.Patches = newestPatches(append(current.Patches, patch))
 		}
 	}
@@ -115,7 +115,7 @@
 	if c.last.Version == stored.Version {
 		return c.last, nil
 	}
-	text, err := rpc.Unpack(stored.Packed)
+	text, err := rpc.Decompress(stored.Packed)
 	if err != nil {
 		return routeconfig.Config{}, err
 	}
--- a/internal/nodeagent/agent_test.go
+++ b/internal/nodeagent/agent_test.go
@@ -109,8 +109,8 @@
 	poll, _ := a.Poll(ctx, &meshpb.PollRequest{Epoch: 2, Name: "n"})
 	qt.Assert(t, poll.Stale, qt.IsTrue)
 	qt.Assert(t, poll.Epoch, qt.Equals, uint64(3))
-	_, err := a.DeliverConfig(ctx, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 8, Data: rpc.Pack(nil)})
+	_, err := a.DeliverConfig(ctx, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 8, Data: rpc.Compress(nil)})
 	qt.Assert(t, err, qt.IsNil)
-	delivered, _ := a.DeliverConfig(ctx, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 7, Data: rpc.Pack(nil)})
+	delivered, _ := a.DeliverConfig(ctx, &meshpb.DeliverConfigRequest{Epoch: 3, Version: 7, Data: rpc.Compress(nil)})
 	qt.Assert(t, delivered.Version, qt.Equals, uint64(8))
 }
--- a/internal/nodeagent/config.go
+++ b/internal/nodeagent/config.go
@@ -52,7 +52,7 @@
 
 // applyFullConfig applies a complete configuration, which is sent compressed.
 func (a *Agent) applyFullConfig(version uint64, packed []byte) error {
-	data, err := rpc.Unpack(packed)
+	data, err := rpc.Decompress(packed)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 func (a *Agent) applyPatches(version uint64, packed [][]byte) error {
 	var patches [][]byte
 	for _, p := range packed {
-		patch, err := rpc.Unpack(p)
+		patch, err := rpc.Decompress(p)
 		if err != nil {
 			return err
 		}
--- a/internal/nodeagent/config_test.go
+++ b/internal/nodeagent/config_test.go
@@ -31,7 +31,7 @@
 		},
 	}
 	r.agent.Init(&meshpb.NodeState{})
-	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 10, Data: rpc.Pack([]byte("all"))}), qt.IsTrue)
+	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 10, Data: rpc.Compress([]byte("all"))}), qt.IsTrue)
 	return r
 }
 
@@ -48,7 +48,7 @@
 	t.Helper()
 	request := &meshpb.DeliverConfigRequest{BaseVersion: base, Version: version}
 	for _, p := range patches {
-		request.Patches = append(request.Patches, rpc.Pack([]byte(p)))
+		request.Patches = append(request.Patches, rpc.Compress([]byte(p)))
 	}
 	return r.deliver(t, request)
 }
@@ -88,7 +88,7 @@
 func TestFullConfigResetsPatchHistory(t *testing.T) {
 	r := newConfigRecorder(t)
 	qt.Assert(t, r.patch(t, 10, 15, "a"), qt.IsTrue)
-	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 20, Data: rpc.Pack([]byte("all"))}), qt.IsTrue)
+	qt.Assert(t, r.deliver(t, &meshpb.DeliverConfigRequest{Version: 20, Data: rpc.Compress([]byte("all"))}), qt.IsTrue)
 	qt.Assert(t, r.patch(t, 10, 22, "a", "b"), qt.IsFalse)
 	qt.Assert(t, r.patch(t, 20, 22, "b"), qt.IsTrue)
 	qt.Assert(t, r.applied, qt.DeepEquals, []string{"b"})
--- a/internal/replay/recording_reader.go
+++ b/internal/replay/recording_reader.go
@@ -125,7 +125,7 @@
 	if _, err := io.CopyN(&packed, in, int64(size)); err != nil {
 		return 0, nil, wrapReadError(err)
 	}
-	payload, err := rpc.Unpack(packed.Bytes())
+	payload, err := rpc.Decompress(packed.Bytes())
 	if err != nil {
 		return 0, nil, Error.New("the file was changed: a part can't be unpacked: %v", err)
 	}
--- a/internal/replay/recording_writer.go
+++ b/internal/replay/recording_writer.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	payload := rpc.Pack(b)
+	payload := rpc.Compress(b)
 	header := binary.BigEndian.AppendUint32([]byte{byte(kind)}, uint32(len(payload)))
 	if err := w.write(header); err != nil {
 		return err
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -126,7 +126,7 @@
 
 // parseSnapshot unpacks a recorded configuration.
 func parseSnapshot(snapshot *meshpb.ConfigSnapshot) (routeconfig.Config, error) {
-	b, err := rpc.Unpack(snapshot.Packed)
+	b, err := rpc.Decompress(snapshot.Packed)
 	if err != nil {
 		return routeconfig.Config{}, err
 	}
--- a/internal/requestlog/report.go
+++ b/internal/requestlog/report.go
@@ -100,7 +100,7 @@
 	}
 	for _, version := range request.Configs {
 		if config, ok := findConfig(configs, version); ok {
-			response.Configs = append(response.Configs, &meshpb.ConfigSnapshot{Version: version, Packed: rpc.Pack(config.marshal())})
+			response.Configs = append(response.Configs, &meshpb.ConfigSnapshot{Version: version, Packed: rpc.Compress(config.marshal())})
 		}
 	}
 	return response
--- a/internal/rpc/clients.go
+++ b/internal/rpc/clients.go
@@ -11,7 +11,7 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Clients keeps one typed client for each service and address. It is safe for
+// Clients caches one typed client per service and address. It is safe for
 // concurrent use.
 type Clients struct {
 	http meshpb.HTTPClient
@@ -23,8 +23,8 @@
 	diagnostics map[string]meshpb.Diagnostics
 }
 
-// NewClients returns clients that send their calls through client. They follow
-// no redirects: a redirected call would be sent twice.
+// NewClients returns clients that send their calls through a copy of client. They
+// do not follow redirects, because a redirected call would be sent twice.
 func NewClients(client *http.Client) *Clients {
 	direct := *client
 	direct.CheckRedirect = func(*http.Request, []*http.Request) error {
@@ -39,10 +39,12 @@
 	}
 }
 
-// newClient is the type of the generated constructors.
-type newClient[T any] func(baseURL string, client meshpb.HTTPClient, opts ...twirp.ClientOption) T
+// clientConstructor is the type of the generated constructors.
+type clientConstructor[T any] func(baseURL string, client meshpb.HTTPClient, opts ...twirp.ClientOption) T
 
-func clientFor[T any](c *Clients, byAddress map[string]T, address string, create newClient[T]) T {
+// cachedClient returns the client for address from byAddress and creates it if
+// necessary.
+func cachedClient[T any](c *Clients, byAddress map[string]T, address string, create clientConstructor[T]) T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client, ok := byAddress[address]
@@ -53,45 +55,46 @@
 	return client
 }
 
-// Replication returns the client of the core member at address (host:port).
+// Replication returns the client for calls between core members, connected to the
+// member at address (host:port).
 func (c *Clients) Replication(address string) meshpb.Replication {
-	return clientFor(c, c.replication, address, meshpb.NewReplicationProtobufClient)
+	return cachedClient(c, c.replication, address, meshpb.NewReplicationProtobufClient)
 }
 
-// Control returns the client for calls of nodes and tools to the core member at
+// Control returns the client for calls from nodes and tools to the core member at
 // address (host:port).
 func (c *Clients) Control(address string) meshpb.Control {
-	return clientFor(c, c.control, address, meshpb.NewControlProtobufClient)
+	return cachedClient(c, c.control, address, meshpb.NewControlProtobufClient)
 }
 
-// Node returns the client for calls of the master and its relays to the node at
+// Node returns the client for calls from the master and its relays to the node at
 // address (host:port).
 func (c *Clients) Node(address string) meshpb.Node {
-	return clientFor(c, c.node, address, meshpb.NewNodeProtobufClient)
+	return cachedClient(c, c.node, address, meshpb.NewNodeProtobufClient)
 }
 
-// Diagnostics returns the client for calls of tools to the process at address
+// Diagnostics returns the client for calls from tools to the process at address
 // (host:port).
 func (c *Clients) Diagnostics(address string) meshpb.Diagnostics {
-	return clientFor(c, c.diagnostics, address, meshpb.NewDiagnosticsProtobufClient)
+	return cachedClient(c, c.diagnostics, address, meshpb.NewDiagnosticsProtobufClient)
 }
 
-// PutNode makes node answer the calls to address, in place of a remote process.
+// PutNode makes Node return node for address instead of a remote client.
 func (c *Clients) PutNode(address string, node meshpb.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.node[address] = node
 }
 
-// PutControl makes control answer the calls to address, in place of a remote
-// process.
+// PutControl makes Control return control for address instead of a remote
+// client.
 func (c *Clients) PutControl(address string, control meshpb.Control) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.control[address] = control
 }
 
-// Call runs one call that ends after timeout at the latest.
+// Call calls method with a context that expires after timeout.
 func Call[Request, Response any](timeout time.Duration, method func(context.Context, Request) (Response, error), request Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/rpc/clients_test.go
+++ b/internal/rpc/clients_test.go
@@ -17,58 +17,61 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// TestCallsBetweenProcessesAreSentOnce has the other process answer the first
-// call on a stream and do to the second what the case says.
-func TestCallsBetweenProcessesAreSentOnce(t *testing.T) {
-	ok, err := proto.Marshal(&meshpb.ReplicateResponse{Membership: 1})
+// TestFailedCallsAreNotRetried guards against a transport or client that sends a
+// failed call again, although the first attempt may already have taken effect:
+// net/http repeats some requests when a reused connection breaks, and follows
+// redirects. The peer answers the first call on a connection and fails the second
+// in the way of each case.
+func TestFailedCallsAreNotRetried(t *testing.T) {
+	body, err := proto.Marshal(&meshpb.ReplicateResponse{Membership: 1})
 	qt.Assert(t, err, qt.IsNil)
-	good := func(s net.Conn) {
-		_, _ = io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 2\r\n\r\n"+string(ok))
+	respond := func(conn net.Conn) {
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 2\r\n\r\n"+string(body))
 	}
-	qt.Assert(t, ok, qt.HasLen, 2)
-	for name, then := range map[string]func(s net.Conn){
+	qt.Assert(t, body, qt.HasLen, 2)
+	for name, fail := range map[string]func(conn net.Conn){
 		"reset":   func(net.Conn) {},
-		"silence": func(s net.Conn) { _, _ = io.Copy(io.Discard, s) },
-		"half a body": func(s net.Conn) {
-			_, _ = io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 9\r\n\r\nhal")
+		"silence": func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) },
+		"truncated body": func(conn net.Conn) {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: 9\r\n\r\nhal")
 		},
-		"sent elsewhere": func(s net.Conn) {
-			_, _ = io.WriteString(s, "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://b:1/x\r\nContent-Length: 0\r\n\r\n")
+		"redirect": func(conn net.Conn) {
+			_, _ = io.WriteString(conn, "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://b:1/x\r\nContent-Length: 0\r\n\r\n")
 		},
 	} {
-		for _, mk := range []func(wait, silence, idle time.Duration, perHost int) *http.Transport{Transport, Watched} {
+		for _, newTransport := range []func(dialTimeout, userTimeout, idleTimeout time.Duration, idlePerHost int) *http.Transport{NewTransport, NewProbingTransport} {
 			synctest.Test(t, func(t *testing.T) {
 				var calls atomic.Int64
-				line := mk(time.Second, time.Second, time.Minute, 4)
-				line.DialContext = func(context.Context, string, string) (net.Conn, error) {
-					c, s := net.Pipe()
+				transport := newTransport(time.Second, time.Second, time.Minute, 4)
+				transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
+					client, server := net.Pipe()
 					go func() {
-						defer func() { _ = s.Close() }()
-						br := bufio.NewReader(s)
-						for n := 0; ; n++ {
-							r, err := http.ReadRequest(br)
+						defer func() { _ = server.Close() }()
+						reader := bufio.NewReader(server)
+						for served := 0; ; served++ {
+							request, err := http.ReadRequest(reader)
 							if err != nil {
 								return
 							}
-							_, _ = io.Copy(io.Discard, r.Body)
+							_, _ = io.Copy(io.Discard, request.Body)
 							calls.Add(1)
-							if n > 0 {
-								then(s)
+							if served > 0 {
+								fail(server)
 								return
 							}
-							good(s)
+							respond(server)
 						}
 					}()
-					return c, nil
+					return client, nil
 				}
-				defer line.CloseIdleConnections()
-				l := NewClients(&http.Client{Transport: line})
-				c := qt.Commentf("%s", name)
-				_, err := Call(time.Second, l.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
-				qt.Assert(t, err, qt.IsNil, c)
-				_, err = Call(time.Second, l.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
-				qt.Check(t, err, qt.IsNotNil, c)
-				qt.Check(t, calls.Load(), qt.Equals, int64(2), c)
+				defer transport.CloseIdleConnections()
+				clients := NewClients(&http.Client{Transport: transport})
+				comment := qt.Commentf("%s", name)
+				_, err := Call(time.Second, clients.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
+				qt.Assert(t, err, qt.IsNil, comment)
+				_, err = Call(time.Second, clients.Replication("a:1").Replicate, &meshpb.ReplicateRequest{})
+				qt.Check(t, err, qt.IsNotNil, comment)
+				qt.Check(t, calls.Load(), qt.Equals, int64(2), comment)
 			})
 		}
 	}
--- a/internal/rpc/compress.go
+++ b/internal/rpc/compress.go
@@ -9,37 +9,39 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of the errors of this package.
+// Error is the class of the errors that this package returns.
 var Error = errs.Class("rpc")
 
-// ErrTooLarge is the error of Unpack for data of more than maxUnpacked bytes.
-var ErrTooLarge = errors.New("unpacked data too large")
+// ErrTooLarge is returned by Decompress if the decompressed data exceeds
+// maxDecompressedBytes.
+var ErrTooLarge = errors.New("decompressed data too large")
 
-// maxUnpacked is the largest size in bytes that Unpack returns: no message comes
-// near it, and a corrupt one must not use up the memory.
-const maxUnpacked = 64 << 20
+// maxDecompressedBytes limits the output of Decompress so that corrupt data cannot
+// exhaust memory. No valid message comes near this size.
+const maxDecompressedBytes = 64 << 20
 
-// Pack compresses data (DEFLATE, RFC 1951) that goes to many nodes alike.
-func Pack(data []byte) []byte {
-	var packed bytes.Buffer
-	// A bytes.Buffer never fails, and the level is valid.
-	writer, _ := flate.NewWriter(&packed, flate.BestSpeed)
+// Compress compresses data with DEFLATE (RFC 1951). It is used for data that is
+// sent unchanged to many nodes or stored.
+func Compress(data []byte) []byte {
+	var compressed bytes.Buffer
+	// Writes to a bytes.Buffer never fail, and BestSpeed is a valid level.
+	writer, _ := flate.NewWriter(&compressed, flate.BestSpeed)
 	_, _ = writer.Write(data)
 	_ = writer.Close()
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
-// Unpack returns the data that Pack compressed. It fails with the class Error:
-// with ErrTooLarge, or with the decompressor's error for data that Pack did not
-// write.
-func Unpack(packed []byte) ([]byte, error) {
-	reader := flate.NewReader(bytes.NewReader(packed))
+// Decompress returns the original of data that Compress returned. Its errors are of
+// class Error: ErrTooLarge, or the decompressor's error if the data is truncated or
+// corrupt.
+func Decompress(compressed []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(compressed))
 	defer func() { _ = reader.Close() }()
-	data, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(data) > maxUnpacked {
+	if len(data) > maxDecompressedBytes {
 		return nil, Error.Wrap(ErrTooLarge)
 	}
 	return data, nil
--- a/internal/rpc/compress_test.go
+++ b/internal/rpc/compress_test.go
@@ -7,13 +7,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestUnpackRefusesWhatIsNoPack(t *testing.T) {
-	s := strings.Repeat("bindingList", 1000)
-	p := Pack([]byte(s))
-	qt.Assert(t, len(p) < len(s)/10, qt.IsTrue)
-	b, err := Unpack(p)
+func TestDecompressRejectsTruncatedData(t *testing.T) {
+	original := strings.Repeat("bindingList", 1000)
+	compressed := Compress([]byte(original))
+	qt.Assert(t, len(compressed) < len(original)/10, qt.IsTrue)
+	decompressed, err := Decompress(compressed)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, string(b), qt.Equals, s)
-	_, err = Unpack(p[:len(p)/2])
+	qt.Assert(t, string(decompressed), qt.Equals, original)
+	_, err = Decompress(compressed[:len(compressed)/2])
 	qt.Assert(t, err, qt.IsNotNil)
 }
--- a/internal/rpc/paths.go
+++ b/internal/rpc/paths.go
@@ -9,8 +9,8 @@
 )
 
 // wirePaths maps the path of each generated method to its path on the wire. The
-// wire keeps the paths of earlier releases, so that processes of two releases
-// work together while machines are upgraded in turn.
+// wire paths are those of earlier releases, so that processes of different
+// releases interoperate during a rolling upgrade.
 var wirePaths = map[string]string{
 	"/twirp/mesh.Replication/RenewLeases":       "/twirp/trunk.Exchange/Hold",
 	"/twirp/mesh.Replication/Replicate":         "/twirp/trunk.Exchange/Copy",
@@ -36,6 +36,7 @@
 	"/twirp/mesh.Diagnostics/Snapshots":      "/twirp/trunk.Tracer/Parts",
 }
 
+// generatedPaths is the inverse of wirePaths.
 var generatedPaths = invert(wirePaths)
 
 func invert(paths map[string]string) map[string]string {
@@ -46,12 +47,12 @@
 	return inverse
 }
 
-// wireClient sends the requests of generated clients to their paths on the wire.
+// wireClient sends the requests of generated clients to their wire paths.
 type wireClient struct {
 	client *http.Client
 }
 
-// Do implements meshpb.HTTPClient.
+// Do implements meshpb.HTTPClient. It rewrites the path of request in place.
 func (c wireClient) Do(request *http.Request) (*http.Response, error) {
 	if path, ok := wirePaths[request.URL.Path]; ok {
 		request.URL.Path = path
@@ -59,7 +60,7 @@
 	return c.client.Do(request)
 }
 
-// Handle registers a generated server on mux under its paths on the wire.
+// Handle registers a generated server on mux under its wire paths.
 func Handle(mux *http.ServeMux, server meshpb.TwirpServer) {
 	handler := withGeneratedPath(server)
 	for generated, wire := range wirePaths {
@@ -69,7 +70,8 @@
 	}
 }
 
-// withGeneratedPath gives requests the path that the generated server expects.
+// withGeneratedPath replaces the wire path of each request with the path that the
+// generated server expects.
 func withGeneratedPath(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		routed := *r
--- a/internal/rpc/stored_test.go
+++ b/internal/rpc/stored_test.go
@@ -12,12 +12,12 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// storedDir holds the messages that are stored: records of logs, what blobs
-// hold, and the parts of replay files.
+// storedDir holds a fixture for each type of stored message: log records, contents
+// of blobs, and parts of replay files. 242832a is the commit that wrote them.
 const storedDir = "testdata/stored/242832a"
 
-// storedMessages are the messages by the name of their fixture, which stays when
-// the message is renamed.
+// storedMessages lists the stored messages by fixture name. The fixture keeps its
+// name when the message is renamed.
 var storedMessages = []struct {
 	fixture string
 	empty   proto.Message
@@ -34,9 +34,10 @@
 	{"replay-whole", &meshpb.ReplayFile{}},
 }
 
-// TestStoredMessagesOf242832aAreReadAndWritten reads each message with every
-// field set, and writes it again to the same bytes.
-func TestStoredMessagesOf242832aAreReadAndWritten(t *testing.T) {
+// TestStoredMessagesRoundTrip guards against changes to mesh.proto that make data
+// stored by an earlier release unreadable. It decodes each fixture, in which every
+// field is set, and requires the same bytes when it is encoded again.
+func TestStoredMessagesRoundTrip(t *testing.T) {
 	for _, stored := range storedMessages {
 		t.Run(stored.fixture, func(t *testing.T) {
 			dir := filepath.Join(storedDir, stored.fixture)
@@ -47,21 +48,23 @@
 			qt.Assert(t, err, qt.IsNil)
 			text, err := os.ReadFile(filepath.Join(dir, "message.txt"))
 			qt.Assert(t, err, qt.IsNil)
-			got := decoded(t, proto.Clone(stored.empty), data, string(text))
-			written, err := proto.Marshal(got)
+			got := decodeMessage(t, proto.Clone(stored.empty), data, string(text))
+			encoded, err := proto.Marshal(got)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, written, qt.DeepEquals, data)
+			qt.Assert(t, encoded, qt.DeepEquals, data)
 		})
 	}
 }
 
+// writeStoredMessage creates the fixture directory dir for message with every field
+// set. It fails if dir exists.
 func writeStoredMessage(t *testing.T, dir string, message proto.Message) {
 	t.Helper()
 	prototest.Fill(message)
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, os.MkdirAll(storedDir, 0o755), qt.IsNil)
-	qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
+	qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures must not be overwritten"))
 	qt.Assert(t, os.WriteFile(filepath.Join(dir, "message.bin"), data, 0o644), qt.IsNil)
 	qt.Assert(t, os.WriteFile(filepath.Join(dir, "message.txt"), []byte(prototest.Text(message)), 0o644), qt.IsNil)
 }
--- a/internal/rpc/transport.go
+++ b/internal/rpc/transport.go
@@ -12,58 +12,59 @@
 const (
 	// tcpKeepAlive is the interval of TCP keep-alive probes on idle connections.
 	tcpKeepAlive = 5 * time.Second
-	// socketBuffer is the size in bytes of a connection's read and write buffers.
-	socketBuffer = 8 << 10
+	// connBufferBytes is the size of a connection's read buffer and of its write
+	// buffer.
+	connBufferBytes = 8 << 10
 
-	// A peer without power is found on an idle connection after
-	// watchedIdle + watchedProbes*watchedInterval.
-	watchedIdle     = 1500 * time.Millisecond
-	watchedInterval = time.Second
-	watchedProbes   = 2
+	// A peer that lost power is detected on an idle connection after
+	// probeIdle + probeCount*probeInterval, which is 3.5s.
+	probeIdle     = 1500 * time.Millisecond
+	probeInterval = time.Second
+	probeCount    = 2
 )
 
-// Dialer returns a dialer that gives up a connection attempt after
-// dialTimeout, and a connection whose sent data stays unacknowledged by the
-// peer for userTimeout (TCP_USER_TIMEOUT, RFC 5482).
-func Dialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
+// NewDialer returns a dialer that abandons a connection attempt after dialTimeout.
+// Its connections are closed when sent data remains unacknowledged for userTimeout
+// (TCP_USER_TIMEOUT, RFC 5482); 0 keeps the kernel's default.
+func NewDialer(dialTimeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:   dialTimeout,
 		KeepAlive: tcpKeepAlive,
 		Control: func(_, _ string, conn syscall.RawConn) error {
 			return conn.Control(func(fd uintptr) {
 				milliseconds := int(userTimeout / time.Millisecond)
-				// Without this option the kernel's own timeout bounds the connection.
+				// A failure is ignored: the kernel's default timeout then applies.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 			})
 		},
 	}
 }
 
-// Transport returns a transport for calls to peers: see Dialer for dialTimeout
-// and userTimeout. Idle connections, idlePerHost of them at most for each host,
-// are closed after idleTimeout.
-func Transport(dialTimeout, userTimeout, idleTimeout time.Duration, idlePerHost int) *http.Transport {
+// NewTransport returns a transport for calls to peers; see NewDialer for
+// dialTimeout and userTimeout. It keeps at most idlePerHost idle connections per
+// host and closes them after idleTimeout.
+func NewTransport(dialTimeout, userTimeout, idleTimeout time.Duration, idlePerHost int) *http.Transport {
 	return &http.Transport{
-		DialContext:         Dialer(dialTimeout, userTimeout).DialContext,
+		DialContext:         NewDialer(dialTimeout, userTimeout).DialContext,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
-		WriteBufferSize:     socketBuffer,
-		ReadBufferSize:      socketBuffer,
+		WriteBufferSize:     connBufferBytes,
+		ReadBufferSize:      connBufferBytes,
 	}
 }
 
-// Watched is Transport with keep-alive probes on idle connections, so that a
-// peer that lost its power is found within a few seconds though nothing is sent
-// to it.
-func Watched(dialTimeout, userTimeout, idleTimeout time.Duration, idlePerHost int) *http.Transport {
-	transport := Transport(dialTimeout, userTimeout, idleTimeout, idlePerHost)
-	dialer := Dialer(dialTimeout, userTimeout)
+// NewProbingTransport is like NewTransport, but probes idle connections more often,
+// so that a peer that lost power is detected within a few seconds even if no calls
+// are made to it.
+func NewProbingTransport(dialTimeout, userTimeout, idleTimeout time.Duration, idlePerHost int) *http.Transport {
+	transport := NewTransport(dialTimeout, userTimeout, idleTimeout, idlePerHost)
+	dialer := NewDialer(dialTimeout, userTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     watchedIdle,
-		Interval: watchedInterval,
-		Count:    watchedProbes,
+		Idle:     probeIdle,
+		Interval: probeInterval,
+		Count:    probeCount,
 	}
 	transport.DialContext = dialer.DialContext
 	return transport
--- a/internal/rpc/wire_test.go
+++ b/internal/rpc/wire_test.go
@@ -20,17 +20,17 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// update writes the fixtures of this package that are missing. The committed
-// files are the reference: they were written by the code of commit 242832a and
-// must never be regenerated, so a folder that exists is refused.
-var update = flag.Bool("update", false, "write missing fixture folders")
+// update writes missing fixtures of this package. The committed fixtures are the
+// reference: the code of commit 242832a wrote them, and they must never be
+// regenerated, so an existing fixture directory is an error.
+var update = flag.Bool("update", false, "write missing fixture directories")
 
 const (
 	wireDir  = "testdata/wire/242832a"
 	wireAddr = "peer.test:7000"
 )
 
-// The paths of all calls between processes, as 242832a sends them.
+// Wire paths of all calls between processes, as sent by commit 242832a.
 const (
 	pathRenewLeases       = "/twirp/trunk.Exchange/Hold"
 	pathReplicate         = "/twirp/trunk.Exchange/Copy"
@@ -53,182 +53,183 @@
 	pathSnapshots         = "/twirp/trunk.Tracer/Parts"
 )
 
-// wireCall is one call, known by its path; the rest is how present code makes it.
+// wireCall describes a call by its wire path and how the current code makes it.
 type wireCall struct {
-	path       string
-	newRequest func() proto.Message
-	newAnswer  func() proto.Message
-	send       func(lines *rpc.Clients, request proto.Message) (proto.Message, error)
+	path        string
+	newRequest  func() proto.Message
+	newResponse func() proto.Message
+	send        func(clients *rpc.Clients, request proto.Message) (proto.Message, error)
 }
 
-func callOf[Q, R any, PQ message[Q], PR message[R]](path string, client func(*rpc.Clients) func(context.Context, PQ) (PR, error)) wireCall {
+func newWireCall[Q, R any, PQ message[Q], PR message[R]](path string, method func(*rpc.Clients) func(context.Context, PQ) (PR, error)) wireCall {
 	return wireCall{
-		path:       path,
-		newRequest: func() proto.Message { return PQ(new(Q)) },
-		newAnswer:  func() proto.Message { return PR(new(R)) },
-		send: func(lines *rpc.Clients, request proto.Message) (proto.Message, error) {
-			return client(lines)(context.Background(), request.(PQ))
+		path:        path,
+		newRequest:  func() proto.Message { return PQ(new(Q)) },
+		newResponse: func() proto.Message { return PR(new(R)) },
+		send: func(clients *rpc.Clients, request proto.Message) (proto.Message, error) {
+			return method(clients)(context.Background(), request.(PQ))
 		},
 	}
 }
 
-// message is the pointer to a generated type.
+// message constrains a type parameter to the pointer type of a generated message.
 type message[T any] interface {
 	*T
 	proto.Message
 }
 
+// wireCalls lists the calls of all services.
 var wireCalls = []wireCall{
-	callOf(pathRenewLeases, func(l *rpc.Clients) func(context.Context, *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
-		return l.Replication(wireAddr).RenewLeases
+	newWireCall(pathRenewLeases, func(clients *rpc.Clients) func(context.Context, *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
+		return clients.Replication(wireAddr).RenewLeases
 	}),
-	callOf(pathReplicate, func(l *rpc.Clients) func(context.Context, *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
-		return l.Replication(wireAddr).Replicate
+	newWireCall(pathReplicate, func(clients *rpc.Clients) func(context.Context, *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
+		return clients.Replication(wireAddr).Replicate
 	}),
-	callOf(pathRequestVotes, func(l *rpc.Clients) func(context.Context, *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
-		return l.Replication(wireAddr).RequestVotes
+	newWireCall(pathRequestVotes, func(clients *rpc.Clients) func(context.Context, *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
+		return clients.Replication(wireAddr).RequestVotes
 	}),
-	callOf(pathTransferOwnership, func(l *rpc.Clients) func(context.Context, *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
-		return l.Replication(wireAddr).TransferOwnership
+	newWireCall(pathTransferOwnership, func(clients *rpc.Clients) func(context.Context, *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
+		return clients.Replication(wireAddr).TransferOwnership
 	}),
-	callOf(pathAcceptMembership, func(l *rpc.Clients) func(context.Context, *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
-		return l.Replication(wireAddr).AcceptMembership
+	newWireCall(pathAcceptMembership, func(clients *rpc.Clients) func(context.Context, *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
+		return clients.Replication(wireAddr).AcceptMembership
 	}),
-	callOf(pathJoin, func(l *rpc.Clients) func(context.Context, *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
-		return l.Replication(wireAddr).Join
+	newWireCall(pathJoin, func(clients *rpc.Clients) func(context.Context, *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
+		return clients.Replication(wireAddr).Join
 	}),
-	callOf(pathRegisterNode, func(l *rpc.Clients) func(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-		return l.Control(wireAddr).RegisterNode
+	newWireCall(pathRegisterNode, func(clients *rpc.Clients) func(context.Context, *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
+		return clients.Control(wireAddr).RegisterNode
 	}),
-	callOf(pathStatus, func(l *rpc.Clients) func(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
-		return l.Control(wireAddr).Status
+	newWireCall(pathStatus, func(clients *rpc.Clients) func(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
+		return clients.Control(wireAddr).Status
 	}),
-	callOf(pathSetState, func(l *rpc.Clients) func(context.Context, *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
-		return l.Control(wireAddr).SetState
+	newWireCall(pathSetState, func(clients *rpc.Clients) func(context.Context, *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
+		return clients.Control(wireAddr).SetState
 	}),
-	callOf(pathPinSession, func(l *rpc.Clients) func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-		return l.Control(wireAddr).PinSession
+	newWireCall(pathPinSession, func(clients *rpc.Clients) func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+		return clients.Control(wireAddr).PinSession
 	}),
-	callOf(pathRelay, func(l *rpc.Clients) func(context.Context, *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
-		return l.Control(wireAddr).Relay
+	newWireCall(pathRelay, func(clients *rpc.Clients) func(context.Context, *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
+		return clients.Control(wireAddr).Relay
 	}),
-	callOf(pathPoll, func(l *rpc.Clients) func(context.Context, *meshpb.PollRequest) (*meshpb.PollResponse, error) {
-		return l.Node(wireAddr).Poll
+	newWireCall(pathPoll, func(clients *rpc.Clients) func(context.Context, *meshpb.PollRequest) (*meshpb.PollResponse, error) {
+		return clients.Node(wireAddr).Poll
 	}),
-	callOf(pathPublishView, func(l *rpc.Clients) func(context.Context, *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
-		return l.Node(wireAddr).PublishView
+	newWireCall(pathPublishView, func(clients *rpc.Clients) func(context.Context, *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
+		return clients.Node(wireAddr).PublishView
 	}),
-	callOf(pathDeliverConfig, func(l *rpc.Clients) func(context.Context, *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
-		return l.Node(wireAddr).DeliverConfig
+	newWireCall(pathDeliverConfig, func(clients *rpc.Clients) func(context.Context, *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+		return clients.Node(wireAddr).DeliverConfig
 	}),
-	callOf(pathTrace, func(l *rpc.Clients) func(context.Context, *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
-		return l.Diagnostics(wireAddr).Trace
+	newWireCall(pathTrace, func(clients *rpc.Clients) func(context.Context, *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
+		return clients.Diagnostics(wireAddr).Trace
 	}),
-	callOf(pathFlows, func(l *rpc.Clients) func(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
-		return l.Diagnostics(wireAddr).Flows
+	newWireCall(pathFlows, func(clients *rpc.Clients) func(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
+		return clients.Diagnostics(wireAddr).Flows
 	}),
-	callOf(pathSessions, func(l *rpc.Clients) func(context.Context, *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
-		return l.Diagnostics(wireAddr).Sessions
+	newWireCall(pathSessions, func(clients *rpc.Clients) func(context.Context, *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
+		return clients.Diagnostics(wireAddr).Sessions
 	}),
-	callOf(pathRequestRecords, func(l *rpc.Clients) func(context.Context, *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
-		return l.Diagnostics(wireAddr).RequestRecords
+	newWireCall(pathRequestRecords, func(clients *rpc.Clients) func(context.Context, *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
+		return clients.Diagnostics(wireAddr).RequestRecords
 	}),
-	callOf(pathSnapshots, func(l *rpc.Clients) func(context.Context, *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
-		return l.Diagnostics(wireAddr).Snapshots
+	newWireCall(pathSnapshots, func(clients *rpc.Clients) func(context.Context, *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
+		return clients.Diagnostics(wireAddr).Snapshots
 	}),
 }
 
-// recordedServer stands for all services. It notes the call that came and gives
-// the answer that was set.
-type recordedServer struct {
-	path    string
-	request proto.Message
-	answer  proto.Message
+// recordingServer implements all services. It records the received call and returns
+// the configured response.
+type recordingServer struct {
+	path     string
+	request  proto.Message
+	response proto.Message
 }
 
-func answerTo[Q, R proto.Message](s *recordedServer, path string, request Q) (R, error) {
+func respond[Q, R proto.Message](s *recordingServer, path string, request Q) (R, error) {
 	s.path, s.request = path, request
-	return s.answer.(R), nil
+	return s.response.(R), nil
 }
 
-func (s *recordedServer) RenewLeases(_ context.Context, q *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
-	return answerTo[*meshpb.RenewLeasesRequest, *meshpb.RenewLeasesResponse](s, pathRenewLeases, q)
+func (s *recordingServer) RenewLeases(_ context.Context, request *meshpb.RenewLeasesRequest) (*meshpb.RenewLeasesResponse, error) {
+	return respond[*meshpb.RenewLeasesRequest, *meshpb.RenewLeasesResponse](s, pathRenewLeases, request)
 }
 
-func (s *recordedServer) Replicate(_ context.Context, q *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
-	return answerTo[*meshpb.ReplicateRequest, *meshpb.ReplicateResponse](s, pathReplicate, q)
+func (s *recordingServer) Replicate(_ context.Context, request *meshpb.ReplicateRequest) (*meshpb.ReplicateResponse, error) {
+	return respond[*meshpb.ReplicateRequest, *meshpb.ReplicateResponse](s, pathReplicate, request)
 }
 
-func (s *recordedServer) RequestVotes(_ context.Context, q *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
-	return answerTo[*meshpb.RequestVotesRequest, *meshpb.RequestVotesResponse](s, pathRequestVotes, q)
+func (s *recordingServer) RequestVotes(_ context.Context, request *meshpb.RequestVotesRequest) (*meshpb.RequestVotesResponse, error) {
+	return respond[*meshpb.RequestVotesRequest, *meshpb.RequestVotesResponse](s, pathRequestVotes, request)
 }
 
-func (s *recordedServer) TransferOwnership(_ context.Context, q *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
-	return answerTo[*meshpb.TransferOwnershipRequest, *meshpb.TransferOwnershipResponse](s, pathTransferOwnership, q)
+func (s *recordingServer) TransferOwnership(_ context.Context, request *meshpb.TransferOwnershipRequest) (*meshpb.TransferOwnershipResponse, error) {
+	return respond[*meshpb.TransferOwnershipRequest, *meshpb.TransferOwnershipResponse](s, pathTransferOwnership, request)
 }
 
-func (s *recordedServer) AcceptMembership(_ context.Context, q *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
-	return answerTo[*meshpb.AcceptMembershipRequest, *meshpb.AcceptMembershipResponse](s, pathAcceptMembership, q)
+func (s *recordingServer) AcceptMembership(_ context.Context, request *meshpb.AcceptMembershipRequest) (*meshpb.AcceptMembershipResponse, error) {
+	return respond[*meshpb.AcceptMembershipRequest, *meshpb.AcceptMembershipResponse](s, pathAcceptMembership, request)
 }
 
-func (s *recordedServer) Join(_ context.Context, q *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
-	return answerTo[*meshpb.JoinRequest, *meshpb.JoinResponse](s, pathJoin, q)
+func (s *recordingServer) Join(_ context.Context, request *meshpb.JoinRequest) (*meshpb.JoinResponse, error) {
+	return respond[*meshpb.JoinRequest, *meshpb.JoinResponse](s, pathJoin, request)
 }
 
-func (s *recordedServer) RegisterNode(_ context.Context, q *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
-	return answerTo[*meshpb.RegisterNodeRequest, *meshpb.RegisterNodeResponse](s, pathRegisterNode, q)
+func (s *recordingServer) RegisterNode(_ context.Context, request *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
+	return respond[*meshpb.RegisterNodeRequest, *meshpb.RegisterNodeResponse](s, pathRegisterNode, request)
 }
 
-func (s *recordedServer) Status(_ context.Context, q *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
-	return answerTo[*meshpb.StatusRequest, *meshpb.StatusResponse](s, pathStatus, q)
+func (s *recordingServer) Status(_ context.Context, request *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
+	return respond[*meshpb.StatusRequest, *meshpb.StatusResponse](s, pathStatus, request)
 }
 
-func (s *recordedServer) SetState(_ context.Context, q *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
-	return answerTo[*meshpb.SetStateRequest, *meshpb.SetStateResponse](s, pathSetState, q)
+func (s *recordingServer) SetState(_ context.Context, request *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
+	return respond[*meshpb.SetStateRequest, *meshpb.SetStateResponse](s, pathSetState, request)
 }
 
-func (s *recordedServer) PinSession(_ context.Context, q *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-	return answerTo[*meshpb.PinRequest, *meshpb.PinResponse](s, pathPinSession, q)
+func (s *recordingServer) PinSession(_ context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
+	return respond[*meshpb.PinRequest, *meshpb.PinResponse](s, pathPinSession, request)
 }
 
-func (s *recordedServer) Relay(_ context.Context, q *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
-	return answerTo[*meshpb.RelayRequest, *meshpb.RelayResponse](s, pathRelay, q)
+func (s *recordingServer) Relay(_ context.Context, request *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
+	return respond[*meshpb.RelayRequest, *meshpb.RelayResponse](s, pathRelay, request)
 }
 
-func (s *recordedServer) Poll(_ context.Context, q *meshpb.PollRequest) (*meshpb.PollResponse, error) {
-	return answerTo[*meshpb.PollRequest, *meshpb.PollResponse](s, pathPoll, q)
+func (s *recordingServer) Poll(_ context.Context, request *meshpb.PollRequest) (*meshpb.PollResponse, error) {
+	return respond[*meshpb.PollRequest, *meshpb.PollResponse](s, pathPoll, request)
 }
 
-func (s *recordedServer) PublishView(_ context.Context, q *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
-	return answerTo[*meshpb.PublishViewRequest, *meshpb.PublishViewResponse](s, pathPublishView, q)
+func (s *recordingServer) PublishView(_ context.Context, request *meshpb.PublishViewRequest) (*meshpb.PublishViewResponse, error) {
+	return respond[*meshpb.PublishViewRequest, *meshpb.PublishViewResponse](s, pathPublishView, request)
 }
 
-func (s *recordedServer) DeliverConfig(_ context.Context, q *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
-	return answerTo[*meshpb.DeliverConfigRequest, *meshpb.DeliverConfigResponse](s, pathDeliverConfig, q)
+func (s *recordingServer) DeliverConfig(_ context.Context, request *meshpb.DeliverConfigRequest) (*meshpb.DeliverConfigResponse, error) {
+	return respond[*meshpb.DeliverConfigRequest, *meshpb.DeliverConfigResponse](s, pathDeliverConfig, request)
 }
 
-func (s *recordedServer) Trace(_ context.Context, q *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
-	return answerTo[*meshpb.TraceRequest, *meshpb.TraceResponse](s, pathTrace, q)
+func (s *recordingServer) Trace(_ context.Context, request *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
+	return respond[*meshpb.TraceRequest, *meshpb.TraceResponse](s, pathTrace, request)
 }
 
-func (s *recordedServer) Flows(_ context.Context, q *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
-	return answerTo[*meshpb.FlowsRequest, *meshpb.FlowsResponse](s, pathFlows, q)
+func (s *recordingServer) Flows(_ context.Context, request *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
+	return respond[*meshpb.FlowsRequest, *meshpb.FlowsResponse](s, pathFlows, request)
 }
 
-func (s *recordedServer) Sessions(_ context.Context, q *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
-	return answerTo[*meshpb.SessionsRequest, *meshpb.SessionsResponse](s, pathSessions, q)
+func (s *recordingServer) Sessions(_ context.Context, request *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
+	return respond[*meshpb.SessionsRequest, *meshpb.SessionsResponse](s, pathSessions, request)
 }
 
-func (s *recordedServer) RequestRecords(_ context.Context, q *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
-	return answerTo[*meshpb.RequestRecordsRequest, *meshpb.RequestRecordsResponse](s, pathRequestRecords, q)
+func (s *recordingServer) RequestRecords(_ context.Context, request *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
+	return respond[*meshpb.RequestRecordsRequest, *meshpb.RequestRecordsResponse](s, pathRequestRecords, request)
 }
 
-func (s *recordedServer) Snapshots(_ context.Context, q *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
-	return answerTo[*meshpb.SnapshotsRequest, *meshpb.SnapshotsResponse](s, pathSnapshots, q)
+func (s *recordingServer) Snapshots(_ context.Context, request *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
+	return respond[*meshpb.SnapshotsRequest, *meshpb.SnapshotsResponse](s, pathSnapshots, request)
 }
 
-// handler serves all services at the paths at which the processes do.
-func (s *recordedServer) handler() http.Handler {
+// handler returns a handler that serves all services at their wire paths.
+func (s *recordingServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewReplicationServer(s))
 	rpc.Handle(mux, meshpb.NewControlServer(s))
@@ -237,97 +238,101 @@
 	return mux
 }
 
-// Names of the files of one recorded call. The head holds the request line and
-// the headers that say what the body is; the texts are by field number.
+// File names in a call's fixture directory. The head holds the request line and the
+// Content-Type and Accept headers; the texts list the message by field number.
 const (
-	headFile        = "head.txt"
-	requestFile     = "request.bin"
-	requestTextFile = "request.txt"
-	answerFile      = "answer.bin"
-	answerTextFile  = "answer.txt"
+	headFile         = "head.txt"
+	requestFile      = "request.bin"
+	requestTextFile  = "request.txt"
+	responseFile     = "answer.bin"
+	responseTextFile = "answer.txt"
 )
 
-// recordedCall is what one folder holds.
+// recordedCall holds the contents of a call's fixture directory.
 type recordedCall struct {
-	head        string
-	request     []byte
-	requestText string
-	answer      []byte
-	answerText  string
+	head         string
+	request      []byte
+	requestText  string
+	response     []byte
+	responseText string
 }
 
-// folderOf is where the call at a path is recorded.
-func folderOf(path string) string {
+// fixtureDir returns the fixture directory of the call at path.
+func fixtureDir(path string) string {
 	return filepath.Join(wireDir, strings.ReplaceAll(strings.TrimPrefix(path, "/twirp/"), "/", "."))
 }
 
 func readCall(t *testing.T, call wireCall) recordedCall {
 	t.Helper()
 	read := func(name string) []byte {
-		data, err := os.ReadFile(filepath.Join(folderOf(call.path), name))
+		data, err := os.ReadFile(filepath.Join(fixtureDir(call.path), name))
 		qt.Assert(t, err, qt.IsNil)
 		return data
 	}
-	return recordedCall{string(read(headFile)), read(requestFile), string(read(requestTextFile)), read(answerFile), string(read(answerTextFile))}
+	return recordedCall{string(read(headFile)), read(requestFile), string(read(requestTextFile)), read(responseFile), string(read(responseTextFile))}
 }
 
-// writeCall records a call whose messages have every field set.
+// writeCall creates the fixture directory of a call whose messages have every field
+// set. It fails if the directory exists.
 func writeCall(t *testing.T, call wireCall) {
 	t.Helper()
-	request, answer := call.newRequest(), call.newAnswer()
+	request, response := call.newRequest(), call.newResponse()
 	prototest.Fill(request)
-	prototest.Fill(answer)
-	answerData, err := proto.MarshalOptions{Deterministic: true}.Marshal(answer)
+	prototest.Fill(response)
+	responseData, err := proto.MarshalOptions{Deterministic: true}.Marshal(response)
 	qt.Assert(t, err, qt.IsNil)
-	line := &recordingLine{answer: answerData}
-	_, err = call.send(rpc.NewClients(&http.Client{Transport: line}), request)
+	transport := &recordingTransport{response: responseData}
+	_, err = call.send(rpc.NewClients(&http.Client{Transport: transport}), request)
 	qt.Assert(t, err, qt.IsNil)
-	dir := folderOf(call.path)
+	dir := fixtureDir(call.path)
 	qt.Assert(t, os.MkdirAll(wireDir, 0o755), qt.IsNil)
-	qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
+	qt.Assert(t, os.Mkdir(dir, 0o755), qt.IsNil, qt.Commentf("committed fixtures must not be overwritten"))
 	for name, data := range map[string]string{
-		headFile: line.head, requestFile: string(line.request), requestTextFile: prototest.Text(request),
-		answerFile: string(answerData), answerTextFile: prototest.Text(answer),
+		headFile: transport.head, requestFile: string(transport.request), requestTextFile: prototest.Text(request),
+		responseFile: string(responseData), responseTextFile: prototest.Text(response),
 	} {
 		qt.Assert(t, os.WriteFile(filepath.Join(dir, name), []byte(data), 0o644), qt.IsNil)
 	}
 }
 
-// recordingLine keeps the one request that is sent through it.
-type recordingLine struct {
-	answer  []byte
-	head    string
-	request []byte
+// recordingTransport records the last request and returns a fixed response body.
+type recordingTransport struct {
+	response []byte
+	head     string
+	request  []byte
 }
 
-func (l *recordingLine) RoundTrip(r *http.Request) (*http.Response, error) {
-	body, err := io.ReadAll(r.Body)
+func (t *recordingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, err
 	}
-	l.head = headOf(r)
-	l.request = body
+	t.head = formatHead(request)
+	t.request = body
 	return &http.Response{
 		StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"application/protobuf"}},
-		Body: io.NopCloser(bytes.NewReader(l.answer)), Request: r,
+		Body: io.NopCloser(bytes.NewReader(t.response)), Request: request,
 	}, nil
 }
 
-func headOf(r *http.Request) string {
-	return r.Method + " " + r.URL.RequestURI() + "\nContent-Type: " + r.Header.Get("Content-Type") + "\nAccept: " + r.Header.Get("Accept") + "\n"
+// formatHead returns the head of request in the form of headFile.
+func formatHead(request *http.Request) string {
+	return request.Method + " " + request.URL.RequestURI() + "\nContent-Type: " + request.Header.Get("Content-Type") + "\nAccept: " + request.Header.Get("Accept") + "\n"
 }
 
-// decoded reads a message and holds it to its text by field number.
-func decoded(t *testing.T, into proto.Message, data []byte, want string) proto.Message {
+// decodeMessage unmarshals data into message and checks it against its text by
+// field number.
+func decodeMessage(t *testing.T, message proto.Message, data []byte, wantText string) proto.Message {
 	t.Helper()
-	qt.Assert(t, proto.Unmarshal(data, into), qt.IsNil)
-	qt.Assert(t, prototest.Text(into), qt.Equals, want)
-	return into
+	qt.Assert(t, proto.Unmarshal(data, message), qt.IsNil)
+	qt.Assert(t, prototest.Text(message), qt.Equals, wantText)
+	return message
 }
 
-// TestAllCallsOf242832aAreRecorded holds the table of calls to the folders, and
-// to the number of methods that are declared.
-func TestAllCallsOf242832aAreRecorded(t *testing.T) {
+// TestEveryCallHasFixture guards against calls that the other wire tests omit: the
+// table of calls must have as many distinct paths as there are fixture directories
+// and methods in mesh.proto.
+func TestEveryCallHasFixture(t *testing.T) {
 	paths := map[string]bool{}
 	for _, call := range wireCalls {
 		if *update {
@@ -336,9 +341,9 @@
 		paths[call.path] = true
 	}
 	qt.Assert(t, paths, qt.HasLen, len(wireCalls))
-	folders, err := os.ReadDir(wireDir)
+	dirs, err := os.ReadDir(wireDir)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, folders, qt.HasLen, len(wireCalls))
+	qt.Assert(t, dirs, qt.HasLen, len(wireCalls))
 	declared := 0
 	services := wireCalls[0].newRequest().ProtoReflect().Descriptor().ParentFile().Services()
 	for i := 0; i < services.Len(); i++ {
@@ -347,43 +352,45 @@
 	qt.Assert(t, declared, qt.Equals, len(wireCalls))
 }
 
-// TestClientSendsCallsAs242832a sends the recorded values and compares the
-// request line and the body; the recorded answer must be understood.
-func TestClientSendsCallsAs242832a(t *testing.T) {
+// TestClientMatchesFixtures guards against clients that are incompatible with servers
+// of an earlier release. It sends each recorded request, compares the path, headers
+// and body with the fixture, and decodes the recorded response.
+func TestClientMatchesFixtures(t *testing.T) {
 	for _, call := range wireCalls {
 		t.Run(call.path, func(t *testing.T) {
 			recorded := readCall(t, call)
-			request := decoded(t, call.newRequest(), recorded.request, recorded.requestText)
-			line := &recordingLine{answer: recorded.answer}
-			answer, err := call.send(rpc.NewClients(&http.Client{Transport: line}), request)
+			request := decodeMessage(t, call.newRequest(), recorded.request, recorded.requestText)
+			transport := &recordingTransport{response: recorded.response}
+			response, err := call.send(rpc.NewClients(&http.Client{Transport: transport}), request)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, line.head, qt.Equals, recorded.head)
-			qt.Check(t, line.request, qt.DeepEquals, recorded.request)
-			qt.Check(t, prototest.Text(answer), qt.Equals, recorded.answerText)
+			qt.Check(t, transport.head, qt.Equals, recorded.head)
+			qt.Check(t, transport.request, qt.DeepEquals, recorded.request)
+			qt.Check(t, prototest.Text(response), qt.Equals, recorded.responseText)
 		})
 	}
 }
 
-// TestServerAnswersCallsOf242832a replays the recorded request to the present
-// server, which must understand it and answer with the recorded bytes.
-func TestServerAnswersCallsOf242832a(t *testing.T) {
+// TestServerMatchesFixtures guards against servers that are incompatible with clients
+// of an earlier release. It replays each recorded request, which the server must
+// decode and answer with the recorded bytes.
+func TestServerMatchesFixtures(t *testing.T) {
 	for _, call := range wireCalls {
 		t.Run(call.path, func(t *testing.T) {
 			recorded := readCall(t, call)
-			server := &recordedServer{answer: decoded(t, call.newAnswer(), recorded.answer, recorded.answerText)}
+			server := &recordingServer{response: decodeMessage(t, call.newResponse(), recorded.response, recorded.responseText)}
 			response := httptest.NewRecorder()
-			server.handler().ServeHTTP(response, requestOf(t, recorded))
+			server.handler().ServeHTTP(response, newRecordedRequest(t, recorded))
 			qt.Assert(t, response.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", response.Body))
 			qt.Check(t, response.Header().Get("Content-Type"), qt.Equals, "application/protobuf")
-			qt.Check(t, response.Body.Bytes(), qt.DeepEquals, recorded.answer)
+			qt.Check(t, response.Body.Bytes(), qt.DeepEquals, recorded.response)
 			qt.Check(t, server.path, qt.Equals, call.path)
 			qt.Check(t, prototest.Text(server.request), qt.Equals, recorded.requestText)
 		})
 	}
 }
 
-// requestOf is the request as the recorded head and body make it.
-func requestOf(t *testing.T, recorded recordedCall) *http.Request {
+// newRecordedRequest builds an HTTP request from the recorded head and body.
+func newRecordedRequest(t *testing.T, recorded recordedCall) *http.Request {
 	t.Helper()
 	lines := strings.Split(strings.TrimSuffix(recorded.head, "\n"), "\n")
 	method, path, ok := strings.Cut(lines[0], " ")
