--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -14,24 +14,27 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
+// testEndpoints is a node's view. An endpoint that is not available has the reason
+// ReasonEnded unless reasons has another.
 type testEndpoints struct {
 	available map[string][]string
 	reasons   map[string]string
 }
 
-func (s testEndpoints) Accepts(service, id string) (bool, string) {
-	if slices.Contains(s.available[service], id) {
+func (e testEndpoints) Accepts(service, id string) (bool, string) {
+	if slices.Contains(e.available[service], id) {
 		return true, ""
 	}
-	if w := s.reasons[id]; w != "" {
-		return false, w
+	if reason := e.reasons[id]; reason != "" {
+		return false, reason
 	}
 	return false, ReasonEnded
 }
 
-func (s testEndpoints) Available(service string) []string { return s.available[service] }
+func (e testEndpoints) Available(service string) []string { return e.available[service] }
 
-// testCore is the owner of the pins; a takeover loads its state elsewhere.
+// testCore is the core node that owns the pins. takeover moves its state to a new
+// owner.
 type testCore struct{ table *coordination.Table }
 
 func (c *testCore) takeover() {
@@ -40,7 +43,7 @@
 	c.table.Restore(state, 0, false)
 }
 
-func (c *testCore) answer(request *meshpb.PinRequest) *meshpb.PinResponse {
+func (c *testCore) pinSession(request *meshpb.PinRequest) *meshpb.PinResponse {
 	decision := c.table.PinSession(request, 0)
 	if decision.Change != nil {
 		c.table.Apply(decision.Change, 0)
@@ -48,6 +51,7 @@
 	return decision.Result.Response()
 }
 
+// testNode is a node that calls yield before each call to the core.
 type testNode struct {
 	sessions      *Sessions
 	endpoints     *testEndpoints
@@ -60,7 +64,7 @@
 	node.sessions = New(Options{Now: func() time.Time { return *now }, ConfigVersion: func() uint64 { return node.configVersion }, MoveDelay: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
 		Pin: func(_ context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 			node.yield()
-			return core.answer(request), nil
+			return core.pinSession(request), nil
 		}})
 	return node
 }
@@ -71,17 +75,20 @@
 
 func noYield() {}
 
-// All orders of two nodes that meet a session for the first time, a node that
-// is new and already sees another endpoint, a push and a takeover: the session
-// has one instance.
+// Guards against two nodes that route a session to different endpoints. Two nodes
+// receive the session for the first time; a third has a newer view with more
+// endpoints, among which the hash of some keys chooses another one. Their calls, a
+// configuration update and a takeover of the core's shard run in all orders. If a
+// node with an older view treats an endpoint that it has never seen as ended, it
+// moves the session away.
 func TestSessionHasOneEndpointInAllOrders(t *testing.T) {
-	differ, total := 0, 0
+	differing, total := 0, 0
 	for n := range 3 {
-		key := SessionKey("header X", fmt.Sprint("fan-", n))
+		key := SessionKey("header X", fmt.Sprint("user-", n))
 		before := []string{"e0", "e1", "e2"}
 		after := []string{"e0", "e1", "e2", "e3", "e4", "e5"}
-		if Candidate(key, before) != Candidate(key, after) {
-			differ++
+		if RendezvousEndpoint(key, before) != RendezvousEndpoint(key, after) {
+			differing++
 		}
 		for choices := []int{}; choices != nil; total++ {
 			now := time.Unix(0, 0)
@@ -97,7 +104,7 @@
 					}
 				})
 			}
-			schedule.add("push", func(func()) { a.configVersion, b.configVersion, c.configVersion = 2, 2, 2 })
+			schedule.add("configuration update", func(func()) { a.configVersion, b.configVersion, c.configVersion = 2, 2, 2 })
 			schedule.add("takeover", func(func()) { core.takeover() })
 			choices = schedule.run()
 			for _, node := range []*testNode{a, b, c} {
@@ -110,17 +117,19 @@
 			}
 		}
 	}
-	qt.Assert(t, differ > 0, qt.IsTrue)
+	qt.Assert(t, differing > 0, qt.IsTrue)
 	qt.Assert(t, total > 4000, qt.IsTrue, qt.Commentf("%d orders", total))
 }
 
-// All orders of two nodes that hear of a drain and go on with a session there:
-// once one has used the new instance, none uses the old.
-func TestDrainMovesASessionOnceInAllOrders(t *testing.T) {
-	key := SessionKey("header X", "fan")
+// Guards against a session that alternates between two endpoints during a drain.
+// Two nodes serve the session and receive, in all orders, the view in which its
+// endpoint drains. Once one of them has used the new endpoint, neither may use the
+// old one.
+func TestDrainMovesSessionOnceInAllOrders(t *testing.T) {
+	key := SessionKey("header X", "user")
 	all := []string{"e0", "e1", "e2"}
-	home := Candidate(key, all)
-	others := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == home })
+	original := RendezvousEndpoint(key, all)
+	others := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == original })
 	total := 0
 	for choices := []int{}; choices != nil; total++ {
 		now := time.Unix(0, 0)
@@ -129,7 +138,7 @@
 		for range 2 {
 			node := newTestNode(core, &now, &testEndpoints{available: map[string][]string{"s": all}, reasons: map[string]string{}})
 			node.yield = noYield
-			qt.Assert(t, node.find(key, "s").Endpoint, qt.Equals, home)
+			qt.Assert(t, node.find(key, "s").Endpoint, qt.Equals, original)
 			nodes = append(nodes, node)
 		}
 		var used []string
@@ -147,10 +156,11 @@
 				}
 			})
 		}
-		// The move delay is longer than the views take to all nodes.
-		schedule.add("views", func(yield func()) {
+		// All nodes get the view within the move delay of 300 ms: the clock advances
+		// past it only once the last of them has the view.
+		schedule.add("view update", func(yield func()) {
 			for _, node := range nodes {
-				*node.endpoints = testEndpoints{available: map[string][]string{"s": others}, reasons: map[string]string{home: ReasonDrain}}
+				*node.endpoints = testEndpoints{available: map[string][]string{"s": others}, reasons: map[string]string{original: ReasonDrain}}
 				yield()
 			}
 			now = now.Add(400 * time.Millisecond)
@@ -168,10 +178,10 @@
 		}
 		moved := false
 		for _, e := range used {
-			if e != home {
+			if e != original {
 				moved = true
 			}
-			qt.Assert(t, moved && e == home, qt.IsFalse, qt.Commentf("order %v went %v", schedule.choices, used))
+			qt.Assert(t, moved && e == original, qt.IsFalse, qt.Commentf("order %v used %v", schedule.choices, used))
 		}
 		qt.Assert(t, moved, qt.IsTrue)
 		last := used[len(used)-1]
@@ -186,7 +196,7 @@
 	qt.Assert(t, total > 200, qt.IsTrue, qt.Commentf("%d orders", total))
 }
 
-func TestKnownPinsStayWithoutACoreAndNewSessionsFollowTheHash(t *testing.T) {
+func TestCachedPinsHoldAndNewSessionsAreHashedWithoutCore(t *testing.T) {
 	now := time.Unix(0, 0)
 	core := &testCore{coordination.NewTable(time.Minute)}
 	endpoints := &testEndpoints{available: map[string][]string{"s": {"e0", "e1", "e2"}}}
@@ -195,7 +205,7 @@
 	pinned := node.find("k1", "s").Endpoint
 	withoutCore := New(Options{Now: node.sessions.options.Now, ConfigVersion: node.sessions.options.ConfigVersion, MoveDelay: 300 * time.Millisecond, RefreshInterval: time.Hour, IdleTimeout: time.Hour, MaxSessions: 10,
 		Pin: func(context.Context, *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-			return nil, errors.New("silent")
+			return nil, errors.New("core unreachable")
 		}})
 	withoutCore.Add("k1", "s", pinned)
 	find := func(key string) Assignment {
@@ -204,23 +214,23 @@
 	qt.Assert(t, find("k1"), qt.DeepEquals, Assignment{Service: "s", Endpoint: pinned})
 	assignment := find("k2")
 	qt.Assert(t, assignment.State, qt.Equals, Provisional)
-	qt.Assert(t, assignment.Endpoint, qt.Equals, Candidate("k2", endpoints.available["s"]))
+	qt.Assert(t, assignment.Endpoint, qt.Equals, RendezvousEndpoint("k2", endpoints.available["s"]))
 	sessions, _, _ := withoutCore.Report(0)
 	qt.Assert(t, sessions[1].Pinned, qt.IsFalse)
 	endpoints.available["s"] = slices.DeleteFunc(slices.Clone(endpoints.available["s"]), func(e string) bool { return e == pinned })
 	qt.Assert(t, find("k1").State, qt.Equals, Pending)
 	now = now.Add(time.Second)
-	qt.Assert(t, find("k1").State, qt.Equals, Pending, qt.Commentf("a move that is not recorded is not made"))
+	qt.Assert(t, find("k1").State, qt.Equals, Pending, qt.Commentf("the session moved before the core recorded the move"))
 }
 
-func TestConfigThatForbidsTheServiceMovesTheSession(t *testing.T) {
+func TestSessionMovesWhenConfigDisallowsItsService(t *testing.T) {
 	now := time.Unix(0, 0)
 	core := &testCore{coordination.NewTable(time.Minute)}
 	endpoints := &testEndpoints{available: map[string][]string{"s": {"e0", "e1"}, "t": {"f0", "f1"}}}
 	a, b := newTestNode(core, &now, endpoints), newTestNode(core, &now, endpoints)
 	a.yield, b.yield = noYield, noYield
 	before := a.find("k", "s", "t")
-	qt.Assert(t, b.find("k", "t", "s"), qt.DeepEquals, before, qt.Commentf("changed shares move nobody"))
+	qt.Assert(t, b.find("k", "t", "s"), qt.DeepEquals, before, qt.Commentf("changed weights moved the session"))
 	a.configVersion, b.configVersion = 7, 7
 	after := a.find("k", "t")
 	qt.Assert(t, after.Service, qt.Equals, "t")
--- a/internal/affinity/find.go
+++ b/internal/affinity/find.go
@@ -8,97 +8,108 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// State says how sure it is where a session belongs.
+// State says whether the endpoint of a session is recorded by the core.
 type State int
 
 const (
-	// Pinned sessions belong to the endpoint by the control state.
+	// Pinned means that the control state pins the session to the endpoint.
 	Pinned State = iota
-	// Provisional sessions are new, and no core node answered: they follow the
-	// hash of their key for now.
+	// Provisional means that the session is new and no core node pinned it: its
+	// endpoint is chosen by the hash of its key until one does.
 	Provisional
-	// Pending sessions must move, and the move is not recorded yet.
+	// Pending means that the session has no endpoint at present: the pinned one
+	// does not accept requests and no move is recorded yet, or the service has
+	// none available.
 	Pending
 )
 
-// Query asks for the endpoint of one request's session.
+// Query is a request for the endpoint of a session.
 type Query struct {
+	// SessionKey is the key that the function SessionKey returns.
 	SessionKey string
-	// AllowedServices are the services that the route may use now.
+	// AllowedServices names the services that the route may use under the current
+	// configuration.
 	AllowedServices []string
-	// Service is the one that a new session goes to.
+	// Service is the service that a new session is assigned to.
 	Service string
-	// EarlierServices are those that the route used under other versions.
+	// EarlierServices names the services that the route used under other versions
+	// of the configuration.
 	EarlierServices []string
 }
 
-// Assignment is where a session's request goes.
+// Assignment is the result of Find.
 type Assignment struct {
+	// Service and Endpoint say where to send the request; they are empty if State
+	// is Pending.
 	Service  string
 	Endpoint string
-	State    State
-	// RetryAfter is after what time it is worth to ask again for a pending
-	// session.
+	// State says whether the assignment is recorded by the core.
+	State State
+	// RetryAfter is how long to wait before calling Find again if State is
+	// Pending; otherwise it is 0.
 	RetryAfter time.Duration
 }
 
-// maxSteps bounds how often one query follows a session that is found to have
-// moved.
-const maxSteps = 3
+// maxRounds limits how often one query asks the core again because the endpoint
+// that the core returned does not accept requests.
+const maxRounds = 3
 
-// lookup is a query under way.
+// lookup is the state of one call of Find.
 type lookup struct {
 	Query
 	sessions  *Sessions
 	endpoints Endpoints
-	// id and pin are where the session is known to be, if known.
+	// id and pin are the session and its confirmed pin; they are valid if known is
+	// set.
 	id    sessionID
 	pin   cachedPin
 	known bool
-	// forbidden is the session in a service that its route may not use any more,
-	// if its key is set; pin is then the one there.
-	forbidden sessionID
-	// reason is why the session moves.
+	// disallowed is set if the session is cached only for a service that its route
+	// may no longer use; pin is then the pin in that service.
+	disallowed sessionID
+	// reason is why the session moves, as recorded in the control state.
 	reason string
 }
 
 // Find returns the endpoint of a session. It asks the core if the session is not
-// known or has to move, and returns with the context's end at the latest.
+// cached or has to move, and returns at the latest when ctx ends, provided that
+// Options.Pin does.
 func (s *Sessions) Find(ctx context.Context, query Query, endpoints Endpoints) Assignment {
 	l := lookup{Query: query, sessions: s, endpoints: endpoints}
-	l.readCache()
-	for range maxSteps {
+	l.loadCached()
+	for range maxRounds {
 		if l.known {
-			if assignment, done := l.checkKnown(ctx); done {
+			if assignment, done := l.resolveKnown(ctx); done {
 				return assignment
 			}
 		}
-		if assignment, done := l.askCore(ctx); done {
+		if assignment, done := l.requestPin(ctx); done {
 			return assignment
 		}
 	}
-	return s.pending(s.options.MoveDelay)
+	return s.pendingAssignment(s.options.MoveDelay)
 }
 
-func (s *Sessions) pending(after time.Duration) Assignment {
-	return Assignment{State: Pending, RetryAfter: after}
+func (s *Sessions) pendingAssignment(retryAfter time.Duration) Assignment {
+	return Assignment{State: Pending, RetryAfter: retryAfter}
 }
 
-func (l *lookup) readCache() {
+func (l *lookup) loadCached() {
 	l.id, l.pin, l.known = l.sessions.findAllowed(l.SessionKey, l.AllowedServices)
 	if l.known {
 		return
 	}
-	id, pin, found := l.sessions.findForbidden(l.SessionKey, l.AllowedServices, l.EarlierServices)
+	id, pin, found := l.sessions.findDisallowed(l.SessionKey, l.AllowedServices, l.EarlierServices)
 	if found {
-		l.forbidden, l.pin, l.reason = id, pin, ReasonConfig
+		l.disallowed, l.pin, l.reason = id, pin, ReasonConfig
 	}
 }
 
-// checkKnown returns where a known session goes: to its endpoint if that takes
-// requests; nowhere yet if all nodes may not have heard that it does not. Else
-// the session moves.
-func (l *lookup) checkKnown(ctx context.Context) (assignment Assignment, done bool) {
+// resolveKnown returns the assignment of a session with a known pin: the pinned
+// endpoint if that accepts requests, or a pending assignment until all nodes can
+// be expected to have learned that it does not. After that it returns false, and
+// the session has to move.
+func (l *lookup) resolveKnown(ctx context.Context) (assignment Assignment, done bool) {
 	s, endpoint := l.sessions, l.pin.endpoint
 	accepts, reason := l.endpoints.Accepts(l.id.service, endpoint)
 	if accepts {
@@ -106,19 +117,20 @@
 		s.recordUse(ctx, l.id, endpoint)
 		return Assignment{Service: l.id.service, Endpoint: endpoint}, true
 	}
-	if left := s.untilMovable(endpoint, l.pin.seenAccepting); left > 0 {
-		return s.pending(left), true
+	if left := s.remainingMoveDelay(endpoint, l.pin.seenAccepting); left > 0 {
+		return s.pendingAssignment(left), true
 	}
 	l.reason = reason
 	return Assignment{}, false
 }
 
-// askCore has the core pin or move the session, and takes in where it then is.
-func (l *lookup) askCore(ctx context.Context) (assignment Assignment, done bool) {
+// requestPin asks the core to pin or move the session. It returns false if the
+// core did, after which the new pin has to be resolved.
+func (l *lookup) requestPin(ctx context.Context) (assignment Assignment, done bool) {
 	s, service := l.sessions, l.chooseService()
-	candidate := Candidate(l.SessionKey, l.endpoints.Available(service))
+	candidate := RendezvousEndpoint(l.SessionKey, l.endpoints.Available(service))
 	if candidate == "" {
-		return s.pending(s.options.MoveDelay), true
+		return s.pendingAssignment(s.options.MoveDelay), true
 	}
 	request := &meshpb.PinRequest{
 		Key:     l.SessionKey,
@@ -134,16 +146,17 @@
 	response, err := s.options.Pin(ctx, request)
 	switch {
 	case err == nil && isPinned(response):
-		l.apply(response)
+		l.applyResponse(response)
 		return Assignment{}, false
 	case l.known:
-		return s.pending(s.options.MoveDelay), true
+		return s.pendingAssignment(s.options.MoveDelay), true
 	}
-	s.set(sessionID{l.SessionKey, service}, candidate, false)
+	s.storePin(sessionID{l.SessionKey, service}, candidate, false)
 	return Assignment{Service: service, Endpoint: candidate, State: Provisional}, true
 }
 
-// chooseService keeps a session to its service while that has endpoints.
+// chooseService returns the session's service while that is allowed and has
+// endpoints available, and the query's service otherwise.
 func (l *lookup) chooseService() string {
 	if l.known && slices.Contains(l.AllowedServices, l.id.service) && len(l.endpoints.Available(l.id.service)) > 0 {
 		return l.id.service
@@ -151,41 +164,46 @@
 	return l.Service
 }
 
-// apply takes in where the core has pinned the session.
-func (l *lookup) apply(response *meshpb.PinResponse) {
+// applyResponse stores the pin that the core returned and records a move if the
+// session had another one.
+func (l *lookup) applyResponse(response *meshpb.PinResponse) {
 	s := l.sessions
 	if response.Reason != "" {
 		l.reason = response.Reason
 	}
 	switch {
 	case l.known && (response.Endpoint != l.pin.endpoint || response.Service != l.id.service):
-		s.forget(l.id)
+		s.deletePin(l.id)
 		s.recordMove(l.id, l.pin.endpoint, response.Service, response.Endpoint, l.reason)
-	case l.forbidden.key != "":
-		s.forget(l.forbidden)
-		s.recordMove(l.forbidden, l.pin.endpoint, response.Service, response.Endpoint, l.reason)
-		l.forbidden = sessionID{}
+	case l.disallowed.key != "":
+		s.deletePin(l.disallowed)
+		s.recordMove(l.disallowed, l.pin.endpoint, response.Service, response.Endpoint, l.reason)
+		l.disallowed = sessionID{}
 	}
 	l.id, l.known = sessionID{l.SessionKey, response.Service}, true
-	s.set(l.id, response.Endpoint, true)
+	s.storePin(l.id, response.Endpoint, true)
 	accepts, _ := l.endpoints.Accepts(response.Service, response.Endpoint)
 	l.pin = cachedPin{endpoint: response.Endpoint, seenAccepting: accepts}
 }
 
 const (
-	// unseenDelayFactor is how many move delays a node waits for a view with an
-	// endpoint that only others have seen so far, before it takes it for ended.
+	// unseenDelayFactor multiplies the move delay for an endpoint that this node
+	// has not yet seen accept requests. The endpoint may be new and this node's
+	// view out of date: with the plain delay, the node would treat the endpoint as
+	// ended and move its sessions away.
 	unseenDelayFactor = 10
-	// unavailableMemory is how long it counts when an endpoint was first found to
-	// take no requests.
-	unavailableMemory = time.Minute
-	// maxUnavailable bounds the endpoints for which that is remembered.
+	// unavailableTTL is how long the time at which an endpoint was first found
+	// unavailable is used; after that the move delay starts again.
+	unavailableTTL = time.Minute
+	// maxUnavailable limits the endpoints for which that time is kept. All times
+	// are dropped once there are more.
 	maxUnavailable = 4096
 )
 
-// untilMovable returns how long to wait until an endpoint has been out for long
-// enough that its sessions may move.
-func (s *Sessions) untilMovable(endpoint string, seenAccepting bool) time.Duration {
+// remainingMoveDelay returns how long the sessions of an unavailable endpoint
+// still have to wait before they may move; zero or less means that they may. The
+// delay starts with the first call for the endpoint.
+func (s *Sessions) remainingMoveDelay(endpoint string, seenAccepting bool) time.Duration {
 	now := s.options.Now()
 	delay := s.options.MoveDelay
 	if !seenAccepting {
@@ -194,7 +212,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since, known := s.unavailableSince[endpoint]
-	if !known || now.Sub(since) > unavailableMemory {
+	if !known || now.Sub(since) > unavailableTTL {
 		if len(s.unavailableSince) > maxUnavailable {
 			clear(s.unavailableSince)
 		}
--- a/internal/affinity/report.go
+++ b/internal/affinity/report.go
@@ -7,24 +7,24 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Why a session moved, as the control state and reports say it.
+// The reasons for moving a session, as stored in the control state and in reports.
 const (
-	// ReasonConfig says that the configuration does not allow its service.
+	// ReasonConfig means that the configuration no longer allows its service.
 	ReasonConfig = "CONFIG"
-	// ReasonDrain says that its endpoint is draining.
+	// ReasonDrain means that its endpoint is draining.
 	ReasonDrain = "DRAIN"
-	// ReasonEnded says that its endpoint has ended.
+	// ReasonEnded means that its endpoint no longer exists.
 	ReasonEnded = "ENDED"
-	// reasonLearnt says that another node had it moved, and this one learnt of it
-	// later.
-	reasonLearnt = "LEARNT"
+	// reasonLearned means that another node had the session moved, and this node
+	// learned of the move when it refreshed the pin.
+	reasonLearned = "LEARNT"
 )
 
-// maxMoves bounds the moves that are kept for reports; if there are more, the
-// oldest quarter goes.
+// maxMoves limits the moves that are kept for reports. When it is reached, the
+// oldest quarter is dropped.
 const (
-	maxMoves     = 1024
-	droppedMoves = maxMoves / 4
+	maxMoves          = 1024
+	moveEvictionBatch = maxMoves / 4
 )
 
 func (s *Sessions) recordMove(id sessionID, from, toService, to, reason string) {
@@ -38,29 +38,31 @@
 		Config:    s.options.ConfigVersion(),
 		AtUs:      s.options.Now().UnixMicro(),
 	}
-	s.addMove(move)
+	s.appendMove(move)
 	s.options.Trace("moved by "+reason, id.key)
 }
 
-func (s *Sessions) addMove(move *meshpb.SessionMove) {
+func (s *Sessions) appendMove(move *meshpb.SessionMove) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.moves) >= maxMoves {
-		s.moves = slices.Clone(s.moves[droppedMoves:])
-		s.dropped += droppedMoves
+		s.moves = slices.Clone(s.moves[moveEvictionBatch:])
+		s.dropped += moveEvictionBatch
 	}
 	s.moves = append(s.moves, move)
 }
 
-// Report returns the sessions in use here, the moves since a version of the
-// configuration, and how many sessions and moves were dropped for want of room.
+// Report returns the sessions used within the idle timeout, ordered by key and
+// service, the moves made under sinceVersion of the configuration or a later one,
+// and how many pins in use and moves were dropped because the cache or the list
+// of moves was full.
 func (s *Sessions) Report(sinceVersion uint64) (sessions []*meshpb.Session, moves []*meshpb.SessionMove, dropped uint64) {
 	now := s.options.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, pin := range s.pins {
-		if now.Sub(pin.used) <= s.options.IdleTimeout {
-			sessions = append(sessions, newReport(id, pin))
+		if now.Sub(pin.lastUsed) <= s.options.IdleTimeout {
+			sessions = append(sessions, newSessionReport(id, pin))
 		}
 	}
 	slices.SortFunc(sessions, func(a, b *meshpb.Session) int {
@@ -74,14 +76,14 @@
 	return sessions, moves, s.dropped
 }
 
-func newReport(id sessionID, pin cachedPin) *meshpb.Session {
+func newSessionReport(id sessionID, pin cachedPin) *meshpb.Session {
 	return &meshpb.Session{
 		Key:      id.key,
 		Service:  id.service,
 		Endpoint: pin.endpoint,
 		Pinned:   pin.confirmed,
 		Config:   pin.configVersion,
-		SinceUs:  pin.since.UnixMicro(),
-		UsedUs:   pin.used.UnixMicro(),
+		SinceUs:  pin.pinnedAt.UnixMicro(),
+		UsedUs:   pin.lastUsed.UnixMicro(),
 	}
 }
--- a/internal/affinity/scheduler_test.go
+++ b/internal/affinity/scheduler_test.go
@@ -2,15 +2,20 @@
 
 import "slices"
 
-// scheduler runs threads one step at a time: a thread hands over at each question
-// to the core, and a list of choices says which goes on.
+// scheduler runs threads one at a time in a given order, so that a test can cover
+// all orders. A thread gives up control when it calls yield.
 type scheduler struct {
+	// choices has, for each step, the index in ready of the thread to run. Steps
+	// beyond its end run the first.
 	choices []int
 	step    int
-	widths  []int
-	ready   []*scheduledThread
+	// readyCounts has the number of threads that were ready at each step.
+	readyCounts []int
+	ready       []*scheduledThread
 }
 
+// scheduledThread is a goroutine that runs only between a value on resume and the
+// next on yielded, which is false when run has returned.
 type scheduledThread struct {
 	name    string
 	run     func(yield func())
@@ -31,7 +36,8 @@
 	}()
 }
 
-// run runs all threads; it returns the choices for the next order, or nil.
+// run runs all threads to their end. It returns the choices for the next order, or
+// nil after the last.
 func (s *scheduler) run() []int {
 	for len(s.ready) > 0 {
 		count := len(s.ready)
@@ -41,7 +47,7 @@
 		} else {
 			s.choices = append(s.choices, 0)
 		}
-		s.widths = append(s.widths, count)
+		s.readyCounts = append(s.readyCounts, count)
 		s.step++
 		thread := s.ready[choice]
 		thread.resume <- true
@@ -51,7 +57,7 @@
 	}
 	next := slices.Clone(s.choices)
 	for i := len(next) - 1; i >= 0; i-- {
-		if next[i]+1 < s.widths[i] {
+		if next[i]+1 < s.readyCounts[i] {
 			next[i]++
 			return next[:i+1]
 		}
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -118,7 +118,7 @@
 func (r *outboundRequest) sessionQuery() affinity.Query {
 	active := r.routes.ActiveServices(r.route)
 	service := r.service
-	if index, ok := r.route.PickService(affinity.Position(r.session.key)); ok {
+	if index, ok := r.route.PickService(affinity.HashFraction(r.session.key)); ok {
 		service = r.routes.Services[index].Name
 	}
 	return affinity.Query{
--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -177,7 +177,7 @@
 		return true
 	}
 	service := r.result.Service
-	if index, ok := r.route.PickService(affinity.Position(session)); ok {
+	if index, ok := r.route.PickService(affinity.HashFraction(session)); ok {
 		service = r.routes.Services[index].Name
 	}
 	assignment := r.node.sessions.Find(context.Background(), affinity.Query{
