--- a/internal/changetrace/ring.go
+++ b/internal/changetrace/ring.go
@@ -42,11 +42,11 @@
 // Ring keeps the last events of a process.
 type Ring struct {
 	mu     sync.Mutex
-	events logring.Buffer[Event]
+	events logring.RingBuffer[Event]
 }
 
 // NewRing returns a ring that keeps size events.
-func NewRing(size int) *Ring { return &Ring{events: logring.NewBuffer[Event](size)} }
+func NewRing(size int) *Ring { return &Ring{events: logring.NewRingBuffer[Event](size)} }
 
 // Add adds an event; the oldest one gives way to it.
 func (r *Ring) Add(e Event) {
--- a/internal/logring/bench_test.go
+++ b/internal/logring/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// loggingComponent has its logger as a field, like those that log.
+// loggingComponent holds its logger in a field, as the production components do.
 type loggingComponent struct{ Log Logger }
 
 func newLoggingComponent() *loggingComponent {
--- a/internal/logring/buffer.go
+++ b/internal/logring/buffer.go
@@ -1,17 +1,19 @@
 package logring
 
-// Buffer keeps the last items put into it. Its user guards it.
-type Buffer[T any] struct {
+// RingBuffer keeps the most recent items added to it. It is not safe for concurrent
+// use, and its zero value can't be used.
+type RingBuffer[T any] struct {
 	items []T
-	// oldest is the index of the oldest item once the buffer is full.
+	// oldest is the index of the oldest item once the buffer is full; it is 0 before.
 	oldest int
 }
 
-// NewBuffer returns an empty buffer of size items.
-func NewBuffer[T any](size int) Buffer[T] { return Buffer[T]{items: make([]T, 0, size)} }
+// NewRingBuffer returns an empty buffer that holds up to size items. The size must
+// be positive.
+func NewRingBuffer[T any](size int) RingBuffer[T] { return RingBuffer[T]{items: make([]T, 0, size)} }
 
-// Put adds an item; once the buffer is full the oldest makes room.
-func (b *Buffer[T]) Put(item T) {
+// Put adds an item, replacing the oldest one if the buffer is full.
+func (b *RingBuffer[T]) Put(item T) {
 	if len(b.items) < cap(b.items) {
 		b.items = append(b.items, item)
 		return
@@ -20,7 +22,7 @@
 	b.oldest = (b.oldest + 1) % len(b.items)
 }
 
-// All returns a copy of the items, the oldest first.
-func (b *Buffer[T]) All() []T {
+// All returns a copy of the items, oldest first.
+func (b *RingBuffer[T]) All() []T {
 	return append(append([]T{}, b.items[b.oldest:]...), b.items[:b.oldest]...)
 }
--- a/internal/logring/callsites_test.go
+++ b/internal/logring/callsites_test.go
@@ -14,11 +14,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// keyPattern is the form of a key: letters only, in lower camel case.
 var keyPattern = regexp.MustCompile(`^[a-z][a-zA-Z]*$`)
 
-// isLoggerCall tells a call of Logger.Info or Logger.Warn from one of another
-// type by what it is called on: a field or variable named Log or log, or a
-// call of a function of that name.
+// isLoggerCall reports whether a call is one of Logger.Info or Logger.Warn. It
+// goes by the name of the receiver, as types aren't resolved: a variable, field
+// or function call named Log or log, in any case.
 func isLoggerCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || method.Sel.Name != "Info" && method.Sel.Name != "Warn" {
@@ -46,24 +47,26 @@
 	return text, err == nil
 }
 
-// checkCall fails the test unless the message and the keys are constant and
-// each key has a value.
+// checkCall fails the test unless the message and the keys are string literals,
+// the message has no formatting verb and each key has a value.
 func checkCall(t *testing.T, where token.Position, call *ast.CallExpr) {
 	t.Helper()
 	message, ok := stringLiteral(call.Args[0])
 	if !ok || strings.Contains(message, "%") {
-		t.Errorf("%v: the message is not a constant text", where)
+		t.Errorf("%v: the message is not a string literal, or it contains %%", where)
 	}
 	if len(call.Args)%2 != 1 {
-		t.Errorf("%v: a key has no value", where)
+		t.Errorf("%v: the last key has no value", where)
 	}
 	for i := 1; i < len(call.Args); i += 2 {
 		if key, ok := stringLiteral(call.Args[i]); !ok || !keyPattern.MatchString(key) {
-			t.Errorf("%v: argument %d is not a key", where, i)
+			t.Errorf("%v: argument %d is not a string literal in lower camel case", where, i)
 		}
 	}
 }
 
+// Guards against messages built at run time and keys without a value. Both
+// compile, so the test parses the source of all packages.
 func TestCallSitesHaveConstantMessagesAndPairs(t *testing.T) {
 	calls := 0
 	for _, root := range []string{"../../cmd", "../../internal"} {
@@ -87,5 +90,5 @@
 		})
 		qt.Assert(t, err, qt.IsNil)
 	}
-	qt.Assert(t, calls >= 25, qt.IsTrue, qt.Commentf("only %d calls were found", calls))
+	qt.Assert(t, calls >= 25, qt.IsTrue, qt.Commentf("found only %d log calls", calls))
 }
--- a/internal/logring/entry.go
+++ b/internal/logring/entry.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Level says how serious an entry is.
+// Level is the severity of an entry.
 type Level uint8
 
 const (
-	// Info marks an ordinary change of state.
+	// Info is the level of an ordinary change of state.
 	Info Level = iota
-	// Warning marks something that an operator may have to look at.
+	// Warning is the level of an event that an operator may have to look at.
 	Warning
 )
 
-// String returns the level as it is written out.
+// String returns the level as it appears in the output.
 func (l Level) String() string {
 	if l == Warning {
 		return "warning"
@@ -27,17 +27,20 @@
 
 // Entry is one logged event.
 type Entry struct {
-	Time      time.Time
-	Level     Level
+	// Time is when the event was logged.
+	Time time.Time
+	// Level is the severity.
+	Level Level
+	// Component names the part of the process that logged the event.
 	Component string
 	// Message is the same text each time the event is logged.
 	Message string
-	// KeysAndValues has the pairs one after the other: key, value, key, value.
+	// KeysAndValues has the pairs in sequence: key, value, key, value.
 	KeysAndValues []any
 }
 
-// String formats the entry without its time: "component: message key=value",
-// with the level in front of a warning.
+// String formats the entry without its time, as "component: message key=value".
+// A warning has its level in front.
 func (e Entry) String() string {
 	var b strings.Builder
 	e.format(&b)
@@ -64,10 +67,12 @@
 	}
 }
 
-// missingValue stands for the value of a key that was logged without one.
+// missingValue is written in place of the value of a key that was logged without
+// one.
 const missingValue = "(missing)"
 
-// formatValue quotes text that would otherwise not be told from its neighbours.
+// formatValue formats a value and quotes it if it is empty or contains characters
+// that would make the pairs ambiguous.
 func formatValue(value any) string {
 	text := fmt.Sprint(value)
 	if text == "" || strings.ContainsAny(text, " =\"\n\t\r") {
@@ -76,9 +81,9 @@
 	return text
 }
 
-// Hex is a number that is written as 16 hexadecimal digits, such as the hash
-// of a key.
+// Hex is a number, such as the hash of a key, that is formatted as 16 hexadecimal
+// digits.
 type Hex uint64
 
-// String returns the digits.
+// String returns the 16 digits, in lower case.
 func (h Hex) String() string { return fmt.Sprintf("%016x", uint64(h)) }
--- a/internal/logring/logring_test.go
+++ b/internal/logring/logring_test.go
@@ -16,7 +16,8 @@
 	"k8s.io/klog/v2"
 )
 
-// captureKlog sends what klog writes to the returned buffer until the test ends.
+// captureKlog redirects the output of klog to the returned buffer until the test
+// ends.
 func captureKlog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	t.Cleanup(klog.CaptureState().Restore)
@@ -24,7 +25,7 @@
 	klog.InitFlags(flags)
 	qt.Assert(t, flags.Set("logtostderr", "false"), qt.IsNil)
 	qt.Assert(t, flags.Set("skip_headers", "true"), qt.IsNil)
-	// A warning goes to the info log as well; one copy is enough.
+	// By default klog writes a warning to the info log as well.
 	qt.Assert(t, flags.Set("one_output", "true"), qt.IsNil)
 	out := &bytes.Buffer{}
 	klog.SetOutput(out)
@@ -58,7 +59,7 @@
 	})
 }
 
-func TestReusedSlotKeepsNothingOfTheOldEntry(t *testing.T) {
+func TestReusedSlotKeepsNothingOfThePreviousEntry(t *testing.T) {
 	r := New(1, time.Second, nil)
 	r.Logger("c").Warn("first", "a", 1, "b", 2)
 	kept := r.Entries()
@@ -100,7 +101,7 @@
 	Logger{}.Warn("m", "shard", 1)
 }
 
-func TestFlushWritesTheEntriesOnceAndForgetsThem(t *testing.T) {
+func TestFlushWritesTheEntriesOnceAndEmptiesTheRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := captureKlog(t)
 		r := New(2, 5*time.Second, nil)
@@ -117,7 +118,7 @@
 	})
 }
 
-func TestFlushIsBoundedByItsInterval(t *testing.T) {
+func TestFlushIsLimitedToOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := captureKlog(t)
 		flushed := func(r *Ring, reason string) bool {
@@ -139,7 +140,7 @@
 	})
 }
 
-func TestObserverSeesEachEntryAtOnce(t *testing.T) {
+func TestObserverIsCalledAsEachEntryIsLogged(t *testing.T) {
 	var seen []string
 	r := New(1, time.Second, func(e Entry) { seen = append(seen, e.String()) })
 	r.Logger("c").Info("first", "shard", 1)
@@ -147,7 +148,7 @@
 	qt.Assert(t, seen, qt.DeepEquals, []string{"c: first shard=1", "warning c: second"})
 }
 
-func TestWriteNowWritesAtOnce(t *testing.T) {
+func TestWriteNowWritesEachEntryToKlog(t *testing.T) {
 	out := captureKlog(t)
 	New(1, time.Second, WriteNow).Logger("c").Info("first", "shard", 1)
 	klog.Flush()
@@ -170,7 +171,7 @@
 }
 
 func TestBufferKeepsTheLastItems(t *testing.T) {
-	b := NewBuffer[int](3)
+	b := NewRingBuffer[int](3)
 	for i := range 5 {
 		b.Put(i)
 	}
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -9,40 +9,41 @@
 	"k8s.io/klog/v2"
 )
 
-// timeLayout is how an entry's time is written out.
+// timeLayout is the format of an entry's time in the output of Flush.
 const timeLayout = "15:04:05.000"
 
-// Ring keeps the last entries in memory and writes them out when something
-// goes wrong.
+// Ring keeps the most recent entries in memory until Flush writes them to klog.
+// It is safe for concurrent use.
 type Ring struct {
-	// flushInterval is the least time between two writings.
+	// flushInterval is the minimum time between two flushes.
 	flushInterval time.Duration
-	// observe, if set, is called with each entry, under the lock.
+	// observe, if set, is called with each entry while mu is held.
 	observe func(Entry)
 
 	mu sync.Mutex
-	// entries are reused in turn; each keeps the capacity of its pairs.
+	// entries are reused in turn; each keeps the capacity of its KeysAndValues.
 	entries []Entry
-	// oldest is the index of the oldest entry once all of them are used.
+	// oldest is the index of the oldest entry once the ring is full; it is 0 before.
 	oldest    int
 	lastFlush time.Time
 }
 
-// New returns a ring of the last size entries that is written out at most once
-// in flushInterval. The observer, if there is one, is called with each entry
-// as it is logged, by one goroutine at a time; it must not keep the entry's
-// pairs nor log to the same ring.
+// New returns a ring that keeps the last size entries and flushes them at most
+// once per flushInterval. The size must be positive. The observer, if it is not
+// nil, is called with each entry as it is logged, by one goroutine at a time. It
+// must neither retain the entry's KeysAndValues nor log to the same ring.
 func New(size int, flushInterval time.Duration, observer func(Entry)) *Ring {
 	return &Ring{flushInterval: flushInterval, observe: observer, entries: make([]Entry, 0, size)}
 }
 
-// WriteNow is an observer that writes each entry out as it is logged.
+// WriteNow is an observer that writes each entry to klog as it is logged.
 func WriteNow(e Entry) { klog.Info(e.String()) }
 
-// Logger returns the logger of a component.
+// Logger returns a logger that adds entries of the component to the ring.
 func (r *Ring) Logger(component string) Logger { return Logger{ring: r, component: component} }
 
-// add copies the pairs, so that the caller's slice need not be allocated.
+// add copies the pairs, so that the caller's slice need not be allocated on the
+// heap.
 func (r *Ring) add(level Level, component, message string, keysAndValues []any) {
 	now := time.Now()
 	r.mu.Lock()
@@ -56,8 +57,8 @@
 	}
 }
 
-// nextSlot returns the entry to be written to: an unused one as long as there
-// is any, then the oldest.
+// nextSlot returns the entry to overwrite: an unused one while there is any, and
+// the oldest after that.
 func (r *Ring) nextSlot() *Entry {
 	if n := len(r.entries); n < cap(r.entries) {
 		r.entries = r.entries[:n+1]
@@ -68,7 +69,7 @@
 	return e
 }
 
-// Entries returns a copy of the kept entries, the oldest first.
+// Entries returns a copy of the entries in the ring, oldest first.
 func (r *Ring) Entries() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,11 +84,11 @@
 	return out
 }
 
-// Flush writes the reason and the kept entries out as one klog warning, and
-// forgets the entries. Within flushInterval of the last writing it does
-// nothing.
+// Flush writes the reason and the entries to klog as one warning and empties the
+// ring. It does nothing if less than the flush interval has passed since the last
+// flush.
 func (r *Ring) Flush(reason string) {
-	entries, ok := r.takeForFlush(time.Now())
+	entries, ok := r.drainForFlush(time.Now())
 	if !ok {
 		return
 	}
@@ -102,9 +103,9 @@
 	klog.Warning(b.String())
 }
 
-// takeForFlush empties the ring; false means that the last writing is too
-// recent.
-func (r *Ring) takeForFlush(now time.Time) ([]Entry, bool) {
+// drainForFlush empties the ring and returns its entries, or returns false if the
+// last flush is too recent.
+func (r *Ring) drainForFlush(now time.Time) ([]Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.lastFlush.IsZero() && now.Sub(r.lastFlush) < r.flushInterval {
