--- a/internal/affinity/report.go
+++ b/internal/affinity/report.go
@@ -83,7 +83,7 @@
 		Endpoint: pin.endpoint,
 		Pinned:   pin.confirmed,
 		Config:   pin.configVersion,
-		SinceUs:  pin.pinnedAt.UnixMicro(),
+		SinceUs:  pin.cachedAt.UnixMicro(),
 		UsedUs:   pin.lastUsed.UnixMicro(),
 	}
 }
--- a/internal/affinity/sessions.go
+++ b/internal/affinity/sessions.go
@@ -27,7 +27,8 @@
 	// IdleTimeout is how long a session is reported after its last use. Idle
 	// sessions are the first to be evicted.
 	IdleTimeout time.Duration
-	// MaxSessions limits the cached pins. Evicted sessions stay pinned at the core.
+	// MaxSessions limits the cached pins and must be positive. Evicted sessions stay
+	// pinned at the core.
 	MaxSessions int
 	// Trace is called for each move with the session's key; it may be nil.
 	Trace func(action, key string)
@@ -54,9 +55,10 @@
 	confirmed bool
 	// seenAccepting is set if this node has seen the endpoint accept requests.
 	seenAccepting bool
-	// configVersion is the version in force when the pin was cached.
+	// configVersion is the version in force at cachedAt.
 	configVersion uint64
-	pinnedAt      time.Time
+	// cachedAt is when the session was first cached with this endpoint.
+	cachedAt      time.Time
 	lastUsed      time.Time
 	lastRefreshed time.Time
 }
@@ -126,7 +128,7 @@
 		if !known && len(s.pins) >= s.options.MaxSessions {
 			s.evict(now)
 		}
-		pin = cachedPin{endpoint: endpoint, pinnedAt: now, configVersion: s.options.ConfigVersion()}
+		pin = cachedPin{endpoint: endpoint, cachedAt: now, configVersion: s.options.ConfigVersion()}
 	}
 	pin.confirmed, pin.lastUsed, pin.lastRefreshed = confirmed, now, now
 	s.pins[id] = pin
