--- a/cmd/corkcove/core.go
+++ b/cmd/corkcove/core.go
@@ -25,49 +25,50 @@
 )
 
 const (
-	// shardCount is part of how names are spread over the stored shards, and so
-	// never changes.
+	// shardCount is the number of shards of the control state. It must never change,
+	// because the assignment of stored names to shards depends on it.
 	shardCount = 13
-	// controllerShard is the shard whose owner is the master; it has what the
-	// master stores.
+	// controllerShard is the shard whose owner is the master. It contains the data
+	// that the master stores.
 	controllerShard = 0
 
-	// tickInterval is the time between two ticks of the replica and the master.
+	// tickInterval is the interval at which the replica and the master are ticked.
 	tickInterval = 50 * time.Millisecond
-	// leaseDuration is how long an owner may serve after a quorum has renewed its
-	// lease, and coreHeartbeatInterval how often it asks for that.
+	// leaseDuration is how long an owner may serve after a quorum renewed its lease.
+	// coreHeartbeatInterval is how often it requests a renewal.
 	leaseDuration         = 900 * time.Millisecond
 	coreHeartbeatInterval = 250 * time.Millisecond
-	// executeTimeout is how long a command waits for its commit.
-	executeTimeout = 900 * time.Millisecond
-	// evictionTimeout is how long a member must be unreachable before it loses its
-	// place.
+	// requestTimeout is how long a proposed change waits for its commit.
+	requestTimeout = 900 * time.Millisecond
+	// evictionTimeout is how long a member must be unreachable before it is removed
+	// from the membership.
 	evictionTimeout = 2 * time.Second
-	// checkpointBytes is the size of the log after which it is compacted.
+	// checkpointBytes is the size at which the write-ahead log is compacted.
 	checkpointBytes = 4 << 20
-	// peerCallTimeout bounds calls between core nodes, replicateTimeout those that
-	// replicate.
+	// peerCallTimeout limits calls between core nodes, except Replicate calls, which
+	// replicateTimeout limits.
 	peerCallTimeout  = 600 * time.Millisecond
 	replicateTimeout = 1500 * time.Millisecond
 
-	// apiRetryTimeout is how long the control API tries for a caller.
+	// apiRetryTimeout is how long the control API retries a caller's request.
 	apiRetryTimeout = 650 * time.Millisecond
-	// apiHeaderTimeout bounds the reading of a request's header.
+	// apiHeaderTimeout limits the time to read the header of a control API request.
 	apiHeaderTimeout = 5 * time.Second
 
-	// maxLeaveTime bounds how long a core node that ends waits until its shards
-	// have other owners, beside three quarters of its grace time.
-	maxLeaveTime = 6 * time.Second
-	// leaveLinger is how long it goes on answering after that, so that calls under
-	// way get their answers.
+	// maxLeaveWait limits how long a core node that shuts down waits until its shards
+	// have other owners. Three quarters of the grace period are a second limit.
+	maxLeaveWait = 6 * time.Second
+	// leaveLinger is how long it continues to serve afterwards, so that calls in
+	// flight are answered.
 	leaveLinger = 6 * tickInterval
 )
 
 func registerCore(c *commandLine) {
-	command := c.app.Command(roleCore, "Keep nodes, endpoints, configuration, locks, numbers and keys.")
+	command := c.app.Command(roleCore, "Run a core node, which stores nodes, endpoints, configuration, locks, counters and keys.")
 	c.handle(command, func() error { return runRole(roleCore, &c.global, runCore) })
 }
 
+// runCore runs a core node until the process is told to stop.
 func runCore(p *process) error {
 	directory, err := wal.OpenDirectory(p.options.Self.DataDir)
 	if err != nil {
@@ -101,15 +102,16 @@
 	return nil
 }
 
-// newID returns the random identity of a process or member.
+// newID returns a random ID for a process or member: 16 hexadecimal digits.
 func newID() string {
 	var id [8]byte
-	// It never fails: without randomness the process ends.
+	// rand.Read never returns an error; it aborts the program instead.
 	_, _ = rand.Read(id[:])
 	return hex.EncodeToString(id[:])
 }
 
-// seedMembers are the core members that the settings name.
+// seedMembers returns the core members that the settings list as seeds. Seeds that
+// are not valid addresses are skipped.
 func seedMembers(options settings.Options) []*meshpb.Member {
 	var members []*meshpb.Member
 	for _, seed := range options.Network.Seeds {
@@ -127,12 +129,12 @@
 	return hotkeys.Options{SlotShare: h.SlotShare, MaxKeys: h.MaxKeys, MaxWidth: h.MaxEndpoints, NarrowAfter: settings.Seconds(h.DecaySeconds)}
 }
 
-// newCoreNode makes the master, which does nothing before this node owns the
-// controller's shard. openReplica must follow.
+// newCoreNode creates a core node and its master, which is idle until this node owns
+// the controller shard. The caller must call openReplica next.
 func newCoreNode(p *process) *coreNode {
 	box := mailbox.New()
 	clients := rpc.NewClients(&http.Client{Transport: rpc.Watched(300*time.Millisecond, 2*time.Second, 90*time.Second, 8)})
-	c := &coreNode{process: p, mailbox: box, service: coordination.NewService(box, shardCount), clients: clients}
+	c := &coreNode{process: p, mailbox: box, coordination: coordination.NewService(box, shardCount), clients: clients}
 	c.master = clustercontroller.NewMaster(c.masterOptions(), mailbox.New(), clients, c)
 	return c
 }
@@ -151,7 +153,7 @@
 	}
 }
 
-// openReplica makes the replica from the records of the log.
+// openReplica restores the replica from the records of the write-ahead log.
 func (c *coreNode) openReplica(log *wal.Log, records [][]byte) error {
 	peers := replication.PeerClient{Mailbox: c.mailbox, Clients: c.clients, CallTimeout: peerCallTimeout, ReplicateTimeout: replicateTimeout}
 	storage := replication.WALStorage{Mailbox: c.mailbox, Log: log}
@@ -159,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	c.replica, c.service.Replica = replica, replica
+	c.replica, c.coordination.Replica = replica, replica
 	return nil
 }
 
@@ -168,13 +170,15 @@
 	return replication.Options{
 		Self:  &meshpb.Member{Addr: o.InternalAddr(), Control: o.Network.Listen.Control, Zone: o.Self.ZoneName},
 		Seeds: seedMembers(o), Bootstrap: o.Self.FirstStart, Shards: shardCount,
-		LeaseDuration: leaseDuration, HeartbeatInterval: coreHeartbeatInterval, RequestTimeout: executeTimeout, EvictionTimeout: evictionTimeout,
+		LeaseDuration: leaseDuration, HeartbeatInterval: coreHeartbeatInterval, RequestTimeout: requestTimeout, EvictionTimeout: evictionTimeout,
 		CheckpointBytes: checkpointBytes, NewStateMachine: c.newStateMachine,
 		NewID: newID, Now: c.now, Rand: mrand.IntN, Log: c.log("replication"),
 		OnOwnershipChange: c.onOwnershipChange, OnCommit: c.onCommit, OnEntryProgress: c.onEntryProgress, OnMembershipChange: c.onMembershipChange,
 	}
 }
 
+// newStateMachine returns the empty state machine of a shard. The limit on sessions
+// is divided equally among the shards.
 func (c *coreNode) newStateMachine() replication.StateMachine {
 	table := coordination.NewTable(settings.Seconds(c.options.Requirements.Bounds.HistorySeconds))
 	maxSessions := max(c.options.Affinity.MaxSessions/shardCount, 1)
@@ -182,7 +186,7 @@
 	return table
 }
 
-// serveInternal answers the other core nodes, the traffic nodes and the tools.
+// serveInternal serves the RPCs of other core nodes, traffic nodes and tools.
 func (c *coreNode) serveInternal(listener net.Listener) {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewReplicationServer(replication.Handler{Mailbox: c.mailbox, Replica: c.replica}))
@@ -191,9 +195,9 @@
 	serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
 }
 
-// serveControlAPI answers operators and applications.
+// serveControlAPI serves the HTTP API for operators and applications.
 func (c *coreNode) serveControlAPI(listener net.Listener) *controlapi.CoreServer {
-	api := controlapi.NewCoreServer(c.service, apiRetryTimeout)
+	api := controlapi.NewCoreServer(c.coordination, apiRetryTimeout)
 	api.PeerTransport = rpc.Transport(200*time.Millisecond, 700*time.Millisecond, 20*time.Second, 32)
 	api.OnConfigAccepted = func(version uint64) {
 		c.trace(changetrace.KindConfig, "acknowledged", c.replica.MasterEpoch(), version)
@@ -202,8 +206,8 @@
 	return api
 }
 
-// start runs the node's goroutines; that which reads the platform's list ends
-// with ctx, those of the mailboxes with these.
+// start starts the node's goroutines. The discovery goroutine ends when ctx is
+// cancelled, the goroutine of a mailbox when that mailbox is closed.
 func (c *coreNode) start(ctx context.Context) {
 	go c.master.Mailbox.Run(tickInterval, c.master.Tick)
 	go c.mailbox.Run(tickInterval, c.replica.Tick)
@@ -215,17 +219,19 @@
 	}
 }
 
+// isLearner reports whether this node is outside the core's membership.
 func (c *coreNode) isLearner() bool {
 	learner, _ := mailbox.Call(c.mailbox, c.replica.IsLearner)
 	return learner
 }
 
-// leave hands this node's shards to others, as far as there is time, and goes on
-// answering for a moment, so that calls under way get their answers.
+// leave transfers the ownership of this node's shards to other nodes, as far as time
+// permits. It then continues to serve for leaveLinger, so that calls in flight are
+// answered.
 func (c *coreNode) leave() {
 	c.mailbox.Post(c.replica.Leave)
 	grace := settings.Seconds(c.options.Requirements.Bounds.GraceSeconds)
-	deadline := time.Now().Add(min(grace*3/4, maxLeaveTime))
+	deadline := time.Now().Add(min(grace*3/4, maxLeaveWait))
 	for time.Now().Before(deadline) {
 		if done, _ := mailbox.Call(c.mailbox, c.replica.LeaveComplete); done {
 			break
--- a/cmd/corkcove/core_control.go
+++ b/cmd/corkcove/core_control.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// followTimeout is how long a relay waits until this member follows the master
-	// that calls, and until its replica has what the master names.
-	followTimeout = 400 * time.Millisecond
-	// followPollInterval is the time between two looks.
-	followPollInterval = 20 * time.Millisecond
+	// relayWaitTimeout is how long Relay waits until this member has granted a lease
+	// to the calling master, and how long it waits until the replica has reached the
+	// versions that the request names.
+	relayWaitTimeout = 400 * time.Millisecond
+	// relayPollInterval is the time between two checks of such a condition.
+	relayPollInterval = 20 * time.Millisecond
 )
 
-// errOtherMaster refuses to relay for a master that this member doesn't follow.
-// Nothing was sent.
-var errOtherMaster = errors.New("not the master that this member follows")
+// errLeaseNotGranted rejects a Relay call of a master that holds no lease from this
+// member. Nothing was sent to nodes.
+var errLeaseNotGranted = errors.New("the calling master holds no lease from this core member")
 
-// Status tells a tool about this node, and about the mesh if it is the master.
+// Status returns the status of this node and, if it is the master, of the mesh.
 func (c *coreNode) Status(context.Context, *meshpb.StatusRequest) (*meshpb.StatusResponse, error) {
 	response := &meshpb.StatusResponse{Node: c.options.Self.NodeName}
-	runOn(c.mailbox, func() { c.addReplicaStatus(response) })
-	runOn(c.master.Mailbox, func() { c.addMasterStatus(response) })
+	runOnMailbox(c.mailbox, func() { c.addReplicaStatus(response) })
+	runOnMailbox(c.master.Mailbox, func() { c.addMasterStatus(response) })
 	return response, nil
 }
 
-// runOn runs a function on a mailbox and waits for its end.
-func runOn(box *mailbox.Mailbox, function func()) {
+// runOnMailbox runs a function on a mailbox and waits until it returns.
+func runOnMailbox(box *mailbox.Mailbox, fn func()) {
 	mailbox.Call(box, func() struct{} {
-		function()
+		fn()
 		return struct{}{}
 	})
 }
@@ -72,11 +73,11 @@
 	}
 }
 
-// SetState stores a user state in the controller's shard; the master caps the
-// node's state with it from the next view on.
+// SetState stores the state that a user set for a node in the controller shard. From
+// the next view on, the node's state is at most the user state.
 func (c *coreNode) SetState(ctx context.Context, request *meshpb.SetStateRequest) (*meshpb.SetStateResponse, error) {
 	if !lifecycle.State(request.State).SettableByUser() {
-		return &meshpb.SetStateResponse{Why: "a state is one of up, maintenance, retired, down"}, nil
+		return &meshpb.SetStateResponse{Why: "invalid state " + strconv.Quote(request.State) + ": must be up, maintenance, retired or down"}, nil
 	}
 	isMaster := c.replica.HoldsMasterLease()
 	known, _ := mailbox.Call(c.master.Mailbox, func() bool { return c.master.KnowsNode(request.Node) })
@@ -86,34 +87,35 @@
 	if !known {
 		return &meshpb.SetStateResponse{Why: "no node " + strconv.Quote(request.Node) + " is known"}, nil
 	}
-	users, err := c.storeUserState(ctx, request.Node, lifecycle.State(request.State))
+	userStates, err := c.storeUserState(ctx, request.Node, lifecycle.State(request.State))
 	if err != nil {
-		return &meshpb.SetStateResponse{Why: "the state may or may not have been kept; ask again"}, nil
+		return &meshpb.SetStateResponse{Why: "could not confirm that the state was stored; retry the command"}, nil
 	}
-	c.master.Mailbox.Post(func() { c.master.SetUserStates(users, request.Node) })
+	c.master.Mailbox.Post(func() { c.master.SetUserStates(userStates, request.Node) })
 	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
-// storeUserState returns all user states once they are committed.
+// storeUserState stores the user state of a node and returns all user states. After
+// an error the change may or may not have been committed.
 func (c *coreNode) storeUserState(ctx context.Context, node string, state lifecycle.State) (map[string]string, error) {
 	type decision = coordination.Decision[map[string]string]
-	return coordination.Transact(ctx, c.service, controllerShard, func(table *coordination.Table, _ time.Duration) decision {
-		users := storedUserStates(table)
+	return coordination.Transact(ctx, c.coordination, controllerShard, func(table *coordination.Table, _ time.Duration) decision {
+		userStates := storedUserStates(table)
 		if state == lifecycle.Up {
-			delete(users, node)
+			delete(userStates, node)
 		} else {
-			users[node] = string(state)
+			userStates[node] = string(state)
 		}
-		data, err := proto.Marshal(&meshpb.UserStates{States: users})
+		data, err := proto.Marshal(&meshpb.UserStates{States: userStates})
 		if err != nil {
 			return decision{Err: err}
 		}
-		return decision{Change: &meshpb.Change{Blob: &meshpb.Blob{Name: userStatesBlob, Data: data}}, Result: users}
+		return decision{Change: &meshpb.Change{Blob: &meshpb.Blob{Name: userStatesBlob, Data: data}}, Result: userStates}
 	})
 }
 
-// masterAddress is the address of the master that this member follows; "" if it
-// knows none.
+// masterAddress returns the internal address (host:port) of the master that this
+// member follows, or "" if it knows of none.
 func (c *coreNode) masterAddress() string {
 	address, _ := mailbox.Call(c.mailbox, func() string {
 		if master, ok := c.replica.Owner(controllerShard); ok {
@@ -124,8 +126,8 @@
 	return address
 }
 
-// RegisterNode makes a traffic node known to the master, if this is it, and
-// tells the node who the core is.
+// RegisterNode registers a traffic node if this node is the master. In any case it
+// returns the core's membership and, from other nodes, the master's address.
 func (c *coreNode) RegisterNode(_ context.Context, request *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
 	response, _ := mailbox.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
 		last, isMaster := c.master.RegisterNode(request.Node)
@@ -138,48 +140,52 @@
 	return response, nil
 }
 
-// Relay sends what the master names on to some of its nodes, while this member's
-// lease to it runs: for a master that was cut off or frozen nothing is sent.
+// Relay forwards a request of the master to some of the master's nodes. It does so
+// only while the lease that this member granted to the master is valid, so that
+// nothing is sent for a master that was partitioned or suspended.
 func (c *coreNode) Relay(ctx context.Context, request *meshpb.RelayRequest) (*meshpb.RelayResponse, error) {
 	epoch := max(request.GetPoll().GetEpoch(), request.GetView().GetEpoch(), request.GetConfig().GetEpoch())
-	if !c.waitForReplica(ctx, func() (done, never bool) {
+	if !c.waitForReplica(ctx, func() (met, impossible bool) {
 		return c.replica.LeaseGranted(controllerShard, epoch), c.replica.PromisedEpoch(controllerShard) > epoch
 	}) {
-		return nil, errOtherMaster
+		return nil, errLeaseNotGranted
 	}
 	payloads := sync.OnceValue(func() clustercontroller.StoredPayloads {
-		// The entries may be about to arrive.
-		c.waitForReplica(ctx, func() (done, never bool) {
-			return hasStoredVersions(c.replica.StateMachine(controllerShard), request.Stored), false
+		// The entries that contain these versions may still be in transit.
+		c.waitForReplica(ctx, func() (met, impossible bool) {
+			return replicaHasVersions(c.replica.StateMachine(controllerShard), request.Stored), false
 		})
 		return c.readStoredPayloads(request.Stored)
 	})
 	return clustercontroller.Relay(ctx, c.clients, request, payloads), nil
 }
 
-// waitForReplica asks the replica again and again, for a while after a takeover,
-// until the condition holds or never will. It tells whether it holds.
-func (c *coreNode) waitForReplica(ctx context.Context, condition func() (done, never bool)) bool {
-	for deadline := time.Now().Add(followTimeout); ; {
-		var never bool
-		done, _ := mailbox.Call(c.mailbox, func() (done bool) {
-			done, never = condition()
-			return done
+// waitForReplica polls a condition on the replica's mailbox until it is met, cannot
+// be met any more, relayWaitTimeout has passed or ctx ends. It reports whether the
+// condition is met. The wait is needed just after a takeover, when this member may
+// not have followed the new master yet.
+func (c *coreNode) waitForReplica(ctx context.Context, condition func() (met, impossible bool)) bool {
+	for deadline := time.Now().Add(relayWaitTimeout); ; {
+		var impossible bool
+		met, _ := mailbox.Call(c.mailbox, func() (met bool) {
+			met, impossible = condition()
+			return met
 		})
-		if done || never || time.Now().After(deadline) || ctx.Err() != nil {
-			return done
+		if met || impossible || time.Now().After(deadline) || ctx.Err() != nil {
+			return met
 		}
-		time.Sleep(followPollInterval)
+		time.Sleep(relayPollInterval)
 	}
 }
 
-// PinSession answers nodes that ask for the endpoint of a session. A response
-// that isn't ok promises nothing.
+// PinSession returns the endpoint to which a session is pinned, and pins the session
+// if necessary. A response without ok says nothing about the session: the pin may or
+// may not have been stored.
 func (c *coreNode) PinSession(ctx context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	if request.Key == "" || len(request.Allowed) == 0 {
 		return &meshpb.PinResponse{}, nil
 	}
-	pin, err := c.service.PinSession(ctx, request)
+	pin, err := c.coordination.PinSession(ctx, request)
 	if errors.Is(err, replication.ErrNotOwner) {
 		return &meshpb.PinResponse{OwnerAddr: c.sessionOwnerAddress(request.Key)}, nil
 	}
@@ -189,11 +195,11 @@
 	return pin.Response(), nil
 }
 
-// sessionOwnerAddress is the address of another core node that owns the
-// session's shard; "" if none is known.
+// sessionOwnerAddress returns the address of the core node that owns the session's
+// shard, or "" if the owner is unknown or is this node.
 func (c *coreNode) sessionOwnerAddress(key string) string {
 	address, _ := mailbox.Call(c.mailbox, func() string {
-		owner, ok := c.replica.Owner(c.service.SessionShard(key))
+		owner, ok := c.replica.Owner(c.coordination.SessionShard(key))
 		if !ok || owner.Id == c.replica.Self().Id {
 			return ""
 		}
--- a/cmd/corkcove/core_discovery.go
+++ b/cmd/corkcove/core_discovery.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// Bounds of the time between two readings of the platform's list.
+	// Minimum and maximum of the interval between two reads of the platform's
+	// endpoint list.
 	minDiscoveryInterval = 300 * time.Millisecond
 	maxDiscoveryInterval = 2 * time.Second
-	// discoveryBackoff is the time after the first failed reading; it doubles
-	// with each further one.
+	// discoveryBackoff is the delay after the first failed read. It doubles with each
+	// consecutive failure.
 	discoveryBackoff = 100 * time.Millisecond
-	// discoveryTimeout bounds one call of the platform.
+	// discoveryTimeout limits one request to the platform's API.
 	discoveryTimeout = time.Second
 )
 
-// pollDiscovery reads the platform's list of endpoints, while this node is the
-// master, until ctx ends. The time between readings is a third of the drain
-// time, which leaves most of that for the view's way to the nodes.
+// pollDiscovery polls the platform's endpoint list while this node is the master,
+// until ctx is cancelled. The interval is a third of the drain time, which leaves
+// most of the drain time for publishing the view to the nodes.
 func (c *coreNode) pollDiscovery(ctx context.Context) {
 	platform := c.options.Platform.Cloud
 	client := discovery.New(discovery.Options{Address: platform.Address, RequestsPerSecond: platform.RequestsPerSecond, Log: c.log("discovery"),
@@ -52,7 +53,7 @@
 	}
 }
 
-// isActingMaster tells whether this node is the master and certain of its lease.
+// isActingMaster reports whether this node is the master and its lease is valid.
 func (c *coreNode) isActingMaster() bool {
 	isMaster, _ := mailbox.Call(c.master.Mailbox, c.master.IsMaster)
 	return isMaster && c.replica.HoldsMasterLease()
--- a/cmd/corkcove/core_node_test.go
+++ b/cmd/corkcove/core_node_test.go
@@ -21,34 +21,37 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// gatedLog syncs a record only when the test says so, once it is gated.
-type gatedLog struct {
-	mailbox *mailbox.Mailbox
-	gated   bool
-	pending []func(error)
+// deferredLog is a replication log that confirms records at once. While deferred is
+// set, it collects the confirmations in pending, for the test to call.
+type deferredLog struct {
+	mailbox  *mailbox.Mailbox
+	deferred bool
+	pending  []func(error)
 }
 
-func (l *gatedLog) Append(_ []byte, done func(error)) {
-	if l.gated {
+func (l *deferredLog) Append(_ []byte, done func(error)) {
+	if l.deferred {
 		l.pending = append(l.pending, done)
 		return
 	}
 	go l.mailbox.Post(func() { done(nil) })
 }
 
-func (l *gatedLog) Checkpoint(_ [][]byte, done func(error)) { l.Append(nil, done) }
+func (l *deferredLog) Checkpoint(_ [][]byte, done func(error)) { l.Append(nil, done) }
 
-// The nodes get a configuration once it is committed, though what was proposed
-// after it is not.
+// Guards against later entries delaying a configuration: the master must receive it
+// as soon as it is committed, even if an entry that was proposed after it (here a
+// view) is not. For that, onCommit must wait for the configuration's own entry, not
+// for the newest one.
 func TestMasterGetsCommittedConfigurationBeforeLaterEntriesCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
 		box := mailbox.New()
 		defer box.Close()
-		log := &gatedLog{mailbox: box}
+		log := &deferredLog{mailbox: box}
 		clients := rpc.NewClients(&http.Client{})
-		c := &coreNode{process: &process{ring: logring.New(100, time.Second, nil), traceRing: changetrace.NewRing(100), startedAt: start}, mailbox: box, service: coordination.NewService(box, shardCount), clients: clients}
+		c := &coreNode{process: &process{logRing: logring.New(100, time.Second, nil), traceRing: changetrace.NewRing(100), startedAt: start}, mailbox: box, coordination: coordination.NewService(box, shardCount), clients: clients}
 		c.master = clustercontroller.NewMaster(clustercontroller.Options{Now: now}, mailbox.New(), clients, c)
 		defer c.master.Mailbox.Close()
 		go c.master.Mailbox.Run(time.Hour, func() {})
@@ -59,32 +62,32 @@
 			NewStateMachine: func() replication.StateMachine { return coordination.NewTable(time.Minute) }, NewID: func() string { return "id" },
 			Now: now, Rand: func(int) int { return 0 }, OnOwnershipChange: c.onOwnershipChange, OnCommit: c.onCommit, OnEntryProgress: c.onEntryProgress}, nil, log, nil)
 		qt.Assert(t, err, qt.IsNil)
-		c.service.Replica = c.replica
+		c.coordination.Replica = c.replica
 		go box.Run(tickInterval, c.replica.Tick)
 		time.Sleep(3 * time.Second)
 
-		gate := func(on bool) { mailbox.Call(box, func() bool { log.gated = on; return on }) }
+		setDeferred := func(on bool) { mailbox.Call(box, func() bool { log.deferred = on; return on }) }
 		propose := func(b *meshpb.Blob) {
 			go func() {
-				_, _ = coordination.Transact(context.Background(), c.service, 0, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
+				_, _ = coordination.Transact(context.Background(), c.coordination, 0, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
 					return coordination.Decision[struct{}]{Change: &meshpb.Change{Blob: b}}
 				})
 			}()
 			synctest.Wait()
 		}
 		data, _ := proto.Marshal(&meshpb.Config{Version: 7, Packed: rpc.Pack([]byte("{}"))})
-		gate(true)
+		setDeferred(true)
 		propose(&meshpb.Blob{Name: controlapi.ConfigBlob, Version: 7, Data: data})
 		propose(&meshpb.Blob{Name: viewBlob, Version: 1})
-		inForce := func() uint64 {
+		masterConfigVersion := func() uint64 {
 			synctest.Wait()
 			v, _ := mailbox.Call(c.master.Mailbox, c.master.ConfigVersion)
 			return v
 		}
-		qt.Assert(t, inForce(), qt.Equals, uint64(0))
+		qt.Assert(t, masterConfigVersion(), qt.Equals, uint64(0))
 		n, _ := mailbox.Call(box, func() int { n := len(log.pending); log.pending[0](nil); return n })
 		qt.Assert(t, n, qt.Equals, 2)
-		qt.Assert(t, inForce(), qt.Equals, uint64(7))
+		qt.Assert(t, masterConfigVersion(), qt.Equals, uint64(7))
 		mailbox.Call(box, func() bool { log.pending[1](nil); return true })
 	})
 }
--- a/cmd/corkcove/core_stored.go
+++ b/cmd/corkcove/core_stored.go
@@ -16,28 +16,30 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// The names under which the controller's shard has the master's blobs. They are
-// stored on disk and never change.
+// The names of the master's blobs in the controller shard. They are stored on disk
+// and must not change.
 const (
 	viewBlob       = "view"
 	userStatesBlob = "users"
 )
 
-// SaveView stores a view before it is published: clustercontroller.ViewStore.
+// SaveView stores a view before it is published, and returns once it is committed. It
+// implements clustercontroller.ViewStore. After an error the view may or may not
+// have been committed.
 func (c *coreNode) SaveView(ctx context.Context, view *meshpb.View) error {
 	data, err := proto.Marshal(view)
 	if err != nil {
 		return err
 	}
 	blob := &meshpb.Blob{Name: viewBlob, Version: view.Version, Data: rpc.Pack(data)}
-	_, err = coordination.Transact(ctx, c.service, controllerShard, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
+	_, err = coordination.Transact(ctx, c.coordination, controllerShard, func(*coordination.Table, time.Duration) coordination.Decision[struct{}] {
 		return coordination.Decision[struct{}]{Change: &meshpb.Change{Blob: blob}}
 	})
 	return err
 }
 
-// decodeStoredView returns the last view; of one that can't be read, its version
-// alone.
+// decodeStoredView decodes a stored view. If the blob is nil, the view is empty; if
+// the data is invalid, the view contains only its version.
 func decodeStoredView(blob *meshpb.Blob) *meshpb.View {
 	view := &meshpb.View{}
 	if blob == nil {
@@ -50,26 +52,29 @@
 	return view
 }
 
-// storedVersions names the stored configuration and view, so that relays can
-// tell whether theirs are the same.
+// storedVersions returns the versions and digests of the stored configuration and
+// view. Relays use them to check that their replicas hold the same data.
 func storedVersions(state replication.StateMachine, viewEpoch uint64) *meshpb.StoredVersions {
 	config, view := state.Blob(controlapi.ConfigBlob), state.Blob(viewBlob)
 	return &meshpb.StoredVersions{ConfigVersion: config.GetVersion(), ConfigDigest: xxhash.Sum64(config.GetData()),
 		ViewVersion: view.GetVersion(), ViewEpoch: viewEpoch, ViewDigest: xxhash.Sum64(view.GetData())}
 }
 
-// hasStoredVersions tells whether a replica has reached the versions.
-func hasStoredVersions(state replication.StateMachine, versions *meshpb.StoredVersions) bool {
+// replicaHasVersions reports whether a replica holds exactly these versions of the
+// configuration and the view.
+func replicaHasVersions(state replication.StateMachine, versions *meshpb.StoredVersions) bool {
 	return state.Blob(controlapi.ConfigBlob).GetVersion() == versions.GetConfigVersion() && state.Blob(viewBlob).GetVersion() == versions.GetViewVersion()
 }
 
-// isStored tells whether a blob is the one that was named.
-func isStored(blob *meshpb.Blob, version, digest uint64) bool {
+// blobMatches reports whether a blob has the given version and digest. Version 0
+// means that there is no blob, and never matches.
+func blobMatches(blob *meshpb.Blob, version, digest uint64) bool {
 	return version > 0 && blob.GetVersion() == version && xxhash.Sum64(blob.Data) == digest
 }
 
-// readStoredPayloads returns what this member's replica of the controller's
-// shard has of what the master names.
+// readStoredPayloads returns the configuration and the view with the given versions
+// and digests from this member's replica of the controller shard. Those that the
+// replica does not hold are nil.
 func (c *coreNode) readStoredPayloads(versions *meshpb.StoredVersions) clustercontroller.StoredPayloads {
 	type blobs struct{ config, view *meshpb.Blob }
 	stored, _ := mailbox.Call(c.mailbox, func() blobs {
@@ -77,30 +82,30 @@
 		return blobs{state.Blob(controlapi.ConfigBlob), state.Blob(viewBlob)}
 	})
 	var payloads clustercontroller.StoredPayloads
-	if isStored(stored.config, versions.ConfigVersion, versions.ConfigDigest) {
+	if blobMatches(stored.config, versions.ConfigVersion, versions.ConfigDigest) {
 		config := &meshpb.Config{}
 		if proto.Unmarshal(stored.config.Data, config) == nil {
 			payloads.Config = config.Packed
 		}
 	}
-	if isStored(stored.view, versions.ViewVersion, versions.ViewDigest) {
+	if blobMatches(stored.view, versions.ViewVersion, versions.ViewDigest) {
 		if view := decodeStoredView(stored.view); view.Epoch > 0 && view.Epoch == versions.ViewEpoch {
-			// A view that can't be encoded is as good as none.
+			// If the view can't be marshaled, it counts as missing.
 			payloads.View, _ = proto.Marshal(view.ForNodes())
 		}
 	}
 	return payloads
 }
 
-// storedUserStates returns the user states by node; an unreadable blob is as
-// good as none.
+// storedUserStates returns the states that users set, by node name. It returns an
+// empty map if none are stored, and ignores data that can't be decoded.
 func storedUserStates(state replication.StateMachine) map[string]string {
-	users := &meshpb.UserStates{}
+	stored := &meshpb.UserStates{}
 	if blob := state.Blob(userStatesBlob); blob != nil {
-		_ = proto.Unmarshal(blob.Data, users)
+		_ = proto.Unmarshal(blob.Data, stored)
 	}
-	if users.States == nil {
+	if stored.States == nil {
 		return map[string]string{}
 	}
-	return users.States
+	return stored.States
 }
--- a/cmd/corkcove/doc.go
+++ b/cmd/corkcove/doc.go
@@ -1,15 +1,16 @@
-// Command corkcove is a service mesh and API gateway. One program has all the
-// roles:
+// Command corkcove is a service mesh and API gateway. A single binary contains
+// all roles:
 //
-//   - core (core*.go): keeps the control state. A core node has a replica of
-//     each shard of the control state, and the one that owns shard 0 is the
-//     master of the cluster.
-//   - sidecar and edge (sidecar.go, edge.go, on top of trafficnode.go): carry
-//     the traffic; a sidecar that of one endpoint, an edge that of clients.
-//   - the tools (status, trace, estimate, replay and others): ask the core and
-//     the nodes, print text or JSON, and end.
+//   - core (core*.go): the control plane. Each core node holds a replica of every
+//     shard of the control state. The node that owns shard 0 is the master of the
+//     cluster.
+//   - sidecar and edge (sidecar.go, edge.go, both based on trafficnode.go): the
+//     data plane. A sidecar proxies the traffic of one endpoint, an edge that of
+//     clients outside the mesh.
+//   - tools (status, trace, estimate, replay and others): query the core and the
+//     nodes, print text or JSON, and exit.
 //
-// Each command has a file of its own, which registers its flags and runs it;
-// commandline.go is what they share. Commands start what the packages under
-// internal offer and connect it; rules of the mesh don't belong here.
+// Each command has its own file, which registers its flags and runs it. Shared
+// command-line code is in commandline.go. Commands only create and connect the
+// components of the packages under internal; the logic of the mesh belongs there.
 package main
--- a/cmd/corkcove/listeners.go
+++ b/cmd/corkcove/listeners.go
@@ -8,7 +8,8 @@
 	"corkcove/internal/routeconfig"
 )
 
-// listenAll listens at each TCP address; after an error at none.
+// listenAll listens on all TCP addresses. If one fails, it closes the listeners
+// that are already open and returns the error.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	listeners := make([]net.Listener, 0, len(addresses))
 	for _, address := range addresses {
@@ -24,25 +25,26 @@
 	return listeners, nil
 }
 
-// serve answers a listener's connections until the process ends; before that it
-// ends only if the listener is closed, which nobody does.
+// serve starts serving the listener in the background. Serving ends only with the
+// process, because no listener is ever closed.
 func serve(server *http.Server, listener net.Listener) {
 	go func() { _ = server.Serve(listener) }()
 }
 
-// limitedListener serves a listener with the limits of the configuration. New
-// connections go to a server made for the limits in force; open ones keep
-// theirs.
+// limitedListener serves a listener with the limits of the configuration. The
+// limits of an http.Server are fixed, so each change of the limits creates a new
+// server for new connections. Open connections keep the limits that they were
+// accepted with.
 type limitedListener struct {
 	listener net.Listener
 	handler  http.Handler
 
 	mu      sync.Mutex
 	limits  routeconfig.Limits
-	current *handoffListener
+	current *channelListener
 }
 
-// newLimitedListener begins to accept connections, with the default limits.
+// newLimitedListener starts accepting connections, with the default limits.
 func newLimitedListener(listener net.Listener, handler http.Handler) *limitedListener {
 	l := &limitedListener{listener: listener, handler: handler}
 	l.setLimits(routeconfig.DefaultLimits())
@@ -50,6 +52,8 @@
 	return l
 }
 
+// acceptLoop passes each new connection to the current server until the listener
+// is closed.
 func (l *limitedListener) acceptLoop() {
 	for {
 		connection, err := l.listener.Accept()
@@ -63,7 +67,7 @@
 	}
 }
 
-// setLimits starts a server for connections that are accepted from now on.
+// setLimits applies the limits to connections that are accepted from now on.
 func (l *limitedListener) setLimits(limits routeconfig.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,23 +75,23 @@
 		return
 	}
 	l.limits = limits
-	l.current = &handoffListener{connections: make(chan net.Conn), address: l.listener.Addr()}
+	l.current = &channelListener{connections: make(chan net.Conn), address: l.listener.Addr()}
 	serve(&http.Server{Handler: l.handler, MaxHeaderBytes: limits.MaxHeaderBytes, ReadHeaderTimeout: limits.HeaderTimeout, IdleTimeout: limits.IdleTimeout}, l.current)
 }
 
-// handoffListener is the net.Listener of a server whose connections another
-// goroutine accepts. It is never closed: the server serves its connections as
-// long as they last.
-type handoffListener struct {
+// channelListener is a net.Listener that receives already accepted connections from
+// another goroutine. It is never closed, so that its server continues to serve the
+// connections that are still open.
+type channelListener struct {
 	connections chan net.Conn
 	address     net.Addr
 }
 
-// Accept waits for the next connection.
-func (l *handoffListener) Accept() (net.Conn, error) { return <-l.connections, nil }
+// Accept waits for the next connection. It never returns an error.
+func (l *channelListener) Accept() (net.Conn, error) { return <-l.connections, nil }
 
-// Close does nothing.
-func (l *handoffListener) Close() error { return nil }
+// Close does nothing and returns nil.
+func (l *channelListener) Close() error { return nil }
 
-// Addr is the address at which the connections are accepted.
-func (l *handoffListener) Addr() net.Addr { return l.address }
+// Addr returns the address on which the connections are accepted.
+func (l *channelListener) Addr() net.Addr { return l.address }
--- a/cmd/corkcove/main.go
+++ b/cmd/corkcove/main.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// version is the release.
+// version is the version number of this release.
 var version = "0.1.0"
 
 func main() {
@@ -16,7 +16,7 @@
 	}
 }
 
-// roleError is the error that ends a process of a role.
+// roleError is an error that made the process of a role exit.
 type roleError struct {
 	role string
 	err  error
@@ -26,23 +26,24 @@
 
 func (e *roleError) Unwrap() error { return e.err }
 
-// checkError has what is wrong with a checked file, one line for each finding.
+// checkError holds the problems that a check found in a file, one per line.
 type checkError struct{ err error }
 
 func (e *checkError) Error() string { return e.err.Error() }
 
 func (e *checkError) Unwrap() error { return e.err }
 
-// errorOutput is what is written to standard error: findings of a check as they
-// are, for scripts that read them, and other errors after the program's name.
+// errorOutput formats an error for standard error. The findings of a check are
+// printed unchanged because scripts parse them; other errors are prefixed with the
+// program's name.
 func errorOutput(err error) string {
-	var finding *checkError
-	if errors.As(err, &finding) {
-		return finding.Error()
+	var checkErr *checkError
+	if errors.As(err, &checkErr) {
+		return checkErr.Error()
 	}
-	var ended *roleError
-	if errors.As(err, &ended) {
-		return "corkcove " + ended.Error()
+	var roleErr *roleError
+	if errors.As(err, &roleErr) {
+		return "corkcove " + roleErr.Error()
 	}
 	return "corkcove: " + err.Error()
 }
--- a/cmd/corkcove/process.go
+++ b/cmd/corkcove/process.go
@@ -17,7 +17,7 @@
 	"corkcove/internal/settings"
 )
 
-// The roles of a process, as the settings and the nodes' answers name them.
+// The roles of a process, as named in the settings and in the responses of nodes.
 const (
 	roleSidecar = "sidecar"
 	roleCore    = "core"
@@ -25,33 +25,33 @@
 )
 
 const (
-	// logEntries is how many log entries are kept until something goes wrong and
-	// they are written out.
-	logEntries = 256
-	// logFlushInterval is the least time between two writings of them.
+	// logCapacity is the number of log entries that are kept in memory. They are
+	// written out only when an error occurs.
+	logCapacity = 256
+	// logFlushInterval is the minimum time between two flushes of these entries.
 	logFlushInterval = 5 * time.Second
-	// traceEvents is how many steps of changes each process remembers.
-	traceEvents = 1024
-	// seedReloadInterval is how often the seeds are read anew while the process
-	// has not found the core.
+	// traceCapacity is the number of trace events that each process keeps.
+	traceCapacity = 1024
+	// seedReloadInterval is how often the seeds are reloaded while the process has
+	// not found the core.
 	seedReloadInterval = 2 * time.Second
 )
 
-// process is what each role has: settings, log, trace and clock. It is made
-// before any goroutine of the role starts; after that only the goroutine of
-// waitForStop changes options.
+// process holds what all roles need: settings, log, trace and clock. It is created
+// before the role starts any goroutine. Afterwards, only the goroutine that runs
+// waitForStop modifies options.
 type process struct {
 	settingsFile string
 	role         string
 	options      settings.Options
-	ring         *logring.Ring
+	logRing      *logring.Ring
 	traceRing    *changetrace.Ring
 	startedAt    time.Time
 }
 
-// runRole loads the settings of a role and runs it until it ends.
+// runRole loads the settings of a role and runs the role until it exits.
 func runRole(role string, global *globalOptions, run func(*process) error) error {
-	// The machine runs other processes too: one processor is all that this may take.
+	// Other processes share the machine, so this one uses a single processor.
 	runtime.GOMAXPROCS(1)
 	p, err := newProcess(role, global)
 	if err != nil {
@@ -61,12 +61,14 @@
 	log.SetOutput(io.Discard)
 	klog.LogToStderr(true)
 	if err := run(p); err != nil {
-		p.ring.Flush("corkcove " + role + " ends: " + err.Error())
+		p.logRing.Flush("corkcove " + role + " ends: " + err.Error())
 		return &roleError{role, err}
 	}
 	return nil
 }
 
+// newProcess loads the settings, from the default path if the command line names
+// none, and creates the log and the trace.
 func newProcess(role string, global *globalOptions) (*process, error) {
 	file := global.settingsFile
 	if file == "" {
@@ -80,58 +82,59 @@
 	if global.verbose {
 		observer = logring.WriteNow
 	}
-	return &process{settingsFile: file, role: role, options: options, ring: logring.New(logEntries, logFlushInterval, observer),
-		traceRing: changetrace.NewRing(traceEvents), startedAt: time.Now()}, nil
+	return &process{settingsFile: file, role: role, options: options, logRing: logring.New(logCapacity, logFlushInterval, observer),
+		traceRing: changetrace.NewRing(traceCapacity), startedAt: time.Now()}, nil
 }
 
-// limitMemory makes the collector work harder from 60% of the memory that the
-// settings allow, which leaves room for what it doesn't count.
+// limitMemory sets the Go runtime's soft memory limit to 60% of the memory that the
+// settings allow. The rest is headroom for memory that the limit does not count.
 func (p *process) limitMemory() {
 	if megabytes := p.options.Self.Limits.MemoryMB; megabytes > 0 {
 		debug.SetMemoryLimit(megabytes << 20 * 6 / 10)
 	}
 }
 
-// now is the time since the process was started.
+// now returns the time since the process started.
 func (p *process) now() time.Duration { return time.Since(p.startedAt) }
 
-// log returns the logger of a component.
-func (p *process) log(component string) logring.Logger { return p.ring.Logger(component) }
+// log returns the logger for a component.
+func (p *process) log(component string) logring.Logger { return p.logRing.Logger(component) }
 
-// trace remembers a step of a change for the trace command.
+// trace records a step of a change, for the trace command, and logs it.
 func (p *process) trace(kind, action string, epoch, version uint64) {
 	p.traceRing.Add(changetrace.Event{Time: time.Now(), Action: action, Kind: kind, Version: version, Epoch: epoch})
 	p.log("trace").Info("change progressed", "kind", kind, "version", version, "step", action, "epoch", epoch)
 }
 
-// reloadSettings reads the settings file anew; a wrong one leaves the old
-// settings in force.
+// reloadSettings reloads the settings file and stores its seeds in options. Changes
+// of other settings need a restart. If the file is invalid, the current settings
+// remain in effect.
 func (p *process) reloadSettings() {
 	options, err := settings.Load(p.settingsFile, p.role)
 	if err != nil {
 		p.log("settings").Warn("failed to reload settings", "error", err)
-		p.ring.Flush("settings not reloaded")
+		p.logRing.Flush("settings not reloaded")
 		return
 	}
 	p.options.Network.Seeds = options.Network.Seeds
 	p.log("settings").Info("reloaded settings")
 }
 
-// reloadSeeds reads the settings, which may change without a signal, anew as
-// long as this process looks for the core, and hands them to use. It doesn't
-// return.
-func (p *process) reloadSeeds(searching func() bool, use func(settings.Options)) {
+// reloadSeeds reloads the settings periodically while searching reports that this
+// process has not found the core, and passes them to apply. The file may change
+// without a SIGHUP. It never returns.
+func (p *process) reloadSeeds(searching func() bool, apply func(settings.Options)) {
 	for range time.Tick(seedReloadInterval) {
 		if !searching() {
 			continue
 		}
 		if options, err := settings.Load(p.settingsFile, p.role); err == nil {
-			use(options)
+			apply(options)
 		}
 	}
 }
 
-// waitForStop returns at SIGTERM or SIGINT; SIGHUP reloads the settings.
+// waitForStop blocks until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func (p *process) waitForStop() {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
