--- a/cmd/corkcove/edge.go
+++ b/cmd/corkcove/edge.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// failureReportInterval is how often an edge tells the master which endpoints
-	// fail.
+	// failureReportInterval is how often an edge reports failing endpoints to the
+	// master.
 	failureReportInterval = 500 * time.Millisecond
-	// preferredEndpoints is how many endpoints of a service an edge prefers, so
-	// that not each edge keeps connections to all.
+	// preferredEndpoints is the size of the subset of a service's endpoints in its
+	// zone that an edge prefers. Subsetting avoids connections from every edge to every
+	// endpoint.
 	preferredEndpoints = 24
-	// edgeMaxLinger is how long an edge serves on without requests after it was
-	// told to end.
+	// edgeMaxLinger limits how long an edge without requests in flight continues to
+	// serve after it was told to stop.
 	edgeMaxLinger = 3 * time.Second
 )
 
 func registerEdge(c *commandLine) {
-	command := c.app.Command(roleEdge, "Carry the traffic of clients to the endpoints that the platform lists.")
+	command := c.app.Command(roleEdge, "Run the gateway, which routes client requests to the endpoints listed by the platform.")
 	c.handle(command, func() error { return runRole(roleEdge, &c.global, runEdge) })
 }
 
-// runEdge runs the gateway: the outbound chain in front of endpoints that it
-// calls itself.
+// runEdge runs the gateway until the process is told to stop. Its outbound chain calls
+// the endpoints directly, without sidecars in front of them.
 func runEdge(p *process) error {
 	options := p.options
 	listeners, err := listenAll(options.InternalAddr(), options.Network.Listen.Ingress, options.Network.Listen.Ready)
@@ -59,8 +60,8 @@
 	return proxy.NewOutbound(options)
 }
 
-// reportFailures tells the master which endpoints fail, since they have no
-// sidecars that would. It doesn't return.
+// reportFailures reports failing endpoints to the master periodically, because these
+// endpoints have no sidecars that report their failures. It never returns.
 func reportFailures(node *trafficNode) {
 	for range time.Tick(failureReportInterval) {
 		reports := node.balancer.FailureReports()
--- a/cmd/corkcove/endpointprobe.go
+++ b/cmd/corkcove/endpointprobe.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// probeTimeout bounds one call of the endpoint's health check.
+	// probeTimeout limits one request to the endpoint's health check.
 	probeTimeout = 400 * time.Millisecond
-	// probeInterval is the time between two looks whether a probe is possible.
-	probeInterval = 20 * time.Millisecond
-	// maxProbes bounds the calls.
+	// probePollInterval is how often the preconditions of a probe are checked.
+	probePollInterval = 20 * time.Millisecond
+	// maxProbes limits the number of requests.
 	maxProbes = 3
-	// instanceHeader has the id of the endpoint that answers.
+	// instanceHeader is the response header with the ID of the endpoint.
 	instanceHeader = "X-Instance-Id"
 )
 
-// probeKnownEndpoint asks the endpoint who it is, when this process has started
-// beside one that runs already, rather than wait for its next heartbeat. It
-// needs the routes and, from the master, the endpoint that was here last.
+// probeKnownEndpoint detects an endpoint that was already running when this process
+// started, without waiting for the endpoint's next heartbeat: it probes the health
+// check and compares the returned ID with the endpoint that the master last knew at
+// this node. It waits for the routes, which contain the health check's path, and for
+// the master to name that endpoint. It gives up after maxProbes probes, one heartbeat
+// interval, or a response with another ID.
 func (s *sidecar) probeKnownEndpoint() {
 	client := &http.Client{Transport: s.endpointTransport, Timeout: probeTimeout}
 	deadline := time.Now().Add(settings.Seconds(s.options.Platform.HeartbeatSeconds))
 	for probes := 0; probes < maxProbes && time.Now().Before(deadline) && !s.endpoint.Status().Known; {
-		time.Sleep(probeInterval)
+		time.Sleep(probePollInterval)
 		routes, last := s.routes.Load(), s.agent.LastEndpoint()
 		if routes == nil || last.GetId() == "" || last.Service != s.options.Self.ServiceName {
 			continue
@@ -48,7 +51,8 @@
 	}
 }
 
-// probe returns the id of the endpoint if it is healthy.
+// probe calls the health check at path. ok means status 200; id is the ID in the
+// response.
 func (s *sidecar) probe(client *http.Client, path string) (id string, ok bool) {
 	response, err := sling.New().Client(client).Get("http://" + s.options.Self.AppAddr + path).ReceiveSuccess(nil)
 	if err != nil || response == nil || response.StatusCode != http.StatusOK {
--- a/cmd/corkcove/sessionpins.go
+++ b/cmd/corkcove/sessionpins.go
@@ -15,34 +15,38 @@
 )
 
 const (
-	// pinCallTimeout bounds one call to a core node for a session's pin.
+	// pinCallTimeout limits one PinSession call to a core node.
 	pinCallTimeout = 250 * time.Millisecond
-	// maxPinCalls bounds the core nodes that are asked, and pinTimeout all calls.
+	// maxPinCalls limits the number of calls for one session, and pinTimeout their
+	// total time.
 	maxPinCalls = 4
 	pinTimeout  = 3 * pinCallTimeout
-	// sessionMoveDelay is how long an endpoint must be gone before its sessions move.
+	// sessionMoveDelay is how long an endpoint must be gone before its sessions are
+	// moved to other endpoints.
 	sessionMoveDelay = 300 * time.Millisecond
-	// pinRefreshesPerIdle is how often a pin in use is refreshed in the time after
-	// which an idle one ends.
+	// pinRefreshesPerIdle is how many times a pin in use is refreshed within the idle
+	// timeout.
 	pinRefreshesPerIdle = 8
 )
 
-var errNoCoreAnswered = errors.New("no core node answered")
+var errNoPinResponse = errors.New("no core node returned a pin for the session")
 
-// pinClient asks the core for the endpoints of sessions. Any goroutine may call
-// it.
+// pinClient requests the endpoints of sessions from the core. It is safe for
+// concurrent use.
 type pinClient struct {
 	clients *rpc.Clients
 	agent   *nodeagent.Agent
 
 	mu sync.Mutex
-	// lastAnswered has the core node that answered last for keys with this first
-	// byte: very likely the owner of their shard.
-	lastAnswered map[byte]string
+	// lastResponder maps the first byte of session keys to the address of the core
+	// node that last returned a pin for such a key. It is a hint at which node owns
+	// the shard of these keys.
+	lastResponder map[byte]string
 }
 
+// newSessions returns the sessions of a node, which are pinned by the core.
 func newSessions(p *process, clients *rpc.Clients, agent *nodeagent.Agent) *affinity.Sessions {
-	client := &pinClient{clients: clients, agent: agent, lastAnswered: map[byte]string{}}
+	client := &pinClient{clients: clients, agent: agent, lastResponder: map[byte]string{}}
 	idle := settings.Seconds(p.options.Affinity.IdleSeconds)
 	return affinity.New(affinity.Options{Pin: client.pin, Now: time.Now, ConfigVersion: agent.ConfigVersion, MoveDelay: sessionMoveDelay,
 		RefreshInterval: idle / pinRefreshesPerIdle, IdleTimeout: idle, MaxSessions: p.options.Affinity.MaxSessions,
@@ -51,13 +55,14 @@
 		}})
 }
 
-// pin asks the core node that answered last and then the others; one that knows
-// the owner is followed. After an error nothing is known: the session may have
-// been pinned.
+// pin requests the pin of a session from the core node that last returned one for a
+// key with the same first byte, and then from the others. If a core node names the
+// owner of the session's shard, the owner is called next. After an error the outcome
+// is unknown: the session may have been pinned. The request's key must not be empty.
 func (c *pinClient) pin(ctx context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
-	group := request.Key[0]
+	keyPrefix := request.Key[0]
 	addresses := c.agent.CoreAddresses()
-	if last := c.last(group); last != "" {
+	if last := c.lastResponderFor(keyPrefix); last != "" {
 		addresses = append([]string{last}, addresses...)
 	}
 	ctx, cancel := context.WithTimeout(ctx, pinTimeout)
@@ -69,29 +74,31 @@
 		switch {
 		case err != nil:
 		case response.Ok:
-			c.remember(group, address)
+			c.setLastResponder(keyPrefix, address)
 			return response, nil
 		case response.OwnerAddr != "":
 			addresses = append([]string{response.OwnerAddr}, addresses...)
 		}
 	}
-	return nil, errNoCoreAnswered
+	return nil, errNoPinResponse
 }
 
+// call sends one request to the core node at address, under pinCallTimeout.
 func (c *pinClient) call(ctx context.Context, address string, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, pinCallTimeout)
 	defer cancel()
 	return c.clients.Control(address).PinSession(ctx, request)
 }
 
-func (c *pinClient) last(group byte) string {
+// lastResponderFor returns the address to try first, or "" if none is known.
+func (c *pinClient) lastResponderFor(keyPrefix byte) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lastAnswered[group]
+	return c.lastResponder[keyPrefix]
 }
 
-func (c *pinClient) remember(group byte, address string) {
+func (c *pinClient) setLastResponder(keyPrefix byte, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastAnswered[group] = address
+	c.lastResponder[keyPrefix] = address
 }
--- a/cmd/corkcove/sidecar.go
+++ b/cmd/corkcove/sidecar.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// missedHeartbeats is how many heartbeats an endpoint may miss.
-	missedHeartbeats = 3
-	// queuePerSlot is how many requests may wait for each slot of the endpoint.
+	// maxMissedHeartbeats is the number of consecutive heartbeats that an endpoint may
+	// miss.
+	maxMissedHeartbeats = 3
+	// queuePerSlot is how many requests may be queued per slot of the endpoint.
 	queuePerSlot = 1.5
-	// endpointTickInterval is how often the endpoint's heartbeats are checked.
+	// endpointTickInterval is how often the sidecar checks for missed heartbeats.
 	endpointTickInterval = 250 * time.Millisecond
-	// inboundBufferBytes is the most that is kept of a response's body.
-	inboundBufferBytes = 64 << 10
-	// inboundIdleTimeout ends idle connections of other nodes.
+	// maxInboundBuffer is how many bytes of a response body the inbound chain buffers.
+	maxInboundBuffer = 64 << 10
+	// inboundIdleTimeout is the idle timeout for connections from other nodes.
 	inboundIdleTimeout = 2 * time.Minute
-	// sidecarMaxLinger is how long a sidecar serves on without requests after it
-	// was told to end.
+	// sidecarMaxLinger limits how long a sidecar without requests in flight continues
+	// to serve after it was told to stop.
 	sidecarMaxLinger = 2500 * time.Millisecond
 )
 
 func registerSidecar(c *commandLine) {
-	command := c.app.Command(roleSidecar, "Carry the traffic of the endpoint on this machine.")
+	command := c.app.Command(roleSidecar, "Run the sidecar proxy for the endpoint on this machine.")
 	c.handle(command, func() error { return runRole(roleSidecar, &c.global, runSidecar) })
 }
 
-// sidecarListeners are all addresses of a sidecar.
+// sidecarListeners holds the listeners of a sidecar.
 type sidecarListeners struct {
 	internal, inbound, outbound, ready, control net.Listener
 }
@@ -51,17 +52,18 @@
 	return sidecarListeners{internal: l[0], inbound: l[1], outbound: l[2], ready: l[3], control: l[4]}, nil
 }
 
-// sidecar is a traffic node with an endpoint beside it.
+// sidecar is a traffic node that also proxies requests to the endpoint on its machine.
 type sidecar struct {
 	*trafficNode
 	endpoint *endpointagent.Agent
 	pacer    *proxy.Pacer
-	// endpointTransport reaches the endpoint.
+	// endpointTransport is the HTTP transport for requests to the endpoint.
 	endpointTransport *http.Transport
 	inbound           *proxy.Inbound
 	outbound          *proxy.Outbound
 }
 
+// runSidecar runs a sidecar until the process is told to stop.
 func runSidecar(p *process) error {
 	listeners, err := listenSidecar(p.options)
 	if err != nil {
@@ -95,13 +97,13 @@
 		endpointTransport: rpc.Transport(300*time.Millisecond, 0, 4*time.Second, 64),
 	}
 	s.endpoint = endpointagent.New(endpointagent.Options{Service: self.ServiceName, HeartbeatInterval: settings.Seconds(p.options.Platform.HeartbeatSeconds),
-		MissedHeartbeats: missedHeartbeats, QueuePerSlot: queuePerSlot, Log: p.log("endpointagent"), OnChange: s.reportEndpoint})
+		MissedHeartbeats: maxMissedHeartbeats, QueuePerSlot: queuePerSlot, Log: p.log("endpointagent"), OnChange: s.reportEndpoint})
 	s.inbound = s.newInbound()
 	s.outbound = s.newOutbound()
 	return s
 }
 
-// reportEndpoint tells the master the endpoint's status.
+// reportEndpoint reports the endpoint's status to the master.
 func (s *sidecar) reportEndpoint(status endpointagent.Status) {
 	self := s.options.Self
 	s.agent.UpdateState(func(state *meshpb.NodeState) {
@@ -114,7 +116,7 @@
 func (s *sidecar) newInbound() *proxy.Inbound {
 	self := s.options.Self
 	return proxy.NewInbound(proxy.InboundOptions{AppAddr: self.AppAddr, LinkMbps: self.Limits.LinkMbps, Pacer: s.pacer, Agent: s.endpoint,
-		AppClient: proxy.NewAppClient(s.endpointTransport, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), BufferLimit: inboundBufferBytes})
+		AppClient: proxy.NewAppClient(s.endpointTransport, rpc.Transport(300*time.Millisecond, 0, time.Second, 1)), BufferLimit: maxInboundBuffer})
 }
 
 func (s *sidecar) newOutbound() *proxy.Outbound {
@@ -125,14 +127,15 @@
 	return proxy.NewOutbound(options)
 }
 
-// checkHeartbeats looks for missed heartbeats. It doesn't return.
+// checkHeartbeats checks for missed heartbeats periodically. It never returns.
 func (s *sidecar) checkHeartbeats() {
 	for range time.Tick(endpointTickInterval) {
 		s.endpoint.Tick()
 	}
 }
 
-// stopInbound ends the admission of requests to the endpoint.
+// stopInbound stops admitting requests to the endpoint, and reports the node as
+// stopping.
 func (s *sidecar) stopInbound() {
 	s.endpoint.Stop()
 	s.agent.UpdateState(func(state *meshpb.NodeState) { state.State = string(lifecycle.Stopping) })
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -22,42 +22,47 @@
 )
 
 const (
-	// remoteWeight is how much slower an endpoint of another zone counts, and
-	// bulkWeight how much slower for bulk requests.
+	// remoteWeight is the factor by which the load balancer multiplies the score of an
+	// endpoint in another zone (a lower score is better), and bulkWeight the factor for
+	// bulk requests.
 	remoteWeight = 2.2
 	bulkWeight   = 5
 
-	// registerInterval is how often a node tries to register at first.
+	// registerInterval is the initial interval between attempts to register. It grows
+	// while registration fails.
 	registerInterval = 120 * time.Millisecond
-	// registerAfter is how long no master may have polled a node before it
-	// registers anew.
-	registerAfter = 2400 * time.Millisecond
-
-	// outboundBufferBytes is the most that is kept of a body on the way out.
-	outboundBufferBytes = 256 << 10
-	// deadlineMargin is how much sooner than the client's deadline an endpoint has
-	// to answer.
+	// reregisterAfter is how long a node waits for a poll of a master before it
+	// registers again.
+	reregisterAfter = 2400 * time.Millisecond
+
+	// maxOutboundBuffer is how many bytes of a body the outbound chain buffers.
+	maxOutboundBuffer = 256 << 10
+	// deadlineMargin is how much earlier than the client's deadline an endpoint must
+	// respond.
 	deadlineMargin = 3 * time.Millisecond
 
-	// hotKeyReportInterval is how often the rates of keys are looked at.
+	// hotKeyReportInterval is how often the read rates of keys are checked.
 	hotKeyReportInterval = time.Second
-	// hotKeyGrowth is by how much a key's rate must have grown to be told at once.
-	hotKeyGrowth = 1.5
+	// hotKeyGrowthFactor is the growth of a key's rate since the last report above
+	// which it is reported immediately.
+	hotKeyGrowthFactor = 1.5
 
-	// internalIdleTimeout ends idle connections from other processes of the mesh:
-	// longer than these keep them, so that they close them first.
+	// internalIdleTimeout is the idle timeout for connections from other processes of
+	// the mesh. It is longer than the idle timeout of their clients, so that the
+	// clients close connections first.
 	internalIdleTimeout = 3 * time.Minute
-	// externalIdleTimeout ends idle connections of callers outside the mesh: the
-	// platform, endpoints, operators.
+	// externalIdleTimeout is the idle timeout for connections from callers outside the
+	// mesh: the platform, endpoints and operators.
 	externalIdleTimeout = time.Minute
 
+	// readinessPath is the URL path of the platform's readiness probe.
 	readinessPath = "/-/readiness"
 )
 
-// trafficNode is what a sidecar and an edge have in common: the node's agent,
-// which hears of views and configurations from the master, and what the outbound
-// chain is made of. Its fields are set before any of its goroutines starts;
-// routes and stopping are atomic, the others guard themselves.
+// trafficNode contains what sidecars and edges have in common: the node agent, which
+// receives views and configurations from the master, and the components of the
+// outbound chain. The fields are set before the goroutines that use them start.
+// routes and stopping are atomic; the other components are safe for concurrent use.
 type trafficNode struct {
 	*process
 	agent       *nodeagent.Agent
@@ -68,16 +73,16 @@
 	keyMeter    *hotkeys.Meter
 	// routes is the compiled configuration in force.
 	routes atomic.Pointer[routeconfig.Table]
-	// stopping is set once the process has been told to end.
+	// stopping is set when the process is told to stop.
 	stopping atomic.Bool
 }
 
-// newTrafficNode starts the node's agent. The state has what only this role says
-// of itself.
+// newTrafficNode creates a traffic node and initializes its agent. The caller sets in
+// state what is specific to its role; the common fields are added here.
 func newTrafficNode(p *process, balancer *loadbalancer.Balancer, state *meshpb.NodeState) *trafficNode {
 	options, bounds := p.options, p.options.Requirements.Bounds
 	clients := rpc.NewClients(&http.Client{Transport: rpc.Transport(300*time.Millisecond, 2*time.Second, 90*time.Second, 4)})
-	agent := &nodeagent.Agent{Clients: clients, Seeds: options.SeedInternalAddrs(), Incarnation: newID(), Name: options.Self.NodeName, RegisterAfter: registerAfter,
+	agent := &nodeagent.Agent{Clients: clients, Seeds: options.SeedInternalAddrs(), Incarnation: newID(), Name: options.Self.NodeName, RegisterAfter: reregisterAfter,
 		Now: p.now, Log: p.log("nodeagent"), Trace: p.trace}
 	state.Name, state.Incarnation, state.Addr, state.Zone = options.Self.NodeName, agent.Incarnation, options.InternalAddr(), options.Self.ZoneName
 	state.State = string(lifecycle.Up)
@@ -95,7 +100,8 @@
 	return n
 }
 
-// newRequestLog returns nil, which keeps no record, if the settings say so.
+// newRequestLog returns the recorder of requests, or nil, which records nothing, if
+// the settings disable it.
 func newRequestLog(s settings.RequestLog) *requestlog.Recorder {
 	if s.MaxRequests == 0 {
 		return nil
@@ -103,20 +109,20 @@
 	return requestlog.New(s.MaxRequests, settings.Seconds(s.RetentionSeconds), time.Now)
 }
 
-// outboundOptions are what both roles' outbound chains have.
+// outboundOptions returns the options that the outbound chains of both roles share.
 func (n *trafficNode) outboundOptions() proxy.OutboundOptions {
 	return proxy.OutboundOptions{Balancer: n.balancer, Routes: &n.routes, RetryBudget: n.retryBudget, Sessions: n.sessions, RequestLog: n.requestLog,
-		KeyMeter: n.keyMeter, Ready: n.agent.Ready, Log: n.log("outbound"), BufferLimit: outboundBufferBytes, DeadlineMargin: deadlineMargin}
+		KeyMeter: n.keyMeter, Ready: n.agent.Ready, Log: n.log("outbound"), BufferLimit: maxOutboundBuffer, DeadlineMargin: deadlineMargin}
 }
 
-// serveOutbound passes requests to the outbound chain, under the limits of the
+// serveOutbound serves the listener with the outbound chain. The limits follow the
 // configurations that the agent applies from now on.
 func (n *trafficNode) serveOutbound(listener net.Listener, outbound *proxy.Outbound) {
 	limited := newLimitedListener(listener, outbound)
 	n.applyConfigs(limited.setLimits)
 }
 
-// serveInternal answers the master, its relays and the tools.
+// serveInternal serves the RPCs of the master, its relays and the tools.
 func (n *trafficNode) serveInternal(listener net.Listener, flows *proxy.FlowMeter, preferredEndpoints uint32) {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, meshpb.NewNodeServer(n.agent))
@@ -124,12 +130,14 @@
 	serve(&http.Server{Handler: mux, IdleTimeout: internalIdleTimeout}, listener)
 }
 
-// serveReadiness tells the platform whether the node takes requests.
+// serveReadiness serves the readiness probe of the platform.
 func (n *trafficNode) serveReadiness(listener net.Listener) {
 	handler := readinessHandler(func() bool { return !n.stopping.Load() && n.agent.Ready() })
 	serve(&http.Server{Handler: handler, IdleTimeout: externalIdleTimeout}, listener)
 }
 
+// readinessHandler responds to readiness probes with 200 if ready returns true, and
+// 503 otherwise.
 func readinessHandler(ready func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -143,16 +151,16 @@
 	})
 }
 
-// runAgent registers the node with the master and reports hot keys until ctx
-// ends.
+// runAgent starts goroutines that register the node with the master and report hot
+// keys. They end when ctx is cancelled.
 func (n *trafficNode) runAgent(ctx context.Context) {
 	go n.agent.Run(ctx, registerInterval)
 	go n.reportHotKeys(ctx)
 }
 
-// reportHotKeys tells the master which keys this node reads most. New or more
-// reads go at once, fewer with the next poll. A node without such routes does
-// nothing.
+// reportHotKeys reports to the master which keys this node reads most. New keys and
+// increased rates are reported immediately, other changes with the next poll. Without
+// routes that define a hot key, there is nothing to report.
 func (n *trafficNode) reportHotKeys(ctx context.Context) {
 	ticker := time.NewTicker(hotKeyReportInterval)
 	defer ticker.Stop()
@@ -171,7 +179,7 @@
 		current := map[uint64]float64{}
 		for _, rate := range rates {
 			current[rate.Key] = rate.PerS
-			if rate.PerS > hotKeyGrowth*reported[rate.Key] {
+			if rate.PerS > hotKeyGrowthFactor*reported[rate.Key] {
 				update = n.agent.UpdateState
 			}
 		}
@@ -180,15 +188,16 @@
 	}
 }
 
-// waitForStop returns once the process has been told to end; the node is no
-// longer ready then.
+// waitForStop blocks until the process is told to stop, and then makes the node not
+// ready.
 func (n *trafficNode) waitForStop() {
 	n.process.waitForStop()
 	n.stopping.Store(true)
 }
 
-// shutdown has what both roles' shutdowns have. The node serves on for at least
-// half of its grace time, but no longer than maxLinger if nothing runs.
+// shutdown returns the graceful shutdown that both roles share. The node continues to
+// serve for half of the grace period, but at most for maxLinger. After that it
+// continues only while requests are in flight.
 func (n *trafficNode) shutdown(outbound *proxy.Outbound, maxLinger time.Duration) proxy.Shutdown {
 	grace := settings.Seconds(n.options.Requirements.Bounds.GraceSeconds)
 	return proxy.Shutdown{Grace: grace, Linger: min(grace/2, maxLinger), Outbound: outbound}
