--- a/cmd/corkcove/core_control.go
+++ b/cmd/corkcove/core_control.go
@@ -126,8 +126,8 @@
 	return address
 }
 
-// RegisterNode registers a traffic node if this node is the master. In any case it
-// returns the core's membership and, from other nodes, the master's address.
+// RegisterNode registers a traffic node if this node is the master. Otherwise it
+// returns the master's address. It always returns the core's membership.
 func (c *coreNode) RegisterNode(_ context.Context, request *meshpb.RegisterNodeRequest) (*meshpb.RegisterNodeResponse, error) {
 	response, _ := mailbox.Call(c.master.Mailbox, func() *meshpb.RegisterNodeResponse {
 		last, isMaster := c.master.RegisterNode(request.Node)
--- a/cmd/corkcove/trafficnode.go
+++ b/cmd/corkcove/trafficnode.go
@@ -159,8 +159,9 @@
 }
 
 // reportHotKeys reports to the master which keys this node reads most. New keys and
-// increased rates are reported immediately, other changes with the next poll. Without
-// routes that define a hot key, there is nothing to report.
+// rates that grew by more than hotKeyGrowthFactor are reported immediately, other
+// changes with the next poll. Without routes that define a hot key, there is nothing
+// to report.
 func (n *trafficNode) reportHotKeys(ctx context.Context) {
 	ticker := time.NewTicker(hotKeyReportInterval)
 	defer ticker.Stop()
