--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -218,12 +218,12 @@
 		r.setHotKey()
 	}
 	if !r.hotKeyChanged() {
-		r.plan.PreferFirst(r.nextRecordedEndpoint)
+		r.plan.SetPreferred(r.nextRecordedEndpoint)
 	}
 }
 
 func (r *simulatedRequest) setHotKey() {
-	key := hotkeys.Hash(r.result.Service, r.route.HotKey.Extract(r.route.Prefix, r.path, r.query, r.header))
+	key := hotkeys.Hash(r.result.Service, r.route.HotKey.Extract(r.route.PathPrefix, r.path, r.query, r.header))
 	r.plan.SetKey(key)
 	if r.route.Kind.Idempotent() {
 		r.node.keyMeter.Record(key, r.route.Name, r.result.Service, r.routeLatency())
