--- a/cmd/controlload/bytecount.go
+++ b/cmd/controlload/bytecount.go
@@ -5,37 +5,39 @@
 	"sync/atomic"
 )
 
-// byteCount counts the bytes of all nodes' connections.
-type byteCount struct{ received, sent atomic.Int64 }
+// byteCounter counts the bytes received and sent on all connections that the nodes
+// accepted. Connections that nodes opened themselves are not counted.
+type byteCounter struct{ received, sent atomic.Int64 }
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener adds the bytes of the connections that it accepts to a counter.
 type countingListener struct {
 	net.Listener
-	count *byteCount
+	counter *byteCounter
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and wraps it in a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countingConn{connection, l.count}, nil
+	return countingConn{connection, l.counter}, nil
 }
 
+// countingConn adds the bytes that it reads and writes to a counter.
 type countingConn struct {
 	net.Conn
-	count *byteCount
+	count *byteCounter
 }
 
-// Read counts the bytes that were received.
+// Read reads from the connection and counts the bytes received.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts the bytes that were sent.
+// Write writes to the connection and counts the bytes sent.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count.sent.Add(int64(n))
--- a/cmd/controlload/configuration.go
+++ b/cmd/controlload/configuration.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// putTimeout bounds the tries to have a configuration accepted.
+	// putTimeout bounds the attempts to have a configuration accepted.
 	putTimeout       = 20 * time.Second
 	putRetryInterval = 100 * time.Millisecond
 
-	// routeTimeoutSeconds is the timeout of all routes but the one that a version
-	// changes, and changedTimeoutSeconds that one's.
-	routeTimeoutSeconds   = 3.0
-	changedTimeoutSeconds = 2.0
-	// hostnames is over how many hosts routes are spread.
-	hostnames = 20
+	// Each version changes the timeout of one route to changedRouteTimeoutSeconds.
+	// All other routes have defaultRouteTimeoutSeconds.
+	defaultRouteTimeoutSeconds = 3.0
+	changedRouteTimeoutSeconds = 2.0
+	// hostnameCount is the number of hostnames among which the routes are distributed.
+	hostnameCount = 20
 )
 
-// configuration returns a configuration in which one route, another one in each
-// version, has the timeout.
-func configuration(version, routes, services int, timeoutSeconds float64) []byte {
+// buildConfiguration returns a configuration as JSON. The version determines the one
+// route that has the given timeout, so that consecutive versions change different
+// routes.
+func buildConfiguration(version, routes, services int, timeoutSeconds float64) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"stamp":"r%d","resourceList":[`, version)
 	for i := range routes {
-		timeout := routeTimeoutSeconds
+		timeout := defaultRouteTimeoutSeconds
 		if i == version%routes {
 			timeout = timeoutSeconds
 		}
 		fmt.Fprintf(&b, `{"variant":"bindingList","metadata":{"name":"r-%d"},"specification":{"hostname":"h%d.example","pathPrefix":"/p%d/","bindingKind":"pure","timeoutS":%g,"targetS":0.5,"rank":2,"serviceName":"service-%d","maxAttempts":2}},`,
-			i, i%hostnames, i, timeout, i%services)
+			i, i%hostnameCount, i, timeout, i%services)
 	}
 	for i := range services {
 		fmt.Fprintf(&b, `{"variant":"serviceList","metadata":{"name":"service-%d"},"specification":{"soundnessPath":"/health","maxConns":130,"protocol":"h1","tlsMode":false}},`, i)
@@ -41,12 +42,12 @@
 	return b.Bytes()
 }
 
-// putConfiguration sends a configuration, which follows the version base, to one
-// core after the other until one accepts it.
+// putConfiguration sends a configuration that replaces version base to one core after
+// the other until one acknowledges it. It returns an error if none does within putTimeout.
 func (m *loadMesh) putConfiguration(base, version int, body []byte) error {
 	deadline := time.Now().Add(putTimeout)
 	for i := 0; time.Now().Before(deadline); i++ {
-		accepted, err := putOnce(coreIP(i%len(m.cores)), base, body)
+		accepted, err := tryPutConfiguration(coreIP(i%len(m.cores)), base, body)
 		if err != nil {
 			return err
 		}
@@ -55,12 +56,13 @@
 		}
 		time.Sleep(putRetryInterval)
 	}
-	return fmt.Errorf("configuration r%d was not acknowledged within %v", version, putTimeout)
+	return fmt.Errorf("no core acknowledged configuration r%d within %v", version, putTimeout)
 }
 
-// putOnce returns an error only if there can't be such a request.
-func putOnce(ip string, base int, body []byte) (accepted bool, err error) {
-	request, err := http.NewRequest(http.MethodPut, "http://"+address(ip, controlPort)+"/-/configuration", bytes.NewReader(body))
+// tryPutConfiguration sends the configuration to one core and reports whether the
+// core accepted it. It returns an error only if the request can't be created.
+func tryPutConfiguration(ip string, base int, body []byte) (accepted bool, err error) {
+	request, err := http.NewRequest(http.MethodPut, "http://"+joinAddress(ip, controlPort)+"/-/configuration", bytes.NewReader(body))
 	if err != nil {
 		return false, err
 	}
@@ -71,7 +73,7 @@
 	request.Header.Set("If-Match", expected)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		// A core that is not there yet is tried again.
+		// The core may not be listening yet, so the caller tries again.
 		return false, nil
 	}
 	_ = response.Body.Close()
--- a/cmd/controlload/cores.go
+++ b/cmd/controlload/cores.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// maxSeeds is how many cores are named to the others and to nodes.
-	maxSeeds = 3
-	// coreZones is over how many zones cores are spread.
-	coreZones = 4
+	// maxSeedCores is the maximum number of cores whose addresses the other cores
+	// and the nodes get as seeds.
+	maxSeedCores = 3
+	// coreZoneCount is the number of zones among which the cores are distributed.
+	coreZoneCount = 4
 )
 
-// startCores starts n core processes, which form one core.
+// startCores starts n core processes, which form one cluster. It returns the first
+// error; processes that it started before stay in m.cores.
 func (m *loadMesh) startCores(binary, directory string, n int) error {
 	var controlSeeds []string
-	for i := range min(n, maxSeeds) {
-		controlSeeds = append(controlSeeds, address(coreIP(i), controlPort))
-		m.seeds = append(m.seeds, address(coreIP(i), internalPort))
+	for i := range min(n, maxSeedCores) {
+		controlSeeds = append(controlSeeds, joinAddress(coreIP(i), controlPort))
+		m.seeds = append(m.seeds, joinAddress(coreIP(i), internalPort))
 	}
 	for i := range n {
 		core, err := startCore(binary, directory, i, controlSeeds)
@@ -32,6 +34,8 @@
 	return nil
 }
 
+// startCore writes the settings file of core i and starts its process. The output goes
+// to a log file in directory.
 func startCore(binary, directory string, i int, controlSeeds []string) (*exec.Cmd, error) {
 	dataDirectory := filepath.Join(directory, fmt.Sprint("core-", i))
 	if err := os.MkdirAll(dataDirectory, 0o755); err != nil {
@@ -45,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The process has its own copy of the file.
+	// The process has its own file descriptor for the log.
 	defer func() { _ = output.Close() }()
 	core := exec.Command(binary, "core", "--settings", settingsFile)
 	core.Stdout, core.Stderr = output, output
@@ -55,6 +59,7 @@
 	return core, nil
 }
 
+// coreSettingsFormat is the settings file of a core as a format string.
 const coreSettingsFormat = `[self]
 nodeName = "core-%d"
 ip = %q
@@ -68,8 +73,9 @@
 controlAddr = %q
 `
 
+// coreSettings returns the settings file of core i.
 func coreSettings(i int, dataDirectory string, controlSeeds []string) []byte {
 	ip := coreIP(i)
-	return fmt.Appendf(nil, coreSettingsFormat, i, ip, i%coreZones, dataDirectory, internalPort, internalPort+1,
-		strings.Join(controlSeeds, `", "`), address(ip, controlPort))
+	return fmt.Appendf(nil, coreSettingsFormat, i, ip, i%coreZoneCount, dataDirectory, internalPort, internalPort+1,
+		strings.Join(controlSeeds, `", "`), joinAddress(ip, controlPort))
 }
--- a/cmd/controlload/main.go
+++ b/cmd/controlload/main.go
@@ -11,56 +11,59 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// loadOptions are the command's flags.
-type loadOptions struct {
-	// binary is the corkcove program whose cores are started.
+// options holds the values of the command-line flags.
+type options struct {
+	// binary is the path of the corkcove executable that runs the cores.
 	binary string
-	// directory gets a fresh folder for each size.
+	// directory is where a temporary directory is created for each number of nodes.
 	directory string
 	cores     int
-	nodes     []int
-	services  int
-	routes    int
-	// seconds is how long each measured stretch lasts.
-	seconds int
+	// nodes holds the numbers of nodes that are measured, one after the other.
+	nodes    []int
+	services int
+	routes   int
+	// phaseSeconds is the duration of the idle phase and of the churn phase.
+	phaseSeconds int
 }
 
-// Bounds of the flags.
+// Accepted ranges of the flags, inclusive.
 const (
 	minCores, maxCores     = 3, 15
 	minNodes, maxNodes     = 10, 4000
 	minSeconds, maxSeconds = 2, 60
 )
 
-func (o loadOptions) valid() bool {
-	return o.cores >= minCores && o.cores <= maxCores && o.seconds >= minSeconds && o.seconds <= maxSeconds &&
+// inRange reports whether all numeric flags are within their accepted ranges.
+func (o options) inRange() bool {
+	return o.cores >= minCores && o.cores <= maxCores && o.phaseSeconds >= minSeconds && o.phaseSeconds <= maxSeconds &&
 		o.services >= 1 && o.routes >= 1 && slices.Max(o.nodes) <= maxNodes && slices.Min(o.nodes) >= minNodes
 }
 
-func parseOptions(args []string) loadOptions {
-	var o loadOptions
-	app := kingpin.New("controlload", "Measures the control plane with hollow (simulated) nodes on loopback; one JSON object for each size.")
-	app.Flag("corkcove", "The program whose cores are started.").Default("target/corkcove").StringVar(&o.binary)
-	app.Flag("dir", "Where cores keep their settings, logs and data; a fresh folder in it is used.").Default(os.TempDir()).StringVar(&o.directory)
-	app.Flag("cores", "How many core processes (3 to 15).").Default("9").IntVar(&o.cores)
-	app.Flag("nodes", "How many nodes (10 to 4000); may be repeated.").Default("250", "1000", "2000").IntsVar(&o.nodes)
-	app.Flag("services", "How many services.").Default("140").IntVar(&o.services)
-	app.Flag("routes", "How many routes.").Default("300").IntVar(&o.routes)
-	app.Flag("seconds", "How long a quiet stretch is (2 to 60).").Default("15").IntVar(&o.seconds)
+// parseOptions parses the command line. It ends the process if a flag is invalid.
+func parseOptions(args []string) options {
+	var o options
+	app := kingpin.New("controlload", "Measures the control plane with simulated nodes on loopback addresses and prints one JSON object for each number of nodes.")
+	app.Flag("corkcove", "Path of the corkcove executable that runs the cores.").Default("target/corkcove").StringVar(&o.binary)
+	app.Flag("dir", "Parent of the temporary directories for the settings, logs and data of the cores.").Default(os.TempDir()).StringVar(&o.directory)
+	app.Flag("cores", "Number of core processes (3 to 15).").Default("9").IntVar(&o.cores)
+	app.Flag("nodes", "Number of nodes (10 to 4000); may be repeated.").Default("250", "1000", "2000").IntsVar(&o.nodes)
+	app.Flag("services", "Number of services.").Default("140").IntVar(&o.services)
+	app.Flag("routes", "Number of routes.").Default("300").IntVar(&o.routes)
+	app.Flag("seconds", "Duration of the idle phase and of the churn phase, in seconds (2 to 60).").Default("15").IntVar(&o.phaseSeconds)
 	kingpin.MustParse(app.Parse(args))
 	return o
 }
 
 func main() {
-	options := parseOptions(os.Args[1:])
-	if !options.valid() {
-		fmt.Fprintln(os.Stderr, "controlload: a number is out of range; see --help")
+	opts := parseOptions(os.Args[1:])
+	if !opts.inRange() {
+		fmt.Fprintln(os.Stderr, "controlload: a numeric flag is out of range; see --help")
 		os.Exit(1)
 	}
 	raiseOpenFileLimit()
 	failed := false
-	for _, nodes := range options.nodes {
-		if err := measureSize(options, nodes); err != nil {
+	for _, nodes := range opts.nodes {
+		if err := measureSize(opts, nodes); err != nil {
 			failed = true
 			fmt.Fprintf(os.Stderr, "controlload: %d nodes: %v\n", nodes, err)
 		}
@@ -71,8 +74,9 @@
 	}
 }
 
-// raiseOpenFileLimit allows a connection from and to each node. A limit that
-// can't be raised shows as an error of the nodes' listeners.
+// raiseOpenFileLimit raises the soft limit on open files to the hard limit, as each
+// node needs connections in both directions. Errors are ignored: a limit that is
+// too low makes the listeners of the nodes fail.
 func raiseOpenFileLimit() {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil {
@@ -81,30 +85,32 @@
 	}
 }
 
-// measureSize plays the scenario with one number of nodes and prints the report,
-// also after an error: then of what was measured before it.
-func measureSize(options loadOptions, nodes int) error {
-	report := &loadReport{Nodes: nodes, Cores: options.cores, Services: options.services, Routes: options.routes}
-	playErr := playScenario(report, options)
+// measureSize runs the scenario with one number of nodes and prints the report. If
+// the scenario fails, the report holds what was measured before the error.
+func measureSize(opts options, nodes int) error {
+	report := &loadReport{Nodes: nodes, Cores: opts.cores, Services: opts.services, Routes: opts.routes}
+	scenarioErr := runScenario(report, opts)
 	line, err := json.Marshal(report)
 	if err != nil {
 		return err
 	}
 	fmt.Println(string(line))
-	return playErr
+	return scenarioErr
 }
 
-func playScenario(report *loadReport, options loadOptions) error {
-	directory, err := os.MkdirTemp(options.directory, "controlload-")
+// runScenario starts the cores in a temporary directory, runs the scenario and removes
+// the directory again.
+func runScenario(report *loadReport, opts options) error {
+	directory, err := os.MkdirTemp(opts.directory, "controlload-")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
-	mesh := newLoadMesh(options.services)
+	mesh := newLoadMesh(opts.services)
 	defer mesh.close()
-	if err := mesh.startCores(options.binary, directory, options.cores); err != nil {
+	if err := mesh.startCores(opts.binary, directory, opts.cores); err != nil {
 		return err
 	}
-	s := scenario{mesh: mesh, report: report, seconds: options.seconds}
-	return s.play()
+	s := scenario{mesh: mesh, report: report, phaseSeconds: opts.phaseSeconds}
+	return s.run()
 }
--- a/cmd/controlload/mesh.go
+++ b/cmd/controlload/mesh.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// internalPort is where all processes take calls from each other, controlPort
-	// where cores take those of operators.
+	// internalPort is the port for calls between the processes of the mesh.
 	internalPort = 7600
-	controlPort  = 7700
-	// maxWait bounds each wait for all nodes.
-	maxWait = 60 * time.Second
-	// waitInterval is the time between two looks at all nodes.
-	waitInterval = 5 * time.Millisecond
+	// controlPort is the port on which cores serve the API for operators.
+	controlPort = 7700
+	// waitTimeout bounds each wait for a condition on all nodes.
+	waitTimeout = 60 * time.Second
+	// checkInterval is the time between two checks of the condition.
+	checkInterval = 5 * time.Millisecond
 )
 
-// loadMesh is the core processes and simulated nodes of one size.
+// loadMesh holds the core processes and simulated nodes of one measurement.
 type loadMesh struct {
 	cores []*exec.Cmd
-	// seeds are the internal addresses of the first cores.
+	// seeds holds the internal addresses of the cores that nodes register with first.
 	seeds     []string
 	nodes     []*simulatedNode
-	traffic   byteCount
+	traffic   byteCounter
 	clients   *rpc.Clients
 	startedAt time.Time
-	services  int
+	// services is the number of services among which the nodes are distributed.
+	services int
 }
 
 func newLoadMesh(services int) *loadMesh {
@@ -38,9 +39,10 @@
 	return &loadMesh{clients: rpc.NewClients(&http.Client{Transport: transport}), startedAt: time.Now(), services: services}
 }
 
+// now returns the time since the mesh was created: the clock of the node agents.
 func (m *loadMesh) now() time.Duration { return time.Since(m.startedAt) }
 
-// close ends all nodes and core processes.
+// close stops all nodes and kills all core processes.
 func (m *loadMesh) close() {
 	for _, n := range m.nodes {
 		n.close()
@@ -52,22 +54,25 @@
 	}
 }
 
-// kill ends a process and waits for its end; the error only says that it was
-// killed.
+// kill kills a process and waits until it has ended. The error of Wait is ignored, as
+// it only reports the kill.
 func kill(process *exec.Cmd) {
 	_ = process.Process.Kill()
 	_ = process.Wait()
 }
 
-func address(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
+func joinAddress(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
 
+// coreIP returns the loopback address of core i.
 func coreIP(i int) string { return fmt.Sprintf("127.0.9.%d", i+1) }
 
-// nodeIP spreads nodes over loopback networks that cores don't use.
+// nodeIP returns the loopback address of node i. The networks differ from that of the
+// cores.
 func nodeIP(i int) string { return fmt.Sprintf("127.%d.%d.%d", 16+i/60000, i/240%250, 1+i%240) }
 
-// waitForAll waits until the condition holds for all nodes. It returns how long
-// that took and, if the wait ended before, for how many it doesn't hold.
+// waitForAll waits until the condition holds for all nodes or waitTimeout has passed.
+// It returns how long it waited and the number of nodes for which the condition does
+// not hold.
 func (m *loadMesh) waitForAll(condition func(*simulatedNode) bool) (took time.Duration, missing int) {
 	start := time.Now()
 	for {
@@ -77,19 +82,19 @@
 				missing++
 			}
 		}
-		if missing == 0 || time.Since(start) > maxWait {
+		if missing == 0 || time.Since(start) > waitTimeout {
 			return time.Since(start), missing
 		}
-		time.Sleep(waitInterval)
+		time.Sleep(checkInterval)
 	}
 }
 
-// master is the index of the core that the first node knows as master, -1 if it
-// is none of these.
-func (m *loadMesh) master() int {
+// masterIndex returns the index of the core that is master in the view of the first
+// node, or -1 if it is none of the cores that controlload started.
+func (m *loadMesh) masterIndex() int {
 	master := m.nodes[0].agent.View().GetMaster()
 	for i := range m.cores {
-		if master == address(coreIP(i), internalPort) {
+		if master == joinAddress(coreIP(i), internalPort) {
 			return i
 		}
 	}
--- a/cmd/controlload/scenario.go
+++ b/cmd/controlload/scenario.go
@@ -10,37 +10,41 @@
 )
 
 const (
-	// settleTime is the pause between the start and the first measurement.
+	// settleTime is the pause between the start and the idle phase.
 	settleTime = 2 * time.Second
-	// configChanges and viewChanges are how many changes are timed, each followed
-	// by a pause.
-	configChanges     = 5
+	// configChangeCount and viewChangeCount are the numbers of changes that are
+	// timed. Each change is followed by a pause.
+	configChangeCount = 5
 	configChangePause = 200 * time.Millisecond
-	viewChanges       = 3
+	viewChangeCount   = 3
 	viewChangePause   = 500 * time.Millisecond
-	// churnPerSecond is how many endpoints change their state each second.
-	churnPerSecond = 4
-	// restartedShare is the part of the nodes, one of so many, whose endpoints
-	// start anew at once.
-	restartedShare = 10
+	// churnChangesPerSecond is the number of endpoint state changes per second in the
+	// churn phase.
+	churnChangesPerSecond = 4
+	// restartDivisor sets the share of endpoints that restart at the same time: one
+	// in restartDivisor.
+	restartDivisor = 10
 )
 
-// scenario is played on one goroutine.
+// scenario runs the phases of one measurement and fills in the report. Its methods
+// must be called from one goroutine.
 type scenario struct {
 	mesh   *loadMesh
 	report *loadReport
-	// seconds is how long the quiet stretch and the churn last.
-	seconds int
-	// master is the index of the core that is master.
-	master int
+	// phaseSeconds is the duration of the idle phase and of the churn phase.
+	phaseSeconds int
+	// masterIndex is the index of the core that is master after the start.
+	masterIndex int
 }
 
-func (s *scenario) play() error {
+// run runs all phases. It returns an error if the mesh does not start or a
+// configuration is not accepted; other timeouts only count in loadReport.Missing.
+func (s *scenario) run() error {
 	if err := s.start(); err != nil {
 		return err
 	}
 	time.Sleep(settleTime)
-	s.report.QuietUsage = s.mesh.measure(s.master, func() { time.Sleep(time.Duration(s.seconds) * time.Second) })
+	s.report.IdleUsage = s.mesh.measure(s.masterIndex, func() { time.Sleep(time.Duration(s.phaseSeconds) * time.Second) })
 	if err := s.changeConfigurations(); err != nil {
 		return err
 	}
@@ -51,18 +55,21 @@
 	return nil
 }
 
-// wait waits for all nodes and counts those that are missing.
-func (s *scenario) wait(condition func(*simulatedNode) bool) (seconds float64) {
+// waitForNodes waits until the condition holds for all nodes and returns how long that
+// took. Nodes for which it does not hold in time are added to loadReport.Missing.
+func (s *scenario) waitForNodes(condition func(*simulatedNode) bool) (seconds float64) {
 	took, missing := s.mesh.waitForAll(condition)
 	s.report.Missing += missing
 	return took.Seconds()
 }
 
-// start puts the first configuration and starts all nodes.
+// start sends the first configuration, starts all nodes and waits until they have the
+// configuration and a view with all endpoints. It returns an error if they don't get
+// them in time.
 func (s *scenario) start() error {
 	r := s.report
 	began := time.Now()
-	if err := s.mesh.putConfiguration(0, 1, configuration(1, r.Routes, r.Services, routeTimeoutSeconds)); err != nil {
+	if err := s.mesh.putConfiguration(0, 1, buildConfiguration(1, r.Routes, r.Services, defaultRouteTimeoutSeconds)); err != nil {
 		return err
 	}
 	for i := range r.Nodes {
@@ -70,79 +77,82 @@
 			return err
 		}
 	}
-	s.wait(func(n *simulatedNode) bool {
-		return n.configVersion.Load() == 1 && n.endpoints.Load() == int64(r.Nodes)
+	s.waitForNodes(func(n *simulatedNode) bool {
+		return n.configVersion.Load() == 1 && n.endpointCount.Load() == int64(r.Nodes)
 	})
 	r.StartSeconds = time.Since(began).Seconds()
 	if r.Missing > 0 {
-		return fmt.Errorf("%d of %d nodes have not got the whole view and the configuration", r.Missing, r.Nodes)
+		return fmt.Errorf("%d of %d nodes did not receive the first configuration and the complete view in time", r.Missing, r.Nodes)
 	}
-	if s.master = s.mesh.master(); s.master < 0 {
-		return errors.New("the master is not one of these cores")
+	if s.masterIndex = s.mesh.masterIndex(); s.masterIndex < 0 {
+		return errors.New("the master in the view of the first node is not one of the started cores")
 	}
 	return nil
 }
 
-// changeConfigurations times how long each change takes to all nodes.
+// changeConfigurations measures how long each configuration change takes to reach all
+// nodes.
 func (s *scenario) changeConfigurations() error {
 	var err error
-	s.report.ConfigUsage = s.mesh.measure(s.master, func() {
-		for base := 1; base <= configChanges && err == nil; base++ {
+	s.report.ConfigUsage = s.mesh.measure(s.masterIndex, func() {
+		for base := 1; base <= configChangeCount && err == nil; base++ {
 			err = s.changeConfiguration(base)
 		}
 	})
 	return err
 }
 
+// changeConfiguration replaces version base and waits until all nodes have applied
+// the next version.
 func (s *scenario) changeConfiguration(base int) error {
 	version := base + 1
-	body := configuration(version, s.report.Routes, s.report.Services, changedTimeoutSeconds)
+	body := buildConfiguration(version, s.report.Routes, s.report.Services, changedRouteTimeoutSeconds)
 	if err := s.mesh.putConfiguration(base, version, body); err != nil {
 		return err
 	}
-	took := s.wait(func(n *simulatedNode) bool { return n.configVersion.Load() == uint64(version) })
+	took := s.waitForNodes(func(n *simulatedNode) bool { return n.configVersion.Load() == uint64(version) })
 	s.report.ConfigTimes = append(s.report.ConfigTimes, took)
 	time.Sleep(configChangePause)
 	return nil
 }
 
-// changeViews times how long a view takes to all nodes after an endpoint's state
-// has changed.
+// changeViews measures how long it takes until all nodes have a newer view after the
+// state of one endpoint has changed.
 func (s *scenario) changeViews() {
 	nodes := s.mesh.nodes
-	for range viewChanges {
+	for range viewChangeCount {
 		previous := nodes[0].viewVersion.Load()
 		nodes[rand.IntN(len(nodes))].setEndpointState(lifecycle.Draining)
-		took := s.wait(func(n *simulatedNode) bool { return n.viewVersion.Load() > previous })
+		took := s.waitForNodes(func(n *simulatedNode) bool { return n.viewVersion.Load() > previous })
 		s.report.ViewTimes = append(s.report.ViewTimes, took)
 		time.Sleep(viewChangePause)
 	}
 }
 
-// churn changes one node's endpoint after the other to draining and back.
+// churn changes the endpoints, one after the other, to draining and back to ready.
 func (s *scenario) churn() {
 	nodes := s.mesh.nodes
-	s.report.ChangesPerSecond = churnPerSecond
-	s.report.ChurnUsage = s.mesh.measure(s.master, func() {
-		for i := range churnPerSecond * s.seconds {
+	s.report.ChangesPerSecond = churnChangesPerSecond
+	s.report.ChurnUsage = s.mesh.measure(s.masterIndex, func() {
+		for i := range churnChangesPerSecond * s.phaseSeconds {
 			state := lifecycle.Draining
 			if i%2 == 1 {
 				state = lifecycle.Ready
 			}
 			nodes[i/2%len(nodes)].setEndpointState(state)
-			time.Sleep(time.Second / churnPerSecond)
+			time.Sleep(time.Second / churnChangesPerSecond)
 		}
 	})
 }
 
-// restartEndpoints restarts many endpoints at once and times until all nodes
-// know all of the new ones.
+// restartEndpoints restarts many endpoints at once and measures how long it takes until
+// the views of all nodes contain all new endpoints.
 func (s *scenario) restartEndpoints() {
 	restarted := map[string]bool{}
-	for i := range max(s.report.Nodes/restartedShare, 1) {
+	for i := range max(s.report.Nodes/restartDivisor, 1) {
 		restarted[s.mesh.nodes[i].restartEndpoint()] = true
 	}
-	s.report.RestartSeconds = s.wait(func(n *simulatedNode) bool {
+	s.report.RestartSeconds = s.waitForNodes(func(n *simulatedNode) bool {
 		known := 0
 		for _, e := range n.agent.View().Endpoints {
 			if restarted[e.Id] {
@@ -153,9 +163,10 @@
 	})
 }
 
-// killMaster times until all nodes have a view of the next master.
+// killMaster kills the master and measures how long it takes until all nodes have a
+// view of a later epoch, that of the next master.
 func (s *scenario) killMaster() {
 	epoch := s.mesh.nodes[0].viewEpoch.Load()
-	kill(s.mesh.cores[s.master])
-	s.report.TakeoverSeconds = s.wait(func(n *simulatedNode) bool { return n.viewEpoch.Load() > epoch })
+	kill(s.mesh.cores[s.masterIndex])
+	s.report.TakeoverSeconds = s.waitForNodes(func(n *simulatedNode) bool { return n.viewEpoch.Load() > epoch })
 }
--- a/cmd/controlload/usage.go
+++ b/cmd/controlload/usage.go
@@ -10,42 +10,45 @@
 )
 
 const (
-	// clockTick is the unit of processor time in /proc.
+	// clockTick is the unit of CPU time in /proc/PID/stat, at 100 ticks per second.
 	clockTick = 10 * time.Millisecond
-	// Fields of /proc/PID/stat after the command's name: ticks in user mode and in
-	// the kernel.
+	// Indexes of the fields of /proc/PID/stat, counted from the first field after
+	// the command name: ticks in user mode and in kernel mode.
 	userTicksField   = 11
 	kernelTicksField = 12
-	// residentPagesField is the field of /proc/PID/statm with the pages in memory.
+	// residentPagesField is the index of the field of /proc/PID/statm that holds
+	// the number of resident pages.
 	residentPagesField = 1
 
 	bytesPerKB = 1024
 	bytesPerMB = 1 << 20
 )
 
-// processorTime is what a process has used; 0 if it has ended.
-func processorTime(pid int) time.Duration {
+// cpuTime returns the CPU time that a process has used, or 0 if its entry in /proc
+// can't be read.
+func cpuTime(pid int) time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The name may have spaces and parentheses.
+	// The command name may contain spaces and parentheses.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	return time.Duration(numberAt(fields, userTicksField)+numberAt(fields, kernelTicksField)) * clockTick
+	return time.Duration(intField(fields, userTicksField)+intField(fields, kernelTicksField)) * clockTick
 }
 
-// residentMB is the memory of a process; 0 if it has ended.
+// residentMB returns the resident memory of a process in MB, or 0 if its entry in
+// /proc can't be read.
 func residentMB(pid int) float64 {
 	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	pages := numberAt(strings.Fields(string(statm)), residentPagesField)
+	pages := intField(strings.Fields(string(statm)), residentPagesField)
 	return float64(pages) * float64(os.Getpagesize()) / bytesPerMB
 }
 
-// numberAt returns 0 for a field that is missing or no number.
-func numberAt(fields []string, i int) int64 {
+// intField returns field i as an integer, or 0 if it is missing or not an integer.
+func intField(fields []string, i int) int64 {
 	if i >= len(fields) {
 		return 0
 	}
@@ -56,53 +59,59 @@
 	return n
 }
 
-// snapshot is what all processes have used up to a moment.
-type snapshot struct {
-	at             time.Time
-	cores          []time.Duration
-	nodes          time.Duration
+// usageSnapshot holds the cumulative resource usage of all processes at one time.
+type usageSnapshot struct {
+	at time.Time
+	// cores holds the CPU time of each core process.
+	cores []time.Duration
+	// nodes is the CPU time of this process, which runs all nodes.
+	nodes time.Duration
+	// received and sent are in bytes: see byteCounter.
 	received, sent int64
 }
 
-func (m *loadMesh) takeSnapshot() snapshot {
-	s := snapshot{at: time.Now(), nodes: processorTime(os.Getpid()), received: m.traffic.received.Load(), sent: m.traffic.sent.Load()}
+// takeSnapshot reads the current resource usage of all processes.
+func (m *loadMesh) takeSnapshot() usageSnapshot {
+	s := usageSnapshot{at: time.Now(), nodes: cpuTime(os.Getpid()), received: m.traffic.received.Load(), sent: m.traffic.sent.Load()}
 	for _, core := range m.cores {
-		s.cores = append(s.cores, processorTime(core.Process.Pid))
+		s.cores = append(s.cores, cpuTime(core.Process.Pid))
 	}
 	return s
 }
 
-// measure runs a stretch of the scenario and returns what it cost.
-func (m *loadMesh) measure(master int, stretch func()) usage {
+// measure runs one phase of the scenario and returns the resource usage during it.
+func (m *loadMesh) measure(masterIndex int, phase func()) usage {
 	before := m.takeSnapshot()
-	stretch()
+	phase()
 	after := m.takeSnapshot()
 	seconds := after.at.Sub(before.at).Seconds()
 	nodes := float64(len(m.nodes))
 	u := usage{Seconds: seconds,
-		NodeProcessors:       (after.nodes - before.nodes).Seconds() / seconds / nodes,
+		NodeCPUs:             (after.nodes - before.nodes).Seconds() / seconds / nodes,
 		NodeMB:               residentMB(os.Getpid()) / nodes,
 		NodeReceivedKBPerSec: float64(after.received-before.received) / bytesPerKB / seconds / nodes,
 		NodeSentKBPerSec:     float64(after.sent-before.sent) / bytesPerKB / seconds / nodes}
-	m.addCoreUsage(&u, master, before, after)
+	m.addCoreUsage(&u, masterIndex, before, after)
 	return u
 }
 
-func (m *loadMesh) addCoreUsage(u *usage, master int, before, after snapshot) {
+// addCoreUsage sets the usage of the master and the mean usage of the other running
+// cores.
+func (m *loadMesh) addCoreUsage(u *usage, masterIndex int, before, after usageSnapshot) {
 	others := 0.0
 	for i, core := range m.cores {
 		if core.ProcessState != nil {
 			continue
 		}
-		processors := (after.cores[i] - before.cores[i]).Seconds() / u.Seconds
-		if i == master {
-			u.MasterProcessors, u.MasterMB = processors, residentMB(core.Process.Pid)
+		cpus := (after.cores[i] - before.cores[i]).Seconds() / u.Seconds
+		if i == masterIndex {
+			u.MasterCPUs, u.MasterMB = cpus, residentMB(core.Process.Pid)
 			continue
 		}
-		u.OtherProcessors += processors
+		u.OtherCPUs += cpus
 		u.OtherMB += residentMB(core.Process.Pid)
 		others++
 	}
-	u.OtherProcessors /= max(others, 1)
+	u.OtherCPUs /= max(others, 1)
 	u.OtherMB /= max(others, 1)
 }
