--- a/cmd/fakeendpoint/doc.go
+++ b/cmd/fakeendpoint/doc.go
@@ -1,5 +1,5 @@
-// Command fakeendpoint is what corkcove meets outside, to try it with: an
-// application endpoint, which sends heartbeats to the sidecar beside it, works on
-// each request for a while and seals its answers; or a platform that lists such
-// endpoints.
+// Command fakeendpoint simulates the external systems that corkcove works with, for
+// trials. It runs either an application endpoint, which sends heartbeats to its
+// sidecar, takes a fixed time for each request and sets the X-Server-Seal header on
+// its responses, or a platform API that lists such endpoints.
 package main
--- a/cmd/fakeendpoint/endpoint.go
+++ b/cmd/fakeendpoint/endpoint.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// The states that an endpoint reports, and the only software version of this
-// one.
+// The endpoint states that this program reports, and the software version of its
+// endpoints.
 const (
 	stateReady      = "ready"
 	stateDraining   = "draining"
@@ -25,60 +25,68 @@
 
 const (
 	healthPath = "/health"
-	// heartbeatTimeout bounds the call of the sidecar.
+	// heartbeatTimeout bounds each heartbeat request to the sidecar.
 	heartbeatTimeout = time.Second
-	// drainTime is how long the endpoint goes on serving after SIGTERM.
-	drainTime = 2 * time.Second
+	// drainDuration is how long the endpoint keeps serving after SIGTERM or SIGINT.
+	drainDuration = 2 * time.Second
 
 	headerRequestID        = "X-Request-Id"
 	headerInstanceID       = "X-Instance-Id"
 	headerExpectedInstance = "X-Expect-Instance"
 	headerNotRun           = "X-Not-Run"
-	headerSeal             = "X-Server-Seal"
-	headerCaller           = "X-Caller-Service"
+	headerServerSeal       = "X-Server-Seal"
+	headerCallerService    = "X-Caller-Service"
 )
 
-// endpointOptions are the flags of the endpoint.
+// endpointOptions holds the flags of the endpoint command.
 type endpointOptions struct {
 	address string
 	// controlAddress is empty if the endpoint has no sidecar.
-	controlAddress    string
-	service           string
-	zone              string
-	slots             int
-	workTime          time.Duration
+	controlAddress string
+	service        string
+	zone           string
+	// slots is the number of requests that are processed at once.
+	slots          int
+	processingTime time.Duration
+	// heartbeatInterval is the time between heartbeats.
 	heartbeatInterval time.Duration
 }
 
-// endpoint is an application that takes requests.
+// endpoint is a simulated application instance. It handles requests and sends
+// heartbeats to its sidecar.
 type endpoint struct {
 	options endpointOptions
 	id      string
-	// slots has an entry for each request that is worked on.
+	// slots is a semaphore that holds one entry for each request in progress.
 	slots    chan struct{}
 	draining atomic.Bool
 	client   *http.Client
-	// sequence numbers the heartbeats; only the goroutine of run uses it.
-	sequence int
+	// heartbeatSequence is the number of the last heartbeat. Only the goroutine of
+	// sendHeartbeats uses it.
+	heartbeatSequence int
 }
 
+// newEndpoint returns an endpoint with a random ID.
 func newEndpoint(options endpointOptions) *endpoint {
 	var id [4]byte
-	// It never fails: without randomness the process ends.
+	// Read never returns an error: it ends the process if there is no randomness.
 	_, _ = rand.Read(id[:])
 	return &endpoint{options: options, id: "i-" + hex.EncodeToString(id[:]), slots: make(chan struct{}, options.slots), client: &http.Client{Timeout: heartbeatTimeout}}
 }
 
-// runEndpoint serves until SIGTERM or SIGINT.
+// runEndpoint serves requests until SIGTERM or SIGINT. It returns an error if the
+// server fails.
 func runEndpoint(options endpointOptions) error {
 	e := newEndpoint(options)
 	failed := make(chan error, 1)
 	go func() { failed <- http.ListenAndServe(options.address, e) }()
-	return e.run(failed)
+	return e.sendHeartbeats(failed)
 }
 
-// run sends heartbeats until the process is told to end, and says goodbye.
-func (e *endpoint) run(failed <-chan error) error {
+// sendHeartbeats sends heartbeats until SIGTERM or SIGINT. It then reports the endpoint
+// as draining, waits for drainDuration and deregisters the endpoint. An error from
+// serveErr ends it at once.
+func (e *endpoint) sendHeartbeats(serveErr <-chan error) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	ticker := time.NewTicker(e.options.heartbeatInterval)
@@ -86,21 +94,22 @@
 	e.sendHeartbeat(http.MethodPut, stateReady)
 	for {
 		select {
-		case err := <-failed:
+		case err := <-serveErr:
 			return err
 		case <-ticker.C:
 			e.sendHeartbeat(http.MethodPut, stateReady)
 		case <-stop:
 			e.draining.Store(true)
 			e.sendHeartbeat(http.MethodPut, stateDraining)
-			time.Sleep(drainTime)
+			time.Sleep(drainDuration)
 			e.sendHeartbeat(http.MethodDelete, stateDraining)
 			return nil
 		}
 	}
 }
 
-// ServeHTTP answers health checks and requests.
+// ServeHTTP answers health checks, with status 503 while draining, and requests. It
+// rejects requests that expect another instance with status 421 and X-Not-Run.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	w.Header().Set(headerInstanceID, e.id)
@@ -115,21 +124,24 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	e.work(w, r)
+	e.process(w, r)
 }
 
-// work takes a slot for as long as a request takes.
-func (e *endpoint) work(w http.ResponseWriter, r *http.Request) {
+// process handles a request after waiting for a free slot, and occupies the slot for
+// the processing time.
+func (e *endpoint) process(w http.ResponseWriter, r *http.Request) {
 	e.slots <- struct{}{}
 	defer func() { <-e.slots }()
-	// A body that breaks off is answered all the same, with what came.
+	// A request with a truncated body is answered too, with the number of bytes
+	// received.
 	received, _ := io.Copy(io.Discard, r.Body)
-	time.Sleep(e.options.workTime)
-	w.Header().Set(headerSeal, e.id)
-	_, _ = fmt.Fprintf(w, "%s answered for %s, %d bytes came\n", e.id, r.Header.Get(headerCaller), received)
+	time.Sleep(e.options.processingTime)
+	w.Header().Set(headerServerSeal, e.id)
+	_, _ = fmt.Fprintf(w, "%s answered for %s, %d bytes came\n", e.id, r.Header.Get(headerCallerService), received)
 }
 
-// heartbeat is what the endpoint tells the sidecar. The keys are the wire's.
+// heartbeat is the body of a heartbeat request. The JSON keys are part of the sidecar's
+// API.
 type heartbeat struct {
 	Service         string `json:"serviceName"`
 	Address         string `json:"address"`
@@ -141,15 +153,15 @@
 	Sequence        int    `json:"callSeq"`
 }
 
-// sendHeartbeat tells the sidecar the state; one that is lost is followed by the
-// next.
+// sendHeartbeat sends a heartbeat with the given state to the sidecar, if there is one.
+// Errors are ignored, as the next heartbeat replaces a lost one.
 func (e *endpoint) sendHeartbeat(method, state string) {
 	if e.options.controlAddress == "" {
 		return
 	}
-	e.sequence++
+	e.heartbeatSequence++
 	o := e.options
-	body, err := json.Marshal(heartbeat{Service: o.service, Address: o.address, Zone: o.zone, SoftwareVersion: softwareVersion, Slots: o.slots, State: state, Sequence: e.sequence})
+	body, err := json.Marshal(heartbeat{Service: o.service, Address: o.address, Zone: o.zone, SoftwareVersion: softwareVersion, Slots: o.slots, State: state, Sequence: e.heartbeatSequence})
 	if err != nil {
 		return
 	}
--- a/cmd/fakeendpoint/fakeendpoint_test.go
+++ b/cmd/fakeendpoint/fakeendpoint_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestHeartbeatHasTheWordsOfTheWire(t *testing.T) {
+func TestHeartbeatWireFormat(t *testing.T) {
 	var method, path, body string
 	sidecar := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
@@ -27,8 +27,8 @@
 		"state": "ready", "coldLeftS": 0, "callSeq": 1})
 }
 
-func TestEndpointSealsAnswersAndRefusesOtherInstances(t *testing.T) {
-	e := newEndpoint(endpointOptions{slots: 1, workTime: time.Millisecond})
+func TestEndpointSealsResponsesAndRejectsOtherInstances(t *testing.T) {
+	e := newEndpoint(endpointOptions{slots: 1, processingTime: time.Millisecond})
 	server := httptest.NewServer(e)
 	defer server.Close()
 	get := func(expected string) *http.Response {
@@ -56,7 +56,7 @@
 	server := httptest.NewServer(e)
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	p := &platform{options: platformOptions{endpoints: []string{"shop,one," + address, "shop,two,127.0.0.1:1", "malformed", "shop,three," + address}, pageRows: 3}, client: http.DefaultClient}
+	p := &platform{options: platformOptions{endpoints: []string{"shop,one," + address, "shop,two,127.0.0.1:1", "malformed", "shop,three," + address}, pageSize: 3}, client: http.DefaultClient}
 	list := func(token string) listPage {
 		w := httptest.NewRecorder()
 		p.serveList(w, httptest.NewRequest(http.MethodGet, "/endpoints?pageToken="+token, nil))
@@ -74,7 +74,7 @@
 	qt.Check(t, second.NextToken, qt.IsNil)
 }
 
-func TestFormerFlagNameSetsTheHeartbeatInterval(t *testing.T) {
+func TestDeprecatedBeatFlagSetsHeartbeatInterval(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want time.Duration
--- a/cmd/fakeendpoint/main.go
+++ b/cmd/fakeendpoint/main.go
@@ -14,26 +14,28 @@
 	}
 }
 
-// newApplication registers the commands, whose flags set the options.
+// newApplication returns the command-line parser, whose flags set e and p, and the
+// platform command.
 func newApplication(e *endpointOptions, p *platformOptions) (app *kingpin.Application, platform *kingpin.CmdClause) {
-	app = kingpin.New("fakeendpoint", "Stand-ins for what corkcove meets outside.")
-	endpoint := app.Command("endpoint", "An application endpoint.").Default()
-	endpoint.Flag("addr", "Where to listen: the sidecar's appAddr.").Required().StringVar(&e.address)
-	endpoint.Flag("control", "The sidecar's controlAddr; none in a gateway.").StringVar(&e.controlAddress)
+	app = kingpin.New("fakeendpoint", "Simulates the external systems that corkcove works with.")
+	endpoint := app.Command("endpoint", "Runs an application endpoint.").Default()
+	endpoint.Flag("addr", "Listen address: the sidecar's appAddr.").Required().StringVar(&e.address)
+	endpoint.Flag("control", "The sidecar's controlAddr; omit it if there is no sidecar, as behind a gateway.").StringVar(&e.controlAddress)
 	endpoint.Flag("service", "Service name.").Required().StringVar(&e.service)
 	endpoint.Flag("site", "Site name.").Default("one").StringVar(&e.zone)
-	endpoint.Flag("slots", "Requests worked on at once.").Default("8").IntVar(&e.slots)
-	endpoint.Flag("work", "Time a request takes.").Default("20ms").DurationVar(&e.workTime)
+	endpoint.Flag("slots", "Maximum number of requests processed at once.").Default("8").IntVar(&e.slots)
+	endpoint.Flag("work", "Processing time of a request.").Default("20ms").DurationVar(&e.processingTime)
 	endpoint.Flag("heartbeat", "Time between heartbeats.").Default("1s").DurationVar(&e.heartbeatInterval)
-	// The name that --heartbeat had before.
+	// --beat is the former name of --heartbeat and still accepted.
 	endpoint.Flag("beat", "").Hidden().DurationVar(&e.heartbeatInterval)
-	platform = app.Command("platform", "A platform that lists endpoints.")
-	platform.Flag("addr", "Where to listen: cloudApi.address.").Required().StringVar(&p.address)
-	platform.Flag("endpoint", "service,site,address of an endpoint; may be repeated.").Required().StringsVar(&p.endpoints)
-	platform.Flag("page", "Rows on a page.").Default("50").IntVar(&p.pageRows)
+	platform = app.Command("platform", "Runs a platform API that lists endpoints.")
+	platform.Flag("addr", "Listen address: cloudApi.address in the settings.").Required().StringVar(&p.address)
+	platform.Flag("endpoint", "Endpoint to list, as service,site,address; may be repeated.").Required().StringsVar(&p.endpoints)
+	platform.Flag("page", "Maximum number of endpoints on a page.").Default("50").IntVar(&p.pageSize)
 	return app, platform
 }
 
+// run parses the command line and runs the selected command.
 func run(args []string) error {
 	var e endpointOptions
 	var p platformOptions
--- a/cmd/fakeendpoint/platform.go
+++ b/cmd/fakeendpoint/platform.go
@@ -9,43 +9,47 @@
 )
 
 const (
-	// healthTimeout bounds the call of an endpoint's health check.
+	// healthTimeout bounds each health check of an endpoint.
 	healthTimeout = 300 * time.Millisecond
-	// listedSlots is what the platform says of each endpoint.
-	listedSlots = 8
+	// reportedSlots is the number of slots that the platform lists for each endpoint.
+	reportedSlots = 8
 )
 
-// columnNames are the columns of the list, in the order of the rows' values.
+// columnNames holds the columns of the endpoint list, in the order of the values in a
+// row.
 var columnNames = []string{"id", "serviceName", "siteName", "address", "stamp", "slotCount", "state", "coldLeftS"}
 
-// platformOptions are the flags of the platform.
+// platformOptions holds the flags of the platform command.
 type platformOptions struct {
 	address string
-	// endpoints are "service,site,address".
+	// endpoints lists the endpoints, each as "service,site,address".
 	endpoints []string
-	// pageRows is how many endpoints are on a page.
-	pageRows int
+	// pageSize is the number of configured endpoints that a page covers. Endpoints that
+	// don't answer are left out, so the page may have fewer rows.
+	pageSize int
 }
 
-// instanceTable is a table of endpoints on the wire.
+// instanceTable is the table of endpoints in a response.
 type instanceTable struct {
 	ColumnNames []string `json:"columnNames"`
 	RowList     [][]any  `json:"rowList"`
 }
 
-// listPage is one page of the list. NextToken is null on the last.
+// listPage is one page of the endpoint list. NextToken is null on the last page.
 type listPage struct {
 	InstanceList instanceTable `json:"instanceList"`
 	NextToken    *string       `json:"nextToken"`
 }
 
-// platform lists the endpoints that answer, under the ids that they tell.
+// platform lists the configured endpoints that answer a health check, with the IDs that
+// they return.
 type platform struct {
 	options platformOptions
 	client  *http.Client
 }
 
-// runPlatform serves until the process is killed.
+// runPlatform serves the platform API until the process is killed. It returns an error
+// if the server fails.
 func runPlatform(options platformOptions) error {
 	p := &platform{options: options, client: &http.Client{Timeout: healthTimeout}}
 	mux := http.NewServeMux()
@@ -53,19 +57,22 @@
 	return http.ListenAndServe(options.address, mux)
 }
 
+// serveList serves the page of endpoints that pageToken selects.
 func (p *platform) serveList(w http.ResponseWriter, r *http.Request) {
-	// A token that is no number, as the first call has none, begins at 0.
+	// The first request has no token. A missing or malformed token selects the first
+	// page.
 	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone needs no answer.
-	_ = json.NewEncoder(w).Encode(p.page(from))
+	// An error means that the client has disconnected.
+	_ = json.NewEncoder(w).Encode(p.buildPage(from))
 }
 
-func (p *platform) page(from int) listPage {
+// buildPage returns the page that starts at index from of the configured endpoints.
+func (p *platform) buildPage(from int) listPage {
 	page := listPage{InstanceList: instanceTable{ColumnNames: columnNames, RowList: [][]any{}}}
-	end := from + p.options.pageRows
+	end := from + p.options.pageSize
 	for i := from; i < len(p.options.endpoints) && i < end; i++ {
-		if row := p.row(p.options.endpoints[i]); row != nil {
+		if row := p.endpointRow(p.options.endpoints[i]); row != nil {
 			page.InstanceList.RowList = append(page.InstanceList.RowList, row)
 		}
 	}
@@ -76,10 +83,11 @@
 	return page
 }
 
-// row asks an endpoint for its id and health; it is nil if the endpoint doesn't
-// answer.
-func (p *platform) row(listed string) []any {
-	parts := strings.Split(listed, ",")
+// endpointRow checks the health of the endpoint that description, in the form
+// "service,site,address", names and returns its row. It returns nil if description is
+// malformed or the endpoint does not answer.
+func (p *platform) endpointRow(description string) []any {
+	parts := strings.Split(description, ",")
 	if len(parts) != 3 {
 		return nil
 	}
@@ -93,5 +101,5 @@
 	if response.StatusCode != http.StatusOK {
 		state = stateDraining
 	}
-	return []any{response.Header.Get(headerInstanceID), service, zone, address, softwareVersion, listedSlots, state, 0}
+	return []any{response.Header.Get(headerInstanceID), service, zone, address, softwareVersion, reportedSlots, state, 0}
 }
