--- a/cmd/corkcove/estimate.go
+++ b/cmd/corkcove/estimate.go
@@ -121,7 +121,7 @@
 		if s.Rate > 0 {
 			percent = 100 * s.Moved / s.Rate
 		}
-		fmt.Fprintf(b, "%-28s %-16s %-10s %10.2f %10.2f %6.1f%%\n", s.From, s.Route, s.Kind, s.Rate, s.Moved, percent)
+		fmt.Fprintf(b, "%-28s %-16s %-10s %10.2f %10.2f %6.1f%%\n", s.OriginNode, s.Route, s.Kind, s.Rate, s.Moved, percent)
 		total := totals[s.Kind]
 		totals[s.Kind] = rateChange{total.before + s.Rate, total.after + s.Moved}
 	}
--- a/internal/loadestimate/calibrate.go
+++ b/internal/loadestimate/calibrate.go
@@ -6,21 +6,22 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// relativeLatencies are how long endpoints take over the mean of their routes, by
-// endpoint.
+// relativeLatencies maps the ID of an endpoint to the ratio of its latency to the
+// mean latency of the routes that it serves.
 type relativeLatencies map[string]float64
 
-// of returns an endpoint's relative latency; one that was not measured is taken
-// to be like the others of its service.
-func (l relativeLatencies) of(endpoint *meshpb.Endpoint, all []*meshpb.Endpoint) float64 {
+// forEndpoint returns the relative latency of an endpoint. For an endpoint
+// without measurements it returns the mean over its service.
+func (l relativeLatencies) forEndpoint(endpoint *meshpb.Endpoint, all []*meshpb.Endpoint) float64 {
 	if latency, ok := l[endpoint.Id]; ok {
 		return latency
 	}
-	return l.meanOf(endpoint.Service, all)
+	return l.serviceMean(endpoint.Service, all)
 }
 
-// meanOf is the mean over a service's endpoints, each counted once.
-func (l relativeLatencies) meanOf(service string, all []*meshpb.Endpoint) float64 {
+// serviceMean returns the unweighted mean over the measured endpoints of a service,
+// or 1 if none was measured.
+func (l relativeLatencies) serviceMean(service string, all []*meshpb.Endpoint) float64 {
 	sum, n := 0.0, 0.0
 	for _, e := range all {
 		if latency, ok := l[e.Id]; ok && e.Service == service {
@@ -34,43 +35,45 @@
 	return sum / n
 }
 
-// measuredLatencies are those that the nodes measured; they hold what requests
-// wait for a slot.
+// measuredLatencies returns the relative latencies that the nodes measured. They
+// include the time that requests wait for a slot.
 func measuredLatencies(origins []Origin, demands []demand) relativeLatencies {
 	loads := routeLoads(demands)
-	took, expected := map[string]float64{}, map[string]float64{}
+	latencySums, expectedSums := map[string]float64{}, map[string]float64{}
 	for _, origin := range origins {
 		for _, flow := range origin.Flows {
 			load := loads[flow.Route]
-			took[flow.Endpoint] += flow.PerS * flow.WorkMs
-			expected[flow.Endpoint] += flow.PerS * load.workMs / load.rate
+			latencySums[flow.Endpoint] += flow.PerS * flow.WorkMs
+			expectedSums[flow.Endpoint] += flow.PerS * load.latencyMsPerS / load.rate
 		}
 	}
 	out := relativeLatencies{}
-	for id, ms := range took {
-		out[id] = ms / max(expected[id], minDivisor)
+	for id, ms := range latencySums {
+		out[id] = ms / max(expectedSums[id], minDivisor)
 	}
 	return out
 }
 
-// calibrate simulates the present until its latencies come near the measured
-// ones. It returns the shares of the last simulation, and the latencies that
-// endpoints work with when nothing waits.
-func calibrate(origins []Origin, demands []demand, endpoints []*meshpb.Endpoint, options Options) (map[demandEndpoint]float64, relativeLatencies) {
+// calibrate simulates the current endpoints calibrationRounds times and adjusts
+// their service times after each round, so that the simulated latencies approach
+// the measured ones. It returns the shares of the last simulation and the
+// calibrated relative latencies, which exclude the time spent in the queue.
+func calibrate(origins []Origin, demands []demand, endpoints []*meshpb.Endpoint, options Options) (map[demandEndpointKey]float64, relativeLatencies) {
 	measured := measuredLatencies(origins, demands)
 	latencies := measured
-	var shares map[demandEndpoint]float64
+	var shares map[demandEndpointKey]float64
 	for range calibrationRounds {
 		result := simulate(origins, demands, endpoints, latencies, options)
 		shares = result.shares
-		latencies = latencies.corrected(measured, result.latencies)
+		latencies = latencies.adjusted(measured, result.latencies)
 	}
 	return shares, latencies
 }
 
-// corrected goes half the way, as a ratio, from the simulated latencies to the
-// measured ones.
-func (l relativeLatencies) corrected(measured, simulated relativeLatencies) relativeLatencies {
+// adjusted returns the latencies scaled by the square root of measured over
+// simulated, which closes half of the gap on a logarithmic scale. An endpoint
+// without a simulated latency keeps its value.
+func (l relativeLatencies) adjusted(measured, simulated relativeLatencies) relativeLatencies {
 	out := relativeLatencies{}
 	for id, latency := range l {
 		out[id] = latency
--- a/internal/loadestimate/check.go
+++ b/internal/loadestimate/check.go
@@ -6,20 +6,25 @@
 	"slices"
 )
 
-// Deviation holds, for one route, the share of requests that an estimate moves
-// beside the share that moved.
+// Deviation compares, for one route, the share of requests that an estimate
+// predicted to move with the share that did. All shares are between 0 and 1,
+// rounded to three decimals.
 type Deviation struct {
+	// Route is the route's name, Kind its kind as text.
 	Route string `json:"binding"`
 	Kind  string `json:"kind"`
-	// Forecast and Measured are the shares of requests that go to another endpoint.
+	// Forecast and Measured are the predicted and the observed share of requests
+	// that go to another endpoint than before the change.
 	Forecast float64 `json:"foretold"`
 	Measured float64 `json:"measured"`
-	// Difference is the share of requests that are not at the endpoint that they
-	// were forecast for.
+	// Difference is the share of requests that reached another endpoint than
+	// predicted: half the sum of the differences over all endpoints.
 	Difference float64 `json:"off"`
 }
 
-// Check holds an estimate against the flows that were measured after the change.
+// Check compares an estimate with the flows measured after the change. It returns
+// one deviation per route, sorted by route; routes without measured flows or
+// without predicted requests are left out.
 func Check(estimate Estimate, origins []Origin) []Deviation {
 	before, after, measured := newEndpointShares(), newEndpointShares(), newEndpointShares()
 	kinds := map[string]string{}
@@ -32,7 +37,7 @@
 	}
 	for _, origin := range origins {
 		for _, flow := range origin.Flows {
-			measured.add(flow.Route, estimatedName(flow.Endpoint, known, estimate.Change), flow.PerS)
+			measured.add(flow.Route, estimatedID(flow.Endpoint, known, estimate.Change), flow.PerS)
 		}
 	}
 	var out []Deviation
@@ -40,7 +45,7 @@
 		if measured.totals[route] == 0 || after.totals[route] == 0 {
 			continue
 		}
-		d := deviation(route, before, after, measured)
+		d := routeDeviation(route, before, after, measured)
 		d.Kind = kind
 		out = append(out, d)
 	}
@@ -48,16 +53,19 @@
 	return out
 }
 
-// estimatedName takes an endpoint that the estimate does not have for the one
-// that was to be added, whose name was not known then.
-func estimatedName(endpoint string, known map[string]bool, change Change) string {
+// estimatedID returns the ID under which an endpoint appears in the estimate. An
+// endpoint that the estimate does not contain is taken to be the added one, whose
+// real ID was not known when the estimate was made.
+func estimatedID(endpoint string, known map[string]bool, change Change) string {
 	if !known[endpoint] && change.Add != nil && change.Add.Id != "" {
 		return change.Add.Id
 	}
 	return endpoint
 }
 
-func deviation(route string, before, after, measured endpointShares) Deviation {
+// routeDeviation compares the predicted and the measured shares of one route; it
+// leaves Kind empty.
+func routeDeviation(route string, before, after, measured endpointShares) Deviation {
 	d := Deviation{Route: route}
 	endpoints := map[string]bool{}
 	for id := range after.rates[route] {
@@ -67,16 +75,17 @@
 		endpoints[id] = true
 	}
 	for id := range endpoints {
-		was, forecast, got := before.share(route, id), after.share(route, id), measured.share(route, id)
-		d.Forecast += max(was-forecast, 0)
-		d.Measured += max(was-got, 0)
-		d.Difference += math.Abs(forecast-got) / 2
+		shareBefore, forecastShare, measuredShare := before.share(route, id), after.share(route, id), measured.share(route, id)
+		d.Forecast += max(shareBefore-forecastShare, 0)
+		d.Measured += max(shareBefore-measuredShare, 0)
+		d.Difference += math.Abs(forecastShare-measuredShare) / 2
 	}
 	d.Forecast, d.Measured, d.Difference = round(d.Forecast), round(d.Measured), round(d.Difference)
 	return d
 }
 
-// endpointShares adds up rates by route and endpoint.
+// endpointShares accumulates request rates by route and endpoint, and the total
+// of each route.
 type endpointShares struct {
 	rates  map[string]map[string]float64
 	totals map[string]float64
@@ -94,6 +103,8 @@
 	s.totals[route] += rate
 }
 
+// share returns the endpoint's fraction of the route's requests. It is NaN if the
+// route has no requests.
 func (s endpointShares) share(route, endpoint string) float64 {
 	return s.rates[route][endpoint] / s.totals[route]
 }
--- a/internal/loadestimate/doc.go
+++ b/internal/loadestimate/doc.go
@@ -1,21 +1,21 @@
-// Package loadestimate estimates, before an endpoint is added or retired, which
-// requests would go to another one.
+// Package loadestimate predicts how traffic is redistributed when an endpoint is
+// added or retired.
 //
 // # Model
 //
-// Nodes report the flows that they send: requests per second by route and
-// endpoint, with their latency. Run plays these flows against the load balancer
-// of the proxies in a discrete-event simulation, once with the present
-// endpoints and once with those after the change. Endpoints are queues with as
-// many servers as they have slots; how fast each works is calibrated until the
-// simulation of the present gives the latencies that were measured. What the
-// estimate says of an endpoint is its measured rate, scaled by how its simulated
-// share changes.
+// Each node reports the flows that it sends: requests per second by route and
+// endpoint, with their mean latency. Run feeds these flows through the proxies'
+// load balancer in a discrete-event simulation, once with the current endpoints
+// and once with the endpoints after the change. Each endpoint is modeled as a
+// queue with one server per slot. The service times of the endpoints are
+// calibrated over a fixed number of rounds, so that the simulated latencies of
+// the current endpoints approach the measured ones. The predicted rate of an
+// endpoint is its measured rate, scaled by the change of its simulated share.
 //
-// Check holds an estimate against flows that were measured after the change.
+// Check compares an estimate with the flows measured after the change.
 //
 // # State
 //
-// Run and Check keep no state, run on the caller's goroutine and do no I/O; the
-// same seed gives the same estimate.
+// Run and Check keep no state, run on the caller's goroutine and do no I/O. The
+// same input with the same seed gives the same estimate.
 package loadestimate
--- a/internal/loadestimate/stored_json_test.go
+++ b/internal/loadestimate/stored_json_test.go
@@ -7,9 +7,10 @@
 	"corkcove/internal/jsontest"
 )
 
-// The files were written by the code of commit 242832a, from values that have
-// every field set; of an added endpoint those that `estimate add` sets.
-func TestJSONKeysOf242832aAreKept(t *testing.T) {
+// Estimates that an earlier version saved must stay readable. The files were
+// written by commit 242832a from values with all fields set; of an added endpoint,
+// only the fields that `estimate add` sets.
+func TestStoredJSONKeysAreUnchanged(t *testing.T) {
 	for file, v := range map[string]any{
 		"estimate.json": &Estimate{},
 		"check.json":    &[]Deviation{},
