--- a/cmd/corkcove/check.go
+++ b/cmd/corkcove/check.go
@@ -9,19 +9,21 @@
 )
 
 func registerCheck(c *commandLine) {
-	command := c.app.Command("check", "Check a settings file, or with --config a configuration; exit code 1 if it is wrong.")
-	role := command.Flag("role", "Role whose settings are checked.").Default(roleSidecar).Enum(roleSidecar, roleCore, roleEdge)
-	isConfig := command.Flag("config", "The file is an operator's configuration.").Bool()
-	file := command.Arg("file", "The file.").Required().String()
+	command := c.app.Command("check", "Validate a settings file or, with --config, a mesh configuration. Exits with code 1 if it is invalid.")
+	role := command.Flag("role", "Role that the settings file is for.").Default(roleSidecar).Enum(roleSidecar, roleCore, roleEdge)
+	isConfig := command.Flag("config", "Validate the file as a mesh configuration in JSON.").Bool()
+	file := command.Arg("file", "File to validate.").Required().String()
 	c.handle(command, func() error {
 		if *isConfig {
-			return checked(checkConfig(*file))
+			return printCheckResult(checkConfig(*file))
 		}
-		return checked(checkSettings(*file, *role))
+		return printCheckResult(checkSettings(*file, *role))
 	})
 }
 
-func checked(err error) error {
+// printCheckResult prints "ok" if err is nil and wraps it in a checkError
+// otherwise.
+func printCheckResult(err error) error {
 	if err != nil {
 		return &checkError{err}
 	}
--- a/cmd/corkcove/commandline.go
+++ b/cmd/corkcove/commandline.go
@@ -10,42 +10,44 @@
 	"corkcove/internal/settings"
 )
 
-// globalOptions are the flags that all commands know.
+// globalOptions holds the flags shared by all commands.
 type globalOptions struct {
-	// settingsFile is empty if the environment names the file.
+	// settingsFile is the path of the settings file; if empty, the environment
+	// variable settings.PathVariable gives the path.
 	settingsFile string
-	// verbose writes log entries as they are logged.
+	// verbose writes each log entry immediately.
 	verbose bool
-	// coreAddresses are the internal addresses of core nodes that tools ask.
+	// coreAddresses are the internal addresses of the core nodes that the tools
+	// query.
 	coreAddresses []string
-	// json makes tools print JSON.
+	// json makes the tools print JSON instead of text.
 	json bool
 }
 
-// commandLine has the commands, and runs the one that was given.
+// commandLine registers all commands and runs the selected one.
 type commandLine struct {
 	app    *kingpin.Application
 	global globalOptions
-	// runs has for each full name of a command what runs it.
-	runs map[string]func() error
+	// handlers maps the full name of a command to its handler.
+	handlers map[string]func() error
 }
 
 func newCommandLine() *commandLine {
 	c := &commandLine{
-		app:  kingpin.New("corkcove", "A service mesh and API gateway: sidecars or edges carry the traffic, core nodes keep the control state."),
-		runs: map[string]func() error{},
+		app:      kingpin.New("corkcove", "A service mesh and API gateway: sidecars and edges proxy the traffic, core nodes store the control state."),
+		handlers: map[string]func() error{},
 	}
 	c.app.HelpFlag.Short('h')
-	c.app.Flag("settings", "Settings file; default: the file named in "+settings.PathVariable+".").StringVar(&c.global.settingsFile)
-	c.app.Flag("verbose", "Write each log entry out as it comes, not only on trouble.").BoolVar(&c.global.verbose)
-	formerName(c.app, "chatty").BoolVar(&c.global.verbose)
-	c.app.Flag("core", "Internal address of a core node, for the tools; may be repeated. Default: the seeds in the settings file.").StringsVar(&c.global.coreAddresses)
-	c.app.Flag("json", "Tools print JSON.").BoolVar(&c.global.json)
+	c.app.Flag("settings", "Path of the settings file. Default: the value of "+settings.PathVariable+".").StringVar(&c.global.settingsFile)
+	c.app.Flag("verbose", "Write each log entry immediately, not only when a problem occurs.").BoolVar(&c.global.verbose)
+	deprecatedFlag(c.app, "chatty").BoolVar(&c.global.verbose)
+	c.app.Flag("core", "Internal address of a core node that the tools query; may be repeated. Default: the seeds in the settings file.").StringsVar(&c.global.coreAddresses)
+	c.app.Flag("json", "Print the output of tools as JSON.").BoolVar(&c.global.json)
 	c.registerAll()
 	return c
 }
 
-// registerAll registers the commands in the order of the help.
+// registerAll registers the commands in the order in which the help lists them.
 func (c *commandLine) registerAll() {
 	registerSidecar(c)
 	registerCore(c)
@@ -61,12 +63,12 @@
 	registerEstimate(c)
 }
 
-// handle makes run run the command.
+// handle sets the handler of a command.
 func (c *commandLine) handle(command *kingpin.CmdClause, run func() error) {
-	c.runs[command.FullCommand()] = run
+	c.handlers[command.FullCommand()] = run
 }
 
-// handleTool makes run run a command that asks the core.
+// handleTool sets the handler of a command that queries the core.
 func (c *commandLine) handleTool(command *kingpin.CmdClause, run func(*coreClient) error) {
 	c.handle(command, func() error {
 		client, err := newCoreClient(&c.global)
@@ -77,14 +79,15 @@
 	})
 }
 
-// run ends the process if the arguments can't be parsed.
+// run parses the arguments and runs the selected command. It exits the process
+// if the arguments are invalid.
 func (c *commandLine) run(args []string) error {
 	selected := kingpin.MustParse(c.app.Parse(args))
-	return c.runs[selected]()
+	return c.handlers[selected]()
 }
 
-// printResult prints what a tool found: as JSON if that was asked for, else the
-// text.
+// printResult prints the result of a tool as JSON if --json was given, and as
+// text otherwise.
 func (g *globalOptions) printResult(result any, text string) error {
 	if !g.json {
 		_, err := fmt.Print(text)
@@ -95,14 +98,14 @@
 	return encoder.Encode(result)
 }
 
-// flagParent is a command or the application.
+// flagParent is what flags are registered on: a command or the application.
 type flagParent interface {
 	Flag(name, help string) *kingpin.FlagClause
 }
 
-// formerName registers the name that a flag had in earlier releases. It goes on
-// working and isn't shown in the help. Its variable is that of the flag, from
-// which it has its default as well.
-func formerName(parent flagParent, name string) *kingpin.FlagClause {
+// deprecatedFlag registers the name that a flag had in earlier releases. The old
+// name still works but is hidden from the help. The caller binds it to the
+// variable of the current flag, which also supplies the default.
+func deprecatedFlag(parent flagParent, name string) *kingpin.FlagClause {
 	return parent.Flag(name, "").Hidden()
 }
--- a/cmd/corkcove/commandline_test.go
+++ b/cmd/corkcove/commandline_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// findFlag looks a flag up in a command such as "replay run", or in the
-// application if the command is "".
+// findFlag returns a flag of a command such as "replay run", or of the application
+// if command is "".
 func findFlag(t *testing.T, c *commandLine, command, name string) *kingpin.FlagModel {
 	t.Helper()
 	model := c.app.Model()
@@ -31,10 +31,12 @@
 	return nil
 }
 
-func TestFormerFlagNamesSetTheFlagAndAreHidden(t *testing.T) {
+// A flag name of an earlier release must set the current flag, must not change its
+// default, and must be hidden from the help.
+func TestDeprecatedFlagNamesSetTheFlagAndAreHidden(t *testing.T) {
 	for _, flag := range []struct {
-		command, former, name, value, set, unset string
-		args                                     []string
+		command, deprecated, name, value, set, defaultValue string
+		args                                                []string
 	}{
 		{"", "chatty", "verbose", "", "true", "false", []string{"version"}},
 		{"replay run", "options", "retry-settings", "file", "file", "", []string{"replay", "run", "f"}},
@@ -49,15 +51,15 @@
 		{"replay compare", "any", "any-config", "", "true", "false", []string{"replay", "compare", "f", "g"}},
 		{"replay compare", "most", "limit", "7", "7", "40", []string{"replay", "compare", "f", "g"}},
 	} {
-		t.Run(flag.command+" "+flag.former, func(t *testing.T) {
+		t.Run(flag.command+" "+flag.deprecated, func(t *testing.T) {
 			c := newCommandLine()
 			_, err := c.app.Parse(flag.args)
 			qt.Assert(t, err, qt.IsNil)
-			standard := findFlag(t, c, flag.command, flag.name)
-			qt.Check(t, standard.Value.String(), qt.Equals, flag.unset)
-			qt.Check(t, standard.Hidden, qt.IsFalse)
-			qt.Check(t, findFlag(t, c, flag.command, flag.former).Hidden, qt.IsTrue)
-			for _, name := range []string{flag.name, flag.former} {
+			current := findFlag(t, c, flag.command, flag.name)
+			qt.Check(t, current.Value.String(), qt.Equals, flag.defaultValue)
+			qt.Check(t, current.Hidden, qt.IsFalse)
+			qt.Check(t, findFlag(t, c, flag.command, flag.deprecated).Hidden, qt.IsTrue)
+			for _, name := range []string{flag.name, flag.deprecated} {
 				c := newCommandLine()
 				given := append(append([]string{}, flag.args...), "--"+name)
 				if flag.value != "" {
@@ -71,7 +73,8 @@
 	}
 }
 
-func TestEachCommandHasARun(t *testing.T) {
+// A command that is registered without a handler would parse and then panic.
+func TestEachCommandHasAHandler(t *testing.T) {
 	c := newCommandLine()
 	var check func(prefix string, commands []*kingpin.CmdModel)
 	check = func(prefix string, commands []*kingpin.CmdModel) {
@@ -82,7 +85,7 @@
 				continue
 			}
 			if name != "help" {
-				qt.Check(t, c.runs[name], qt.IsNotNil, qt.Commentf("%s", name))
+				qt.Check(t, c.handlers[name], qt.IsNotNil, qt.Commentf("%s", name))
 			}
 		}
 	}
--- a/cmd/corkcove/erroroutput_test.go
+++ b/cmd/corkcove/erroroutput_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestErrorOutputKeepsItsForms(t *testing.T) {
+func TestErrorOutputFormats(t *testing.T) {
 	cause := errors.New("it broke")
 	for want, err := range map[string]error{
-		"it broke":                checked(cause),
+		"it broke":                printCheckResult(cause),
 		"corkcove core: it broke": &roleError{roleCore, cause},
 		"corkcove: it broke":      cause,
 		"corkcove: x: it broke":   fmt.Errorf("x: %w", cause),
