--- a/cmd/corkcove/coreclient.go
+++ b/cmd/corkcove/coreclient.go
@@ -15,26 +15,28 @@
 	"corkcove/internal/settings"
 )
 
-// defaultParallelCalls is how many nodes a tool asks at once.
+// defaultParallelCalls is how many nodes a tool queries concurrently.
 const defaultParallelCalls = 16
 
-// Tests of the whole program, which run on real time, lengthen these.
+// These are variables because the end-to-end tests, which run in real time,
+// increase them.
 var (
-	// toolCallTimeout bounds each call of a tool.
+	// toolCallTimeout is the timeout of each call that a tool makes.
 	toolCallTimeout = 2 * time.Second
-	// toolDialTimeout bounds the making of a tool's connection.
+	// toolDialTimeout is the timeout for establishing a connection.
 	toolDialTimeout = time.Second
 )
 
-// errNoMaster says that no core node that answered is the master, so that
-// neither the nodes nor the view are known.
-var errNoMaster = errors.New("there is no master now, so the nodes and the view are not known")
+// errNoMaster is returned if none of the core nodes that responded is the
+// master, so that the nodes and the view are unknown.
+var errNoMaster = errors.New("no master among the core nodes that responded, so the nodes and the view are unknown")
 
-// coreClient asks the core, and through it all nodes, for a tool.
+// coreClient queries the core nodes on behalf of a tool, and the traffic nodes
+// that the core knows.
 type coreClient struct {
 	*globalOptions
 	clients *rpc.Clients
-	// seeds are the internal addresses of the core nodes that are asked first.
+	// seeds are the internal addresses of the core nodes that are queried first.
 	seeds []string
 }
 
@@ -47,7 +49,7 @@
 		}
 		options, err := settings.Load(file, "")
 		if err != nil {
-			return nil, fmt.Errorf("no --core was given, and the settings name none: %w", err)
+			return nil, fmt.Errorf("no --core given, and the seeds can't be read from the settings file: %w", err)
 		}
 		seeds = options.SeedInternalAddrs()
 	}
@@ -55,8 +57,9 @@
 	return &coreClient{globalOptions: global, clients: rpc.NewClients(&http.Client{Transport: transport}), seeds: seeds}, nil
 }
 
-// coreStatuses asks each core node that is a seed or that one of them names; the
-// master's answer comes first.
+// coreStatuses queries the seeds and every core member that they report. It
+// returns the statuses of the nodes that responded, the master's first, and fails
+// if none did.
 func (c *coreClient) coreStatuses() ([]*meshpb.StatusResponse, error) {
 	asked := map[string]bool{}
 	queue := slices.Clone(c.seeds)
@@ -80,13 +83,13 @@
 		}
 	}
 	if len(statuses) == 0 {
-		return nil, fmt.Errorf("no core node answers at %s: %w", strings.Join(c.seeds, ", "), lastErr)
+		return nil, fmt.Errorf("no core node answers at %s, last error: %w", strings.Join(c.seeds, ", "), lastErr)
 	}
 	sort.SliceStable(statuses, func(i, j int) bool { return statuses[i].Master && !statuses[j].Master })
 	return statuses, nil
 }
 
-// masterStatus returns the master's answer, or errNoMaster.
+// masterStatus returns the master's status, or errNoMaster.
 func (c *coreClient) masterStatus() (*meshpb.StatusResponse, error) {
 	statuses, err := c.coreStatuses()
 	if err != nil {
@@ -98,10 +101,10 @@
 	return statuses[0], nil
 }
 
-// callNodes calls all nodes that the master knows, as many at once as parallel
-// says. It hands on each answer as it comes, one at a time, and returns the
-// names of the nodes that didn't answer.
-func callNodes[Response any](nodes []*meshpb.NodeStatus, parallel int, call func(address string) (Response, error), use func(Response)) (unreachable []string) {
+// callNodes calls all nodes that have an address, at most parallel of them
+// concurrently. It passes the responses to handle one at a time, in the order in
+// which they arrive, and returns the sorted names of the nodes whose call failed.
+func callNodes[Response any](nodes []*meshpb.NodeStatus, parallel int, call func(address string) (Response, error), handle func(Response)) (unreachable []string) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	slots := make(chan struct{}, parallel)
@@ -119,7 +122,7 @@
 				unreachable = append(unreachable, node.Name)
 				return
 			}
-			use(response)
+			handle(response)
 		})
 	}
 	wg.Wait()
--- a/cmd/corkcove/diagnostics.go
+++ b/cmd/corkcove/diagnostics.go
@@ -9,11 +9,12 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// processDiagnostics answers the tools' questions to a core node, which
-// carries no traffic: only its trace has anything.
+// processDiagnostics implements the Diagnostics service of a core node. A core
+// node proxies no traffic, so only Trace returns anything recorded.
 type processDiagnostics struct{ *process }
 
-// Trace returns the steps of a change that this process remembers.
+// Trace returns the recorded steps of a change that are still in the trace ring
+// of this process.
 func (d processDiagnostics) Trace(_ context.Context, request *meshpb.TraceRequest) (*meshpb.TraceResponse, error) {
 	change, err := changetrace.ParseChange(request.Subject)
 	if err != nil {
@@ -23,43 +24,45 @@
 	return &meshpb.TraceResponse{Node: d.options.Self.NodeName, Role: d.role, Lines: events, Known: len(events) > 0}, nil
 }
 
-// Flows returns that no requests were carried.
+// Flows returns no flows: the process proxies no requests.
 func (d processDiagnostics) Flows(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
 	return &meshpb.FlowsResponse{Node: d.options.Self.NodeName, Zone: d.options.Self.ZoneName}, nil
 }
 
-// Sessions returns none.
+// Sessions returns no sessions.
 func (d processDiagnostics) Sessions(context.Context, *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
 	return &meshpb.SessionsResponse{Node: d.options.Self.NodeName}, nil
 }
 
-// RequestRecords returns none.
+// RequestRecords returns no records, only the data of addProcessInfo.
 func (d processDiagnostics) RequestRecords(context.Context, *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
-	return d.newRecordsResponse(&meshpb.RequestRecordsResponse{}), nil
+	return d.addProcessInfo(&meshpb.RequestRecordsResponse{}), nil
 }
 
-// Snapshots returns none.
+// Snapshots returns no snapshots.
 func (d processDiagnostics) Snapshots(context.Context, *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
 	return &meshpb.SnapshotsResponse{}, nil
 }
 
-// newRecordsResponse adds to the records what the process is and which bounds
-// are in force.
-func (d processDiagnostics) newRecordsResponse(response *meshpb.RequestRecordsResponse) *meshpb.RequestRecordsResponse {
+// addProcessInfo sets the node, zone, service, role and retry budget of the
+// process in the response.
+func (d processDiagnostics) addProcessInfo(response *meshpb.RequestRecordsResponse) *meshpb.RequestRecordsResponse {
 	self, bounds := d.options.Self, d.options.Requirements.Bounds
 	response.Node, response.Zone, response.Service, response.Role = self.NodeName, self.ZoneName, self.ServiceName, d.role
 	response.Ratio, response.Slack, response.WindowS = bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindowSeconds
 	return response
 }
 
-// nodeDiagnostics answers the tools' questions to a traffic node.
+// nodeDiagnostics implements the Diagnostics service of a traffic node.
 type nodeDiagnostics struct {
 	processDiagnostics
 	node  *trafficNode
 	flows *proxy.FlowMeter
 	// preferredEndpoints is how many endpoints of a service the node prefers; 0
-	// is all.
-	preferredEndpoints       uint32
+	// means all.
+	preferredEndpoints uint32
+	// remoteWeight and bulkWeight are the load balancer's factors for endpoints in
+	// other zones.
 	remoteWeight, bulkWeight float64
 }
 
@@ -69,28 +72,30 @@
 		remoteWeight: remote, bulkWeight: bulk}
 }
 
-// Flows returns the rates of the requests that began here.
+// Flows returns the rates of the requests that this node has sent recently.
 func (d nodeDiagnostics) Flows(context.Context, *meshpb.FlowsRequest) (*meshpb.FlowsResponse, error) {
 	flows, window := d.flows.Report()
 	return &meshpb.FlowsResponse{Node: d.options.Self.NodeName, Zone: d.options.Self.ZoneName, RemoteWeight: d.remoteWeight, BulkWeight: d.bulkWeight,
 		Flows: flows, WindowS: window.Seconds()}, nil
 }
 
-// Sessions returns the open sessions, and their moves since a configuration.
+// Sessions returns the open sessions, and the moves since the configuration
+// version in the request.
 func (d nodeDiagnostics) Sessions(_ context.Context, request *meshpb.SessionsRequest) (*meshpb.SessionsResponse, error) {
 	response := &meshpb.SessionsResponse{Node: d.options.Self.NodeName, Config: d.node.agent.ConfigVersion()}
 	response.Sessions, response.Moves, response.Dropped = d.node.sessions.Report(request.Since)
 	return response, nil
 }
 
-// RequestRecords returns a page of the records of the last span.
+// RequestRecords returns one page of the records of the requested span.
 func (d nodeDiagnostics) RequestRecords(_ context.Context, request *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
-	response := d.newRecordsResponse(d.node.requestLog.Report(time.Duration(request.SpanUs)*time.Microsecond, request.Offset, request.Limit))
+	response := d.addProcessInfo(d.node.requestLog.Report(time.Duration(request.SpanUs)*time.Microsecond, request.Offset, request.Limit))
 	response.RemoteWeight, response.BulkWeight, response.PreferredEndpoints = d.remoteWeight, d.bulkWeight, d.preferredEndpoints
 	return response, nil
 }
 
-// Snapshots returns the views and configurations that the records name.
+// Snapshots returns the requested views and configurations, as far as the request
+// log still has them.
 func (d nodeDiagnostics) Snapshots(_ context.Context, request *meshpb.SnapshotsRequest) (*meshpb.SnapshotsResponse, error) {
 	return d.node.requestLog.Snapshots(request), nil
 }
--- a/cmd/corkcove/estimate.go
+++ b/cmd/corkcove/estimate.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	// estimateDuration is how much traffic an estimate simulates.
+	// estimateDuration is the simulated time of an estimate.
 	estimateDuration = 120 * time.Second
-	// estimateSeed makes two estimates of the same flows equal.
+	// estimateSeed is fixed so that equal flows give equal estimates.
 	estimateSeed = 1
-	// addedEndpoint names the endpoint, and its node, that doesn't exist yet.
+	// addedEndpoint is the placeholder for the ID and node name of an endpoint that
+	// doesn't exist yet.
 	addedEndpoint = "to-be-added"
 )
 
 func registerEstimate(c *commandLine) {
-	estimate := c.app.Command("estimate", "Tell which requests would go to another endpoint before one is added or retired.")
+	estimate := c.app.Command("estimate", "Estimate which requests would move to another endpoint if one were added or retired.")
 	retire := estimate.Command("retire", "Estimate the retirement of a node or endpoint.")
-	retired := retire.Arg("node", "The node's name or the endpoint's id.").Required().String()
-	retireFile := retire.Flag("save", "Keep the estimate in a file for check.").String()
+	retired := retire.Arg("node", "Node name or endpoint ID.").Required().String()
+	retireFile := retire.Flag("save", "Save the estimate to this file for check.").String()
 	c.handleTool(retire, func(client *coreClient) error {
 		return runEstimate(client, loadestimate.Change{Retire: *retired}, *retireFile)
 	})
 	add := estimate.Command("add", "Estimate the addition of an endpoint.")
-	service := add.Arg("service", "Its service.").Required().String()
-	zone := add.Arg("site", "Its site.").Required().String()
-	slots := add.Arg("slots", "Its slots.").Required().Uint32()
-	addFile := add.Flag("save", "Keep the estimate in a file for check.").String()
+	service := add.Arg("service", "Service of the endpoint.").Required().String()
+	zone := add.Arg("site", "Site of the endpoint.").Required().String()
+	slots := add.Arg("slots", "Number of slots of the endpoint.").Required().Uint32()
+	addFile := add.Flag("save", "Save the estimate to this file for check.").String()
 	c.handleTool(add, func(client *coreClient) error {
 		added := &meshpb.Endpoint{Id: addedEndpoint, Service: *service, Zone: *zone, Slots: *slots, State: string(lifecycle.Up), Node: addedEndpoint}
 		return runEstimate(client, loadestimate.Change{Add: added}, *addFile)
 	})
-	check := estimate.Command("check", "Hold a kept estimate against the flows of the last seconds.")
-	file := check.Arg("file", "The kept estimate.").Required().String()
-	tolerance := check.Flag("within", "Share of requests that may have gone elsewhere than foretold.").Default("0.1").Float64()
+	check := estimate.Command("check", "Compare a saved estimate with the current flows. Exits with code 1 if a binding deviates by more than --within.")
+	file := check.Arg("file", "Saved estimate.").Required().String()
+	tolerance := check.Flag("within", "Share of a binding's requests, from 0 to 1, that may be at other endpoints than estimated.").Default("0.1").Float64()
 	c.handleTool(check, func(client *coreClient) error { return runEstimateCheck(client, *file, *tolerance) })
 }
 
-// origins asks each node for its flows. One that doesn't answer is named on
-// standard error and left out.
-func (c *coreClient) origins(master *meshpb.StatusResponse) []loadestimate.Origin {
+// fetchOrigins fetches the flows of each node. A node that doesn't respond is
+// reported on standard error and skipped.
+func (c *coreClient) fetchOrigins(master *meshpb.StatusResponse) []loadestimate.Origin {
 	var origins []loadestimate.Origin
 	for _, node := range master.Nodes {
 		if node.Addr == "" {
@@ -57,7 +58,7 @@
 		}
 		r, err := rpc.Call(toolCallTimeout, c.clients.Diagnostics(node.Addr).Flows, &meshpb.FlowsRequest{})
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s did not answer; its requests are left out\n", node.Name)
+			fmt.Fprintf(os.Stderr, "%s did not respond; its requests are not included\n", node.Name)
 			continue
 		}
 		origins = append(origins, loadestimate.Origin{Node: r.Node, Zone: r.Zone, RemoteWeight: r.RemoteWeight, BulkWeight: r.BulkWeight, Flows: r.Flows})
@@ -65,7 +66,7 @@
 	return origins
 }
 
-// servingEndpoints returns the endpoints that are up.
+// servingEndpoints returns the endpoints whose official state is Up.
 func servingEndpoints(master *meshpb.StatusResponse) []*meshpb.Endpoint {
 	var endpoints []*meshpb.Endpoint
 	for _, n := range master.Nodes {
@@ -82,7 +83,7 @@
 		return err
 	}
 	options := loadestimate.Options{Duration: estimateDuration, Seed: estimateSeed}
-	estimate, err := loadestimate.Run(client.origins(master), servingEndpoints(master), change, options)
+	estimate, err := loadestimate.Run(client.fetchOrigins(master), servingEndpoints(master), change, options)
 	if err != nil {
 		return err
 	}
@@ -102,9 +103,14 @@
 	return os.WriteFile(file, append(data, '\n'), 0o644)
 }
 
-// rateChange is a number of requests a second, and what becomes of it.
+// rateChange is the request rate of an endpoint, per second, before and after the
+// estimated change.
 type rateChange struct{ before, after float64 }
 
+// routeTotal sums over routes the request rate and the part of it that would move
+// to another endpoint, both per second.
+type routeTotal struct{ rate, moved float64 }
+
 func estimateText(e loadestimate.Estimate) string {
 	var b strings.Builder
 	writeRouteSummaries(&b, e.Summaries)
@@ -115,7 +121,7 @@
 
 func writeRouteSummaries(b *strings.Builder, summaries []loadestimate.RouteSummary) {
 	fmt.Fprintf(b, "%-28s %-16s %-10s %10s %10s %7s\n", "requests from", "binding", "kind", "a second", "would move", "share")
-	totals := map[string]rateChange{}
+	totals := map[string]routeTotal{}
 	for _, s := range summaries {
 		percent := 0.0
 		if s.Rate > 0 {
@@ -123,10 +129,10 @@
 		}
 		fmt.Fprintf(b, "%-28s %-16s %-10s %10.2f %10.2f %6.1f%%\n", s.From, s.Route, s.Kind, s.Rate, s.Moved, percent)
 		total := totals[s.Kind]
-		totals[s.Kind] = rateChange{total.before + s.Rate, total.after + s.Moved}
+		totals[s.Kind] = routeTotal{total.rate + s.Rate, total.moved + s.Moved}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(totals)) {
-		fmt.Fprintf(b, "all %-40s %21.2f %10.2f\n", kind, totals[kind].before, totals[kind].after)
+		fmt.Fprintf(b, "all %-40s %21.2f %10.2f\n", kind, totals[kind].rate, totals[kind].moved)
 	}
 }
 
@@ -142,7 +148,8 @@
 	}
 }
 
-// runEstimateCheck fails if a route is off by more than the tolerance.
+// runEstimateCheck compares a saved estimate with the current flows. It fails if
+// the deviation of a route exceeds the tolerance, a share from 0 to 1.
 func runEstimateCheck(client *coreClient, file string, tolerance float64) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -150,27 +157,27 @@
 	}
 	var estimate loadestimate.Estimate
 	if err := json.Unmarshal(data, &estimate); err != nil {
-		return fmt.Errorf("%s holds no estimate: %w", file, err)
+		return fmt.Errorf("%s is not a saved estimate: %w", file, err)
 	}
 	master, err := client.masterStatus()
 	if err != nil {
 		return err
 	}
-	deviations := loadestimate.Check(estimate, client.origins(master))
+	deviations := loadestimate.Check(estimate, client.fetchOrigins(master))
 	if len(deviations) == 0 {
-		return fmt.Errorf("none of the bindings in %s has flows now", file)
+		return fmt.Errorf("no binding of the estimate in %s currently has flows", file)
 	}
 	if err := client.printResult(deviations, deviationsText(deviations)); err != nil {
 		return err
 	}
-	exceeding := 0
+	exceeded := 0
 	for _, d := range deviations {
 		if d.Difference > tolerance {
-			exceeding++
+			exceeded++
 		}
 	}
-	if exceeding > 0 {
-		return fmt.Errorf("%d of %d bindings are off by more than %.0f%%", exceeding, len(deviations), 100*tolerance)
+	if exceeded > 0 {
+		return fmt.Errorf("%d of %d bindings deviate from the estimate by more than %.0f%%", exceeded, len(deviations), 100*tolerance)
 	}
 	return nil
 }
--- a/cmd/corkcove/hotkeys.go
+++ b/cmd/corkcove/hotkeys.go
@@ -10,11 +10,12 @@
 )
 
 func registerHotKeys(c *commandLine) {
-	command := c.app.Command("keys", "Show the hot keys: over how many endpoints their reads go, since when and why.")
+	command := c.app.Command("keys", "Show the hot keys: how many endpoints their reads are spread over, since when and why.")
 	c.handleTool(command, runHotKeys)
 }
 
-// runHotKeys shows the master's hot keys, which are hashed with their service.
+// runHotKeys prints the master's hot keys. A key is shown as a hash of the key and
+// its service.
 func runHotKeys(client *coreClient) error {
 	master, err := client.masterStatus()
 	if err != nil {
@@ -24,20 +25,27 @@
 	return client.printResult(report, report.String())
 }
 
-// hotKeyReport is what the keys command prints.
+// hotKeyReport is the output of the keys command.
 type hotKeyReport struct {
-	Hot      []hotKeyRow `json:"hot"`
-	Widened  uint64      `json:"widened"`
-	Narrowed uint64      `json:"narrowed"`
-	Refused  uint64      `json:"refusedForWantOfPlaces"`
+	Hot []hotKeyRow `json:"hot"`
+	// Widened and Narrowed count the changes of a key's width since the present
+	// master took over.
+	Widened  uint64 `json:"widened"`
+	Narrowed uint64 `json:"narrowed"`
+	// Refused counts how often a key was not made hot because hotSet.most keys
+	// already were.
+	Refused uint64 `json:"refusedForWantOfPlaces"`
 }
 
+// hotKeyRow describes one hot key.
 type hotKeyRow struct {
-	// Key is the key's hash in hexadecimal digits.
-	Key            string  `json:"key"`
-	Service        string  `json:"service"`
-	Route          string  `json:"route"`
-	Width          uint32  `json:"width"`
+	// Key is the hash of the key in hexadecimal.
+	Key     string `json:"key"`
+	Service string `json:"service"`
+	Route   string `json:"route"`
+	// Width is how many endpoints the reads are spread over.
+	Width uint32 `json:"width"`
+	// ReadsPerSecond is summed over all nodes; Nodes counts them.
 	ReadsPerSecond float64 `json:"readsPerS"`
 	Nodes          uint32  `json:"nodes"`
 	Since          string  `json:"since"`
@@ -67,7 +75,7 @@
 	return b.String()
 }
 
-// formatMicros formats a time of day, given in microseconds of the Unix epoch.
+// formatMicros formats the time of day in UTC of a Unix time in microseconds.
 func formatMicros(micros int64) string {
 	return time.UnixMicro(micros).UTC().Format("15:04:05.000")
 }
