--- a/cmd/corkcove/replay_save.go
+++ b/cmd/corkcove/replay_save.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// recordsPerCall is how many request records a node is asked for at once.
+	// recordsPerCall is the maximum number of request records per call.
 	recordsPerCall = 2000
-	// maxParallelCalls bounds --parallel.
+	// maxParallelCalls is the upper limit of --parallel.
 	maxParallelCalls = 256
-	// replayBufferBytes is the buffer in front of the file.
+	// replayBufferBytes is the size of the file's write buffer.
 	replayBufferBytes = 1 << 20
 )
 
+// replaySaveOptions are the arguments and flags of replay save.
 type replaySaveOptions struct {
 	file string
 	// span is how far back the records go.
 	span time.Duration
-	// parallel is how many nodes are asked at once.
+	// parallel is how many nodes are queried concurrently.
 	parallel int
 }
 
 func registerReplaySave(c *commandLine, parent *kingpin.CmdClause) {
-	command := parent.Command("save", "Take what all nodes remember into a file.")
+	command := parent.Command("save", "Save the recent request records of all nodes to a file.")
 	var options replaySaveOptions
-	command.Arg("file", "The file.").Required().StringVar(&options.file)
-	command.Flag("span", "How far back.").Default("60s").DurationVar(&options.span)
-	command.Flag("parallel", "How many nodes are asked at once.").Default("16").IntVar(&options.parallel)
+	command.Arg("file", "File to write.").Required().StringVar(&options.file)
+	command.Flag("span", "How far back the records go.").Default("60s").DurationVar(&options.span)
+	command.Flag("parallel", "Number of nodes queried concurrently.").Default("16").IntVar(&options.parallel)
 	c.handleTool(command, func(client *coreClient) error { return runReplaySave(client, options) })
 }
 
+// check returns an error if a flag is out of range.
 func (o replaySaveOptions) check() error {
 	if o.span <= 0 {
-		return fmt.Errorf("--span: %v must be above 0", o.span)
+		return fmt.Errorf("--span: %v must be positive", o.span)
 	}
 	if o.parallel < 1 || o.parallel > maxParallelCalls {
-		return fmt.Errorf("--parallel: %d must be from 1 to %d", o.parallel, maxParallelCalls)
+		return fmt.Errorf("--parallel: %d must be between 1 and %d", o.parallel, maxParallelCalls)
 	}
 	return nil
 }
 
-// runReplaySave takes what all nodes remember of the last span into one file,
-// node by node as they answer. The file is there only if it is whole, but may
-// lack nodes, which then is an error.
+// runReplaySave saves the request records of the last span of all nodes to one
+// file, which appears only once it is complete. If some nodes don't respond, the
+// file lacks their records and runReplaySave returns an error.
 func runReplaySave(client *coreClient, options replaySaveOptions) error {
 	if err := options.check(); err != nil {
 		return err
@@ -62,31 +64,31 @@
 	if err != nil {
 		return err
 	}
-	recorder, unreachable, err := writeReplayFile(client, master, options)
+	recording, unreachable, err := writeReplayFile(client, master, options)
 	if err != nil {
 		return err
 	}
-	recorder.printSummary(options.file)
+	recording.printSummary(options.file)
 	for _, name := range unreachable {
-		fmt.Fprintf(os.Stderr, "%s did not answer; its requests are missing\n", name)
+		fmt.Fprintf(os.Stderr, "%s did not respond; its requests are not included\n", name)
 	}
 	if len(unreachable) > 0 {
-		return fmt.Errorf("%d nodes did not answer", len(unreachable))
+		return fmt.Errorf("%d nodes did not respond", len(unreachable))
 	}
-	if recorder.requests == 0 {
-		return fmt.Errorf("no node carried a request in the last %v, or none keeps a record", options.span)
+	if recording.requests == 0 {
+		return fmt.Errorf("no requests recorded in the last %v: the nodes sent none, or none of them keeps request records", options.span)
 	}
 	return nil
 }
 
-// writeReplayFile writes a temporary file and, once it is whole and synced,
-// renames it.
-func writeReplayFile(client *coreClient, master *meshpb.StatusResponse, options replaySaveOptions) (*replayRecorder, []string, error) {
+// writeReplayFile writes a temporary file and renames it once it is complete and
+// synced. It returns the names of the nodes that didn't respond.
+func writeReplayFile(client *coreClient, master *meshpb.StatusResponse, options replaySaveOptions) (*recordingWriter, []string, error) {
 	file, err := os.CreateTemp(filepath.Dir(options.file), ".replay-*")
 	if err != nil {
 		return nil, nil, err
 	}
-	// Neither has anything to do, and so fails, after the file was renamed.
+	// After the rename both calls fail, which is harmless.
 	defer func() { _ = os.Remove(file.Name()) }()
 	defer func() { _ = file.Close() }()
 	buffer := bufio.NewWriterSize(file, replayBufferBytes)
@@ -94,12 +96,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	recorder := newReplayRecorder(client, writer, master.Nodes)
+	recording := newRecordingWriter(client, writer, master.Nodes)
 	unreachable := callNodes(master.Nodes, options.parallel, func(address string) (*meshpb.RequestRecordsResponse, error) {
 		return client.requestRecords(address, options.span)
-	}, recorder.add)
-	if recorder.err != nil {
-		return nil, nil, recorder.err
+	}, recording.add)
+	if recording.err != nil {
+		return nil, nil, recording.err
 	}
 	trailer := &meshpb.ReplayTrailer{CreatedUs: time.Now().UnixMicro(), SpanUs: options.span.Microseconds(), Unreachable: unreachable}
 	if err := writer.Close(trailer); err != nil {
@@ -111,10 +113,10 @@
 	if err := file.Sync(); err != nil {
 		return nil, nil, err
 	}
-	return recorder, unreachable, os.Rename(file.Name(), options.file)
+	return recording, unreachable, os.Rename(file.Name(), options.file)
 }
 
-// requestRecords asks a node for its records, page by page.
+// requestRecords fetches all pages of a node's records.
 func (c *coreClient) requestRecords(address string, span time.Duration) (*meshpb.RequestRecordsResponse, error) {
 	var all *meshpb.RequestRecordsResponse
 	request := &meshpb.RequestRecordsRequest{SpanUs: span.Microseconds(), Limit: recordsPerCall}
@@ -135,64 +137,71 @@
 	}
 }
 
-// viewID names a view that a node had.
-type viewID struct{ epoch, version uint64 }
+// viewKey identifies a view.
+type viewKey struct{ epoch, version uint64 }
 
-// replayRecorder writes nodes' records in the order that they come, one node at
-// a time, and with them each view and configuration once.
-type replayRecorder struct {
-	client    *coreClient
-	writer    *replay.Writer
+// recordingWriter writes the records of the nodes in the order in which they
+// arrive, and once each view and configuration that the records refer to. It is
+// not safe for concurrent use.
+type recordingWriter struct {
+	client *coreClient
+	writer *replay.Writer
+	// addresses maps the name of a node to its address.
 	addresses map[string]string
-	views     map[viewID]bool
-	configs   map[uint64]bool
-	nodes     int
-	requests  int
-	// lossyNodes counts the nodes that no longer have the whole span, maxLost is
-	// the most that one of them lacks.
-	lossyNodes int
-	maxLost    time.Duration
-	// err is the first error of the writer; nothing is written after it.
+	// views and configs are those already written, configs by version.
+	views   map[viewKey]bool
+	configs map[uint64]bool
+	// nodes and requests count what was written.
+	nodes    int
+	requests int
+	// incompleteNodes counts the nodes whose ring no longer covers the whole span;
+	// longestGap is the longest part of the span that one of them has lost.
+	incompleteNodes int
+	longestGap      time.Duration
+	// err is the first error of the writer; after it, nothing more is written.
 	err error
 }
 
-func newReplayRecorder(client *coreClient, writer *replay.Writer, nodes []*meshpb.NodeStatus) *replayRecorder {
+func newRecordingWriter(client *coreClient, writer *replay.Writer, nodes []*meshpb.NodeStatus) *recordingWriter {
 	addresses := map[string]string{}
 	for _, n := range nodes {
 		addresses[n.Name] = n.Addr
 	}
-	return &replayRecorder{client: client, writer: writer, addresses: addresses, views: map[viewID]bool{}, configs: map[uint64]bool{}}
+	return &recordingWriter{client: client, writer: writer, addresses: addresses, views: map[viewKey]bool{}, configs: map[uint64]bool{}}
 }
 
-// add writes a node's records, and the views and configurations in them that
-// aren't in the file yet.
-func (r *replayRecorder) add(records *meshpb.RequestRecordsResponse) {
+// add writes a node's records, and the views and configurations that they refer to
+// and that aren't in the file yet.
+func (r *recordingWriter) add(records *meshpb.RequestRecordsResponse) {
 	if r.err != nil {
 		return
 	}
 	r.nodes++
 	r.requests += len(records.Records)
 	if records.LostUs > 0 {
-		r.lossyNodes++
-		r.maxLost = max(r.maxLost, time.Duration(records.LostUs)*time.Microsecond)
+		r.incompleteNodes++
+		r.longestGap = max(r.longestGap, time.Duration(records.LostUs)*time.Microsecond)
 	}
 	if r.err = r.writer.WriteNode(records); r.err == nil {
 		r.addSnapshots(records)
 	}
 }
 
-func (r *replayRecorder) addSnapshots(records *meshpb.RequestRecordsResponse) {
+// addSnapshots fetches the missing views and configurations from the node that
+// sent the records, and writes them.
+func (r *recordingWriter) addSnapshots(records *meshpb.RequestRecordsResponse) {
 	request := r.missingSnapshots(records)
 	if len(request.Views)+len(request.Configs) == 0 {
 		return
 	}
 	snapshots, err := rpc.Call(toolCallTimeout, r.client.clients.Diagnostics(r.addresses[records.Node]).Snapshots, request)
 	if err != nil {
-		// Another node may still have them.
+		// Ignored: they may still be fetched from another node whose records refer to
+		// them.
 		return
 	}
 	for _, view := range snapshots.Views {
-		r.views[viewID{view.Epoch, view.Version}] = true
+		r.views[viewKey{view.Epoch, view.Version}] = true
 		r.err = errors.Join(r.err, r.writer.WriteView(view))
 	}
 	for _, config := range snapshots.Configs {
@@ -201,10 +210,12 @@
 	}
 }
 
-func (r *replayRecorder) missingSnapshots(records *meshpb.RequestRecordsResponse) *meshpb.SnapshotsRequest {
+// missingSnapshots requests the views and configurations of the records that
+// haven't been written yet.
+func (r *recordingWriter) missingSnapshots(records *meshpb.RequestRecordsResponse) *meshpb.SnapshotsRequest {
 	request := &meshpb.SnapshotsRequest{}
 	for _, view := range records.Views {
-		if !r.views[viewID{view.Epoch, view.Version}] {
+		if !r.views[viewKey{view.Epoch, view.Version}] {
 			request.Views = append(request.Views, view)
 		}
 	}
@@ -216,9 +227,9 @@
 	return request
 }
 
-func (r *replayRecorder) printSummary(file string) {
+func (r *recordingWriter) printSummary(file string) {
 	fmt.Printf("%d requests of %d nodes, %d views, %d configurations in %s\n", r.requests, r.nodes, len(r.views), len(r.configs), file)
-	if r.lossyNodes > 0 {
-		fmt.Printf("%d nodes' rings lost part of the span, %.1f s at most (recordSet.requests)\n", r.lossyNodes, r.maxLost.Seconds())
+	if r.incompleteNodes > 0 {
+		fmt.Printf("%d nodes' rings lost part of the span, %.1f s at most (recordSet.requests)\n", r.incompleteNodes, r.longestGap.Seconds())
 	}
 }
--- a/cmd/corkcove/sessions.go
+++ b/cmd/corkcove/sessions.go
@@ -9,12 +9,13 @@
 )
 
 func registerSessions(c *commandLine) {
-	command := c.app.Command("sessions", "Show open sessions, which instance each is pinned to, and which moved and why.")
-	since := command.Flag("since", "Only moves under this configuration or later, such as r12.").String()
+	command := c.app.Command("sessions", "Show the open sessions, the endpoint each is pinned to, and which sessions moved and why.")
+	since := command.Flag("since", "Show only moves under this configuration version or later, such as r12.").String()
 	c.handleTool(command, func(client *coreClient) error { return runSessions(client, *since) })
 }
 
-// runSessions fails if a session was seen at two endpoints, or a node is missing.
+// runSessions prints the sessions of all nodes. It fails if a session is at more
+// than one endpoint or a node didn't respond.
 func runSessions(client *coreClient, since string) error {
 	var sinceConfig uint64
 	if since != "" {
@@ -38,9 +39,9 @@
 	}
 	switch {
 	case report.Split > 0:
-		return fmt.Errorf("%d sessions were seen at two instances", report.Split)
+		return fmt.Errorf("%d sessions are at more than one endpoint", report.Split)
 	case len(unreachable) > 0:
-		return fmt.Errorf("%d nodes did not answer", len(unreachable))
+		return fmt.Errorf("%d nodes did not respond", len(unreachable))
 	}
 	return nil
 }
--- a/cmd/corkcove/sessions_report.go
+++ b/cmd/corkcove/sessions_report.go
@@ -11,21 +11,26 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// sessionReport joins what all nodes know of sessions.
+// sessionReport combines the sessions and moves reported by all nodes.
 type sessionReport struct {
-	Open      int `json:"open"`
-	Kept      int `json:"kept"`
-	Moved     int `json:"moved"`
+	// Open counts all sessions, Kept those whose key has no move, Moved the keys
+	// that have moves.
+	Open  int `json:"open"`
+	Kept  int `json:"kept"`
+	Moved int `json:"moved"`
+	// NotPinned counts the rows of Sessions that no node reports as pinned.
 	NotPinned int `json:"notYetPinned"`
-	// Split counts the sessions that were seen at two endpoints.
-	Split       int          `json:"atTwoInstances"`
-	Dropped     uint64       `json:"forgotten"`
-	Sessions    []sessionRow `json:"sessions"`
-	Moves       []moveRow    `json:"moves"`
-	Unreachable []string     `json:"didNotAnswer"`
+	// Split counts the sessions that are at more than one endpoint.
+	Split int `json:"atTwoInstances"`
+	// Dropped counts the sessions and moves that nodes dropped for lack of space.
+	Dropped  uint64       `json:"forgotten"`
+	Sessions []sessionRow `json:"sessions"`
+	Moves    []moveRow    `json:"moves"`
+	// Unreachable are the names of the nodes that didn't respond.
+	Unreachable []string `json:"didNotAnswer"`
 }
 
-// sessionRow is a session at one endpoint.
+// sessionRow is a session at one endpoint, with the nodes that report it there.
 type sessionRow struct {
 	Key      string   `json:"key"`
 	Service  string   `json:"service"`
@@ -36,7 +41,7 @@
 	Nodes    []string `json:"nodes"`
 }
 
-// moveRow is one move of a session, with the nodes that saw it.
+// moveRow is one move of a session, with the nodes that report it.
 type moveRow struct {
 	Key    string   `json:"key"`
 	From   string   `json:"from"`
@@ -45,39 +50,40 @@
 	Config string   `json:"configuration"`
 	First  string   `json:"first"`
 	Nodes  []string `json:"nodes"`
-	// firstMicros is the time that First says.
+	// firstMicros is the time of First as a Unix time in microseconds.
 	firstMicros int64
 }
 
-// sessionID names a session of a service.
-type sessionID struct{ key, service string }
+// sessionKey identifies a session of a service.
+type sessionKey struct{ key, service string }
 
 // placement is a session at an endpoint.
 type placement struct {
-	sessionID
+	sessionKey
 	endpoint string
 }
 
-// moveID names a move, whichever node saw it.
-type moveID struct{ key, from, to, reason string }
+// moveKey identifies a move independently of the node that reports it. from and to
+// are each a service and an endpoint.
+type moveKey struct{ key, from, to, reason string }
 
-// sessionJoin gathers the nodes' answers.
+// sessionJoin joins the responses of the nodes.
 type sessionJoin struct {
-	// latest has of each session the answer in which it was used last.
-	latest map[sessionID]*meshpb.Session
-	// left has the endpoints that a session has moved away from.
-	left  map[sessionID]map[string]bool
-	rows  map[placement]*sessionRow
-	moves map[moveID]*moveRow
+	// lastUsed maps each session to the report of it with the latest use.
+	lastUsed map[sessionKey]*meshpb.Session
+	// leftEndpoints maps each session to the endpoints that it has moved away from.
+	leftEndpoints map[sessionKey]map[string]bool
+	rows          map[placement]*sessionRow
+	moves         map[moveKey]*moveRow
 }
 
 func newSessionReport(responses []*meshpb.SessionsResponse, unreachable []string) sessionReport {
-	j := sessionJoin{latest: map[sessionID]*meshpb.Session{}, left: map[sessionID]map[string]bool{}, rows: map[placement]*sessionRow{}, moves: map[moveID]*moveRow{}}
+	j := sessionJoin{lastUsed: map[sessionKey]*meshpb.Session{}, leftEndpoints: map[sessionKey]map[string]bool{}, rows: map[placement]*sessionRow{}, moves: map[moveKey]*moveRow{}}
 	report := sessionReport{Unreachable: unreachable}
 	for _, r := range responses {
 		report.Dropped += r.Dropped
 		j.addMoves(r)
-		j.addLatest(r)
+		j.addLastUsed(r)
 	}
 	for _, r := range responses {
 		j.addRows(r)
@@ -90,7 +96,7 @@
 
 func (j *sessionJoin) addMoves(r *meshpb.SessionsResponse) {
 	for _, m := range r.Moves {
-		id := moveID{m.Key, m.Service + " " + m.From, m.ToService + " " + m.To, m.Why}
+		id := moveKey{m.Key, m.Service + " " + m.From, m.ToService + " " + m.To, m.Why}
 		row := j.moves[id]
 		if row == nil {
 			row = &moveRow{Key: m.Key, From: id.from, To: id.to, Reason: m.Why, Config: routeconfig.FormatVersion(m.Config), firstMicros: m.AtUs}
@@ -98,36 +104,37 @@
 		}
 		row.firstMicros = min(row.firstMicros, m.AtUs)
 		row.Nodes = append(row.Nodes, r.Node+" "+formatMicros(m.AtUs))
-		session := sessionID{m.Key, m.Service}
-		if j.left[session] == nil {
-			j.left[session] = map[string]bool{}
+		session := sessionKey{m.Key, m.Service}
+		if j.leftEndpoints[session] == nil {
+			j.leftEndpoints[session] = map[string]bool{}
 		}
-		j.left[session][m.From] = true
+		j.leftEndpoints[session][m.From] = true
 	}
 }
 
-func (j *sessionJoin) addLatest(r *meshpb.SessionsResponse) {
+func (j *sessionJoin) addLastUsed(r *meshpb.SessionsResponse) {
 	for _, s := range r.Sessions {
-		id := sessionID{s.Key, s.Service}
-		if other := j.latest[id]; other == nil || s.UsedUs > other.UsedUs {
-			j.latest[id] = s
+		id := sessionKey{s.Key, s.Service}
+		if other := j.lastUsed[id]; other == nil || s.UsedUs > other.UsedUs {
+			j.lastUsed[id] = s
 		}
 	}
 }
 
-// addRows leaves out what a node has not yet unlearnt: an endpoint that the
-// session has left, unless it was used there last.
+// addRows adds the sessions of a response. It skips outdated entries, in which a
+// node still has a session at an endpoint that the session has moved away from,
+// unless that is where the session was used last.
 func (j *sessionJoin) addRows(r *meshpb.SessionsResponse) {
 	for _, s := range r.Sessions {
-		id := sessionID{s.Key, s.Service}
-		if j.left[id][s.Endpoint] && j.latest[id].Endpoint != s.Endpoint {
+		id := sessionKey{s.Key, s.Service}
+		if j.leftEndpoints[id][s.Endpoint] && j.lastUsed[id].Endpoint != s.Endpoint {
 			continue
 		}
-		at := placement{id, s.Endpoint}
-		row := j.rows[at]
+		key := placement{id, s.Endpoint}
+		row := j.rows[key]
 		if row == nil {
 			row = &sessionRow{Key: s.Key, Service: s.Service, Endpoint: s.Endpoint, Config: routeconfig.FormatVersion(s.Config), Since: formatMicros(s.SinceUs)}
-			j.rows[at] = row
+			j.rows[key] = row
 		}
 		row.Pinned = row.Pinned || s.Pinned
 		row.Nodes = append(row.Nodes, r.Node)
@@ -159,16 +166,16 @@
 	return rows
 }
 
-// count sets the numbers from the rows.
+// count computes the counters from the rows.
 func (r *sessionReport) count() {
 	moved := map[string]bool{}
 	for _, m := range r.Moves {
 		moved[m.Key] = true
 	}
 	r.Moved = len(moved)
-	endpoints := map[sessionID]int{}
+	endpoints := map[sessionKey]int{}
 	for _, s := range r.Sessions {
-		endpoints[sessionID{s.Key, s.Service}]++
+		endpoints[sessionKey{s.Key, s.Service}]++
 		if !s.Pinned {
 			r.NotPinned++
 		}
