--- a/cmd/corkcove/state.go
+++ b/cmd/corkcove/state.go
@@ -10,23 +10,25 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// maxMasterHops bounds how many core nodes are asked for the master.
+// maxMasterHops is the maximum number of core nodes that are tried in order to
+// reach the master.
 const maxMasterHops = 8
 
-// reasonNotMaster is what a core node answers that is not the master; the
-// callers may ask another.
+// reasonNotMaster is the reason that a core node returns if it isn't the master;
+// the caller may try another core node.
 const reasonNotMaster = "not the master"
 
 func registerState(c *commandLine) {
-	command := c.app.Command("state", "User states of nodes.").Command("set", "Cap a node's state; kept over restarts and takeovers.")
-	node := command.Arg("node", "The node's name.").Required().String()
-	state := command.Arg("state", "up, maintenance, retired or down.").Required().String()
+	command := c.app.Command("state", "Manage user states of nodes.").Command("set", "Limit a node's state; the limit survives restarts and failovers.")
+	node := command.Arg("node", "Name of the node.").Required().String()
+	state := command.Arg("state", "One of up, maintenance, retired and down.").Required().String()
 	c.handleTool(command, func(client *coreClient) error { return runSetState(client, *node, *state) })
 }
 
+// runSetState sets the user state of a node.
 func runSetState(client *coreClient, node, state string) error {
 	if !lifecycle.State(state).SettableByUser() {
-		return fmt.Errorf("%q is no state: give up, maintenance, retired or down", state)
+		return fmt.Errorf("invalid state %q: must be up, maintenance, retired or down", state)
 	}
 	if err := client.setState(node, state); err != nil {
 		return err
@@ -35,7 +37,9 @@
 	return nil
 }
 
-// setState asks the seeds in turn, and the master that one of them names next.
+// setState tries the seeds in order. If one of them reports the master's address,
+// that address is tried next. It returns the last reason for a failure if the
+// state could not be set.
 func (c *coreClient) setState(node, state string) error {
 	reason := "no core node answers"
 	addresses := slices.Clone(c.seeds)
--- a/cmd/corkcove/status.go
+++ b/cmd/corkcove/status.go
@@ -11,7 +11,7 @@
 )
 
 func registerStatus(c *commandLine) {
-	command := c.app.Command("status", "Show the core, the view, and each node's state and why.")
+	command := c.app.Command("status", "Show the core nodes, the view, and the state of each node with its reason.")
 	c.handleTool(command, runStatus)
 }
 
@@ -20,10 +20,10 @@
 	if err != nil {
 		return err
 	}
-	return client.printResult(convert(statuses, newCoreStatus), statusText(statuses))
+	return client.printResult(mapSlice(statuses, newCoreStatus), statusText(statuses))
 }
 
-// statusText formats the statuses; the master's is the first.
+// statusText formats the statuses; if one is the master's, it must be the first.
 func statusText(statuses []*meshpb.StatusResponse) string {
 	var b strings.Builder
 	for _, s := range statuses {
@@ -70,8 +70,8 @@
 	}
 }
 
-// writeShards tells who owns which shard, how far its replicas are, and how many
-// members may fail.
+// writeShards writes the owner and the replication state of each shard, and how
+// many members may fail without losing a shard.
 func writeShards(b *strings.Builder, statuses []*meshpb.StatusResponse) {
 	mayLose, learners := map[uint32]int32{}, map[string]bool{}
 	for _, status := range statuses {
@@ -92,14 +92,14 @@
 		fmt.Fprintf(b, "%d of %d shards are served by none of those who answered\n", total-len(mayLose), total)
 	}
 	if len(mayLose) > 0 {
-		fmt.Fprintf(b, "the core may lose %d more members now\n", max(smallest(mayLose), 0))
+		fmt.Fprintf(b, "the core may lose %d more members now\n", max(minValue(mayLose), 0))
 	}
 	for _, address := range slices.Sorted(maps.Keys(learners)) {
 		fmt.Fprintf(b, "learner %s waits for a place\n", address)
 	}
 }
 
-func smallest(values map[uint32]int32) int32 {
+func minValue(values map[uint32]int32) int32 {
 	least := int32(math.MaxInt32)
 	for _, v := range values {
 		least = min(least, v)
@@ -118,7 +118,8 @@
 	b.WriteString("\n")
 }
 
-// replicaProblem says why a replica couldn't take over at once; "" if it could.
+// replicaProblem returns why a replica couldn't take over the shard immediately, or
+// "" if it could.
 func replicaProblem(r *meshpb.ReplicaStatus) string {
 	switch {
 	case !r.Reached:
--- a/cmd/corkcove/status_output.go
+++ b/cmd/corkcove/status_output.go
@@ -2,8 +2,9 @@
 
 import "corkcove/internal/rpc/meshpb"
 
-// coreStatus is what status --json prints of one core node. The keys, and that
-// empty values are left out, are those of the first release.
+// coreStatus is the JSON output of the status command for one core node. For
+// compatibility with the first release, its keys are unchanged and empty values
+// are omitted.
 type coreStatus struct {
 	Node          string           `json:"node,omitempty"`
 	Master        bool             `json:"master,omitempty"`
@@ -22,16 +23,17 @@
 	HotKeyCounts  *statusHotCounts `json:"hot_counts,omitempty"`
 }
 
-// membership is the core's agreed membership.
+// membership is the membership of the core that its members have agreed on.
 type membership struct {
 	Version uint64   `json:"version,omitempty"`
 	Members []member `json:"members,omitempty"`
-	// Size is how many members the core is to have.
+	// Size is the intended number of members.
 	Size uint32 `json:"size,omitempty"`
-	// Gaps are the places that former members have vacated.
+	// Gaps are the member positions that are vacant because the member was removed.
 	Gaps []uint32 `json:"gaps,omitempty"`
 }
 
+// member is a member of the core.
 type member struct {
 	ID             string `json:"id,omitempty"`
 	Address        string `json:"addr,omitempty"`
@@ -39,23 +41,25 @@
 	Zone           string `json:"zone,omitempty"`
 }
 
-// shardStatus is what a core node says of its replica of a shard, and of the
-// others' if it owns the shard.
+// shardStatus is the state of a core node's replica of a shard and, if the node
+// owns the shard, of the other replicas.
 type shardStatus struct {
 	Shard     uint32 `json:"shard,omitempty"`
 	Owner     string `json:"owner,omitempty"`
 	Epoch     uint64 `json:"epoch,omitempty"`
 	Version   uint64 `json:"version,omitempty"`
 	Committed uint64 `json:"committed,omitempty"`
-	// LeaseMillis is how long the owner's lease still runs, in milliseconds.
+	// LeaseMillis is the remaining time of the owner's lease in milliseconds.
 	LeaseMillis int64           `json:"lease_ms,omitempty"`
 	Replicas    []replicaStatus `json:"copies,omitempty"`
-	// MayLose is how many more members may fail without losing the shard.
+	// MayLose is how many more members may fail without making the shard
+	// unavailable.
 	MayLose int32 `json:"may_lose,omitempty"`
 	Owned   bool  `json:"owned,omitempty"`
 }
 
-// replicaStatus is what a shard's owner knows of another member's replica.
+// replicaStatus is the state of another member's replica as known to the shard's
+// owner.
 type replicaStatus struct {
 	Address string `json:"addr,omitempty"`
 	Learner bool   `json:"learner,omitempty"`
@@ -66,7 +70,7 @@
 	Known   bool   `json:"known,omitempty"`
 }
 
-// nodeStatus is what the master knows of a traffic node.
+// nodeStatus is the state of a traffic node as known to the master.
 type nodeStatus struct {
 	Name      string `json:"name,omitempty"`
 	Address   string `json:"addr,omitempty"`
@@ -81,6 +85,7 @@
 	Reason    string `json:"why,omitempty"`
 }
 
+// statusHotKey is a hot key as known to the master.
 type statusHotKey struct {
 	Key     uint64 `json:"key,omitempty"`
 	Width   uint32 `json:"width,omitempty"`
@@ -88,20 +93,22 @@
 	Route   string `json:"route,omitempty"`
 	// ReadsPerSecond is summed over all nodes.
 	ReadsPerSecond float64 `json:"per_s,omitempty"`
-	// SinceMicros is a time in microseconds of the Unix epoch.
+	// SinceMicros is the Unix time, in microseconds, at which the key got its width.
 	SinceMicros int64  `json:"since_us,omitempty"`
 	Reason      string `json:"why,omitempty"`
 	Nodes       uint32 `json:"nodes,omitempty"`
 }
 
+// statusHotCounts counts the changes of hot keys' widths, and refused ones, since
+// the present master took over.
 type statusHotCounts struct {
 	Widened  uint64 `json:"widened,omitempty"`
 	Narrowed uint64 `json:"narrowed,omitempty"`
 	Refused  uint64 `json:"refused,omitempty"`
 }
 
-// convert applies f to each item; nil stays nil.
-func convert[From, To any](items []From, f func(From) To) []To {
+// mapSlice returns the results of applying f to each item. It returns nil for nil.
+func mapSlice[From, To any](items []From, f func(From) To) []To {
 	if items == nil {
 		return nil
 	}
@@ -114,16 +121,16 @@
 
 func newCoreStatus(r *meshpb.StatusResponse) coreStatus {
 	return coreStatus{Node: r.Node, Master: r.Master, MasterAddress: r.MasterAddr, Epoch: r.Epoch, ViewVersion: r.View, ConfigVersion: r.Config,
-		Membership: newMembership(r.Membership), Shards: convert(r.Shards, newShardStatus), Nodes: convert(r.Nodes, newNodeStatus),
+		Membership: newMembership(r.Membership), Shards: mapSlice(r.Shards, newShardStatus), Nodes: mapSlice(r.Nodes, newNodeStatus),
 		DiskHealthy: r.DiskSound, Member: r.Member, Listed: r.Listed, Outliers: r.Greys,
-		HotKeys: convert(r.Hot, newStatusHotKey), HotKeyCounts: newStatusHotCounts(r.HotCounts)}
+		HotKeys: mapSlice(r.Hot, newStatusHotKey), HotKeyCounts: newStatusHotCounts(r.HotCounts)}
 }
 
 func newMembership(m *meshpb.Membership) *membership {
 	if m == nil {
 		return nil
 	}
-	members := convert(m.Members, func(m *meshpb.Member) member {
+	members := mapSlice(m.Members, func(m *meshpb.Member) member {
 		return member{ID: m.Id, Address: m.Addr, ControlAddress: m.Control, Zone: m.Zone}
 	})
 	return &membership{Version: m.Version, Members: members, Size: m.Size, Gaps: m.Gaps}
@@ -131,7 +138,7 @@
 
 func newShardStatus(s *meshpb.ShardStatus) shardStatus {
 	return shardStatus{Shard: s.Shard, Owner: s.Owner, Epoch: s.Epoch, Version: s.Version, Committed: s.Committed, LeaseMillis: s.LeaseMs,
-		Replicas: convert(s.Copies, newReplicaStatus), MayLose: s.MayLose, Owned: s.Owned}
+		Replicas: mapSlice(s.Copies, newReplicaStatus), MayLose: s.MayLose, Owned: s.Owned}
 }
 
 func newReplicaStatus(r *meshpb.ReplicaStatus) replicaStatus {
--- a/cmd/corkcove/trace.go
+++ b/cmd/corkcove/trace.go
@@ -8,11 +8,13 @@
 )
 
 func registerTrace(c *commandLine) {
-	command := c.app.Command("trace", "Follow one change through all nodes: r12, view:9, key:group.name or pin:SESSION.")
-	change := command.Arg("change", "The change.").Required().String()
+	command := c.app.Command("trace", "Trace one change through all nodes: r12, view:9, key:group.name or pin:SESSION.")
+	change := command.Arg("change", "Change to trace.").Required().String()
 	c.handleTool(command, func(client *coreClient) error { return runTrace(client, *change) })
 }
 
+// runTrace prints the recorded steps of a change from all processes. It fails if
+// none of them has recorded the change.
 func runTrace(client *coreClient, change string) error {
 	if _, err := changetrace.ParseChange(change); err != nil {
 		return err
@@ -26,13 +28,13 @@
 		return err
 	}
 	if !report.Known {
-		return fmt.Errorf("no process that answered knows %s", change)
+		return fmt.Errorf("no process that responded has a trace of %s", change)
 	}
 	return nil
 }
 
-// processAddresses returns the address of every process that the core knows, by
-// its name.
+// processAddresses maps the name of each process that the core knows to its
+// address.
 func processAddresses(statuses []*meshpb.StatusResponse) map[string]string {
 	addresses := map[string]string{}
 	for _, s := range statuses {
--- a/cmd/corkcove/version.go
+++ b/cmd/corkcove/version.go
@@ -6,7 +6,7 @@
 )
 
 func registerVersion(c *commandLine) {
-	command := c.app.Command("version", "Print the version.")
+	command := c.app.Command("version", "Print the release and Go versions.")
 	c.handle(command, func() error {
 		fmt.Println("corkcove", version, runtime.Version())
 		return nil
