--- a/cmd/corkcove/main_test.go
+++ b/cmd/corkcove/main_test.go
@@ -25,25 +25,25 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// The command line is tested from outside: the test's own binary, run as
-// corkcove, talks to a core node and two traffic nodes that answer fixed
-// replies. What it must print was recorded with release 242832a, whose binary
-// can be tested likewise: -binary=FILE.
+// These tests run the command line end to end: the test binary runs itself as
+// corkcove against a core of two fake members and two fake traffic nodes with fixed
+// responses. The expected outputs in testdata/242832a were recorded with release
+// 242832a. To test a binary of that release in the same way, pass -binary=FILE.
 
 const (
-	runAsCorkcove = "CORKCOVE_TEST_RUN_MAIN"
-	// busyMachineTimeout is what the program waits for answers on a machine that may
-	// be busy with other tests.
+	runMainEnv = "CORKCOVE_TEST_RUN_MAIN"
+	// busyMachineTimeout replaces the call and dial timeouts, which are too short on
+	// a machine that is busy with other tests.
 	busyMachineTimeout = time.Minute
 )
 
 var (
-	binaryFlag = flag.String("binary", "", "test this corkcove binary in place of the present code")
-	recordFlag = flag.Bool("record", false, "write the recorded outputs anew")
+	binaryFlag = flag.String("binary", "", "test this corkcove binary instead of the current code")
+	recordFlag = flag.Bool("record", false, "overwrite the recorded outputs")
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runAsCorkcove) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		toolCallTimeout, toolDialTimeout = busyMachineTimeout, busyMachineTimeout
 		main()
 		return
@@ -51,7 +51,8 @@
 	os.Exit(m.Run())
 }
 
-// fakeControl answers as the master of a core, or as a member that is not.
+// fakeControl implements the Control service of a core member, which is the master
+// or not according to its status.
 type fakeControl struct {
 	meshpb.Control
 
@@ -66,15 +67,15 @@
 	c.status = status
 }
 
-// stepDown makes it a member that is no longer the master.
+// stepDown makes the member stop being the master.
 func (c *fakeControl) stepDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.status.Master = false
 }
 
-// setStates returns the user states that were set.
-func (c *fakeControl) setStates() map[string]string {
+// userStates returns a copy of the user states set so far, by node.
+func (c *fakeControl) userStates() map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.states)
@@ -99,7 +100,8 @@
 	return &meshpb.SetStateResponse{Ok: true}, nil
 }
 
-// fakeDiagnostics answers as one process with what it was given.
+// fakeDiagnostics implements the Diagnostics service of one process with fixed
+// responses.
 type fakeDiagnostics struct {
 	meshpb.Diagnostics
 	trace    *meshpb.TraceResponse
@@ -128,7 +130,7 @@
 
 func (d *fakeDiagnostics) RequestRecords(_ context.Context, q *meshpb.RequestRecordsRequest) (*meshpb.RequestRecordsResponse, error) {
 	if q.SpanUs < 0 || q.Limit == 0 {
-		return nil, errors.New("a request for no records")
+		return nil, errors.New("request for no records: negative span or no limit")
 	}
 	return d.records, nil
 }
@@ -137,17 +139,21 @@
 	return &meshpb.SnapshotsResponse{Views: []*meshpb.View{{Epoch: 4, Version: 9}}, Configs: []*meshpb.ConfigSnapshot{{Version: 12}}}, nil
 }
 
-// fakeMesh is a core of two members and two traffic nodes on loopback.
+// fakeMesh is a core of two members, and two traffic nodes, all listening on
+// loopback.
 type fakeMesh struct {
-	master  *fakeControl
-	core    string
-	replace []string
+	master *fakeControl
+	// coreAddr is the address of the member that isn't the master.
+	coreAddr string
+	// addressNames are pairs of an address and the fixed name that replaces it in
+	// outputs.
+	addressNames []string
 }
 
 const (
-	tracedAt  = 1_700_000_000_000_000
-	pinnedAt  = 1_700_000_100_000_000
-	hotKeyAge = 1_700_000_200_000_000
+	tracedAt    = 1_700_000_000_000_000
+	pinnedAt    = 1_700_000_100_000_000
+	hotKeySince = 1_700_000_200_000_000
 )
 
 func serveFake(t *testing.T, servers ...meshpb.TwirpServer) string {
@@ -172,8 +178,8 @@
 		{Id: "id1", Addr: masterAddr, Control: "10.0.0.1:8500", Zone: "zone-1"}, {Id: "id2", Addr: followerAddr, Control: "10.0.0.2:8500", Zone: "zone-2"}}}
 	master.setStatus(masterStatus(masterAddr, membership, nodes))
 	follower.setStatus(&meshpb.StatusResponse{Node: "core-2", MasterAddr: masterAddr, Epoch: 4, Membership: membership, DiskSound: true, Member: true})
-	return &fakeMesh{master: master, core: followerAddr,
-		replace: []string{masterAddr, "CORE-1", followerAddr, "CORE-2", nodes[0], "NODE-A", nodes[1], "NODE-B"}}
+	return &fakeMesh{master: master, coreAddr: followerAddr,
+		addressNames: []string{masterAddr, "CORE-1", followerAddr, "CORE-2", nodes[0], "NODE-A", nodes[1], "NODE-B"}}
 }
 
 func coreDiagnostics(name string) *fakeDiagnostics {
@@ -198,7 +204,8 @@
 	}))
 }
 
-// masterStatus has every field set that status prints.
+// masterStatus returns a status with every field set that the status command
+// prints.
 func masterStatus(addr string, membership *meshpb.Membership, nodes []string) *meshpb.StatusResponse {
 	return &meshpb.StatusResponse{Node: "core-1", Master: true, MasterAddr: addr, Epoch: 4, View: 9, Config: 12, Membership: membership, DiskSound: true, Member: true,
 		Shards: []*meshpb.ShardStatus{
@@ -211,24 +218,24 @@
 			{Name: "node-b", Addr: nodes[1], Zone: "zone-2", Service: "catalogue", Endpoint: "i-2", Reported: "ready", Official: "up", User: "maintenance", Slots: 4, Reached: true, Why: "set by a user"},
 			{Name: "node-c", Zone: "zone-2", Service: "catalogue", Official: "down", Why: "not reached"}},
 		Listed: 2, Greys: []string{"catalogue i-2"},
-		Hot:       []*meshpb.HotKey{{Key: 0xabcdef, Width: 3, Service: "catalogue", Route: "read", PerS: 120.5, SinceUs: hotKeyAge, Why: "needs 3 endpoints", Nodes: 2}},
+		Hot:       []*meshpb.HotKey{{Key: 0xabcdef, Width: 3, Service: "catalogue", Route: "read", PerS: 120.5, SinceUs: hotKeySince, Why: "needs 3 endpoints", Nodes: 2}},
 		HotCounts: &meshpb.HotCounts{Widened: 3, Narrowed: 2, Refused: 1}}
 }
 
-// result is what one run of the program left.
+// result is the outcome of one run of the program.
 type result struct {
 	stdout, stderr string
 	code           int
 }
 
-// String has of the errors only whether there were any: their texts may be put
-// into better words.
+// String includes only whether there was error output, not its text, because error
+// messages may be reworded between releases.
 func (r result) String() string {
 	return fmt.Sprintf("exit code %d\nany errors: %v\n%s", r.code, r.stderr != "", r.stdout)
 }
 
-// runCommand runs corkcove and replaces the addresses of the mesh, which change
-// from run to run, and the folder by names.
+// runCommand runs corkcove. In its output it replaces the addresses of the mesh,
+// which vary from run to run, and the folder with fixed names.
 func (m *fakeMesh) runCommand(t *testing.T, folder string, args ...string) result {
 	t.Helper()
 	binary := *binaryFlag
@@ -239,7 +246,7 @@
 	defer cancel()
 	command := exec.CommandContext(ctx, binary, args...)
 	command.Args[0] = "corkcove"
-	command.Env = append(os.Environ(), runAsCorkcove+"=1", "TZ=UTC", "CORKCOVE_CONFIG=")
+	command.Env = append(os.Environ(), runMainEnv+"=1", "TZ=UTC", "CORKCOVE_CONFIG=")
 	var stdout, stderr bytes.Buffer
 	command.Stdout, command.Stderr = &stdout, &stderr
 	err := command.Run()
@@ -247,13 +254,13 @@
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
-	names := strings.NewReplacer(append(slices.Clone(m.replace), folder, "FOLDER")...)
+	names := strings.NewReplacer(append(slices.Clone(m.addressNames), folder, "FOLDER")...)
 	return result{names.Replace(stdout.String()), names.Replace(stderr.String()), command.ProcessState.ExitCode()}
 }
 
-// sortTotals puts the lines of the sums over all routes, which estimate prints
-// in any order, into one.
-func sortTotals(text string) string {
+// sortTotalLines sorts the lines of the totals over all routes, whose order in the
+// output of estimate may vary.
+func sortTotalLines(text string) string {
 	lines := strings.Split(text, "\n")
 	var at []int
 	var totals []string
@@ -269,10 +276,12 @@
 	return strings.Join(lines, "\n")
 }
 
-func checkRecorded(t *testing.T, name string, got result) {
+// compareWithRecorded compares a result with the recorded one, or with -record
+// overwrites that.
+func compareWithRecorded(t *testing.T, name string, got result) {
 	t.Helper()
 	file := filepath.Join("testdata", "242832a", name+".txt")
-	text := sortTotals(got.String())
+	text := sortTotalLines(got.String())
 	if *recordFlag {
 		qt.Assert(t, os.WriteFile(file, []byte(text), 0o644), qt.IsNil)
 		return
@@ -304,9 +313,9 @@
 maxLagS = 1
 `
 
-// inputs are the files that commands of the tests read and write.
+// inputs holds the paths of the files that the tested commands read and write.
 type inputs struct {
-	folder, estimate, record, settings, wrongConfig, missing string
+	folder, estimate, record, settings, invalidConfig, missing string
 }
 
 func newInputs(t *testing.T) inputs {
@@ -315,13 +324,14 @@
 	record, err := filepath.Abs("../../internal/replay/testdata/242832a/record")
 	qt.Assert(t, err, qt.IsNil)
 	in := inputs{folder: folder, record: record, estimate: filepath.Join(folder, "estimate.json"), settings: filepath.Join(folder, "edge.toml"),
-		wrongConfig: filepath.Join(folder, "wrong.json"), missing: filepath.Join(folder, "missing")}
+		invalidConfig: filepath.Join(folder, "wrong.json"), missing: filepath.Join(folder, "missing")}
 	qt.Assert(t, os.WriteFile(in.settings, []byte(edgeSettings), 0o600), qt.IsNil)
-	qt.Assert(t, os.WriteFile(in.wrongConfig, []byte("{}"), 0o600), qt.IsNil)
+	qt.Assert(t, os.WriteFile(in.invalidConfig, []byte("{}"), 0o600), qt.IsNil)
 	return in
 }
 
-func TestCommandsPrintWhatTheyDidIn242832a(t *testing.T) {
+// The text and JSON output of the tools must stay the same as in release 242832a.
+func TestOutputMatchesRelease242832a(t *testing.T) {
 	in := newInputs(t)
 	cases := []struct {
 		name string
@@ -344,21 +354,22 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			mesh := newFakeMesh(t)
-			args := append([]string{"--core", mesh.core}, c.args...)
-			checkRecorded(t, c.name, mesh.runCommand(t, in.folder, args...))
-			checkRecorded(t, c.name+".json", mesh.runCommand(t, in.folder, append([]string{"--json"}, args...)...))
+			args := append([]string{"--core", mesh.coreAddr}, c.args...)
+			compareWithRecorded(t, c.name, mesh.runCommand(t, in.folder, args...))
+			compareWithRecorded(t, c.name+".json", mesh.runCommand(t, in.folder, append([]string{"--json"}, args...)...))
 			if c.name == "state-set" {
-				qt.Check(t, mesh.master.setStates(), qt.DeepEquals, map[string]string{"node-a": "maintenance"})
+				qt.Check(t, mesh.master.userStates(), qt.DeepEquals, map[string]string{"node-a": "maintenance"})
 			}
 		})
 	}
 }
 
-// A master that has stepped down answers, but knows neither nodes nor view.
-func TestStatusPrintsWhatItDidWithoutMaster(t *testing.T) {
+// A master that has stepped down still responds, but doesn't know the nodes or the
+// view.
+func TestStatusWithoutMasterMatchesRelease242832a(t *testing.T) {
 	mesh := newFakeMesh(t)
 	mesh.master.stepDown()
-	checkRecorded(t, "status-no-master", mesh.runCommand(t, t.TempDir(), "status", "--core", mesh.core))
+	compareWithRecorded(t, "status-no-master", mesh.runCommand(t, t.TempDir(), "status", "--core", mesh.coreAddr))
 }
 
 func TestCommandsFailWithCode1(t *testing.T) {
@@ -366,12 +377,12 @@
 	noMaster := newFakeMesh(t)
 	noMaster.master.stepDown()
 	mesh := newFakeMesh(t)
-	unreachable := &fakeMesh{core: "127.0.0.1:1"}
+	unreachable := &fakeMesh{coreAddr: "127.0.0.1:1"}
 	cases := []struct {
 		name string
 		mesh *fakeMesh
 		args []string
-		// reason is part of the error.
+		// reason must be contained in the error output.
 		reason string
 	}{
 		{"no subcommand", mesh, []string{"state"}, "help"},
@@ -382,18 +393,18 @@
 		{"unknown node", mesh, []string{"state", "set", "unknown", "down"}, "unknown"},
 		{"unknown state", mesh, []string{"state", "set", "node-a", "asleep"}, "asleep"},
 		{"not an estimate", mesh, []string{"estimate", "check", in.settings}, in.settings},
-		{"no estimate", mesh, []string{"estimate", "check", in.missing}, in.missing},
-		{"no span", mesh, []string{"replay", "save", in.missing, "--span", "0s"}, "--span"},
-		{"nothing at once", mesh, []string{"replay", "save", in.missing, "--parallel", "0"}, "--parallel"},
-		{"too much at once", mesh, []string{"replay", "save", in.missing, "--parallel", "257"}, "--parallel"},
-		{"no new rules", mesh, []string{"replay", "run", in.record}, "--config"},
-		{"no record", mesh, []string{"replay", "run", in.missing, "--config", in.wrongConfig}, in.missing},
-		{"wrong configuration", mesh, []string{"replay", "run", in.record, "--config", in.wrongConfig}, in.wrongConfig},
+		{"missing estimate", mesh, []string{"estimate", "check", in.missing}, in.missing},
+		{"zero span", mesh, []string{"replay", "save", in.missing, "--span", "0s"}, "--span"},
+		{"parallel below range", mesh, []string{"replay", "save", in.missing, "--parallel", "0"}, "--parallel"},
+		{"parallel above range", mesh, []string{"replay", "save", in.missing, "--parallel", "257"}, "--parallel"},
+		{"neither configuration nor retry settings", mesh, []string{"replay", "run", in.record}, "--config"},
+		{"missing recording", mesh, []string{"replay", "run", in.missing, "--config", in.invalidConfig}, in.missing},
+		{"invalid configuration", mesh, []string{"replay", "run", in.record, "--config", in.invalidConfig}, in.invalidConfig},
 		{"mismatch out of range", mesh, []string{"replay", "run", in.record, "--options", in.settings, "--off", "2"}, ""},
-		{"false alarms out of range", mesh, []string{"replay", "compare", in.wrongConfig, in.record, "--miss", "0"}, "--"},
-		{"no forecast", mesh, []string{"replay", "compare", in.missing, in.record}, in.missing},
-		{"not a configuration", mesh, []string{"check", "--config", in.wrongConfig}, ""},
-		{"settings of another role", mesh, []string{"check", "--role", "core", in.settings}, ""},
+		{"false alarm rate out of range", mesh, []string{"replay", "compare", in.invalidConfig, in.record, "--miss", "0"}, "--"},
+		{"missing forecast", mesh, []string{"replay", "compare", in.missing, in.record}, in.missing},
+		{"check of an invalid configuration", mesh, []string{"check", "--config", in.invalidConfig}, ""},
+		{"check of settings of another role", mesh, []string{"check", "--role", "core", in.settings}, ""},
 		{"edge without settings", mesh, []string{"edge", "--settings", in.missing}, in.missing},
 		{"status, no core", unreachable, []string{"status"}, "127.0.0.1:1"},
 		{"keys, no core", unreachable, []string{"keys"}, "127.0.0.1:1"},
@@ -405,7 +416,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.mesh.runCommand(t, "FOLDER", append([]string{"--core", c.mesh.core}, c.args...)...)
+			got := c.mesh.runCommand(t, "FOLDER", append([]string{"--core", c.mesh.coreAddr}, c.args...)...)
 			qt.Check(t, got.code, qt.Equals, 1)
 			qt.Check(t, got.stdout, qt.Equals, "")
 			qt.Check(t, got.stderr, qt.Not(qt.Equals), "")
@@ -414,8 +425,10 @@
 	}
 }
 
-// Each command fails for want of a file or core, after its flags were read.
-func TestFlagsOf242832aAreStillRead(t *testing.T) {
+// Each command gets past flag parsing and then fails because a file or the core is
+// missing, so exit code 1 without a usage hint shows that the flags of release
+// 242832a are still accepted.
+func TestAcceptsFlagsOfRelease242832a(t *testing.T) {
 	in := newInputs(t)
 	mesh := newFakeMesh(t)
 	for _, args := range [][]string{
--- a/cmd/corkcove/stored_test.go
+++ b/cmd/corkcove/stored_test.go
@@ -10,10 +10,11 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// TestBlobsOf242832aAreFoundByTheirNames holds the names under which shard 0
-// stores what the cluster controller needs, and the number of shards, by which
-// stored names are spread.
-func TestBlobsOf242832aAreFoundByTheirNames(t *testing.T) {
+// TestReadsBlobNamesOfRelease242832a checks the names under which release 242832a
+// stored the cluster controller's blobs in shard 0, and the number of shards, which
+// determines the shard of each stored name. Changing either makes a new release
+// miss the stored data.
+func TestReadsBlobNamesOfRelease242832a(t *testing.T) {
 	const usersData = "\x0a\x14\x0a\x08endpoint\x12\x08draining"
 	table := coordination.NewTable(time.Minute)
 	table.Restore(&meshpb.ShardState{Blobs: []*meshpb.Blob{
@@ -28,8 +29,9 @@
 	qt.Check(t, shardCount, qt.Equals, 13)
 }
 
-// TestViewOf242832aIsRead reads a stored view, which is deflated.
-func TestViewOf242832aIsRead(t *testing.T) {
+// TestDecodesViewOfRelease242832a decodes a view as release 242832a stored it:
+// compressed with DEFLATE.
+func TestDecodesViewOfRelease242832a(t *testing.T) {
 	view := decodeStoredView(&meshpb.Blob{Version: 7, Data: []byte("\x01\x08\x00\xf7\xff\x08\x03\x10\x07\x32\x02m0")})
 	qt.Check(t, view.Epoch, qt.Equals, uint64(3))
 	qt.Check(t, view.Version, qt.Equals, uint64(7))
