--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -245,7 +245,7 @@
 		const responseTime = testGrace - 300*time.Millisecond - 2900*time.Millisecond
 		first, second := strings.Repeat("x", 100<<10), strings.Repeat("x", 200000-100<<10)
 		slowBody := func(c *faultyPeer, r *http.Request) bool {
-			respondAndGoOn(largeHeaders+first)(c, r)
+			respondAndKeepOpen(largeHeaders+first)(c, r)
 			time.Sleep(responseTime)
 			writeText(c, second)
 			return true
