--- a/cmd/corkcove/replay_run.go
+++ b/cmd/corkcove/replay_run.go
@@ -32,7 +32,7 @@
 }
 
 func registerReplayRun(c *commandLine, parent *kingpin.CmdClause) {
-	command := parent.Command("run", "Simulate a recording under the old and the new configuration. Exits with code 1 if requests would be sent twice, dropped or delayed.")
+	command := parent.Command("run", "Simulate a recording under the old and the new configuration. Exits with code 1 if requests would be sent twice, dropped or left waiting.")
 	var o replayRunOptions
 	command.Arg("file", "Recording written by replay save.").Required().StringVar(&o.file)
 	command.Flag("config", "File with the complete new configuration in JSON.").StringVar(&o.configFile)
@@ -110,9 +110,9 @@
 	case !report.Usable:
 		return fmt.Errorf("unreliable result: the recording contains %.1f%% of the nodes' requests, at least %.1f%% is required", 100*report.Coverage, 100*bounds.MinCoverage)
 	case len(report.Flags) > 0:
-		return fmt.Errorf("%d flagged requests would be sent twice, dropped or delayed under the new configuration but not under the old one", len(report.Flags))
+		return fmt.Errorf("%d flagged requests would be sent twice, dropped or left waiting under the new configuration but not under the old one", len(report.Flags))
 	case report.SevereCount() > 0:
-		return fmt.Errorf("%d requests would be duplicated, lost or delayed under the new configuration but not under the old one", report.SevereCount())
+		return fmt.Errorf("%d requests are doubled, vanished or stalled under the new configuration but not under the old one", report.SevereCount())
 	}
 	return nil
 }
--- a/cmd/corkcove/replay_save.go
+++ b/cmd/corkcove/replay_save.go
@@ -76,7 +76,7 @@
 		return fmt.Errorf("%d nodes did not respond", len(unreachable))
 	}
 	if recording.requests == 0 {
-		return fmt.Errorf("no requests recorded in the last %v: the nodes sent none, or none of them keeps request records", options.span)
+		return fmt.Errorf("no requests recorded in the last %v: the nodes forwarded none, or none of them keeps request records", options.span)
 	}
 	return nil
 }
