--- a/cmd/corkcove/replay_save.go
+++ b/cmd/corkcove/replay_save.go
@@ -88,7 +88,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// After the rename both calls fail, which is harmless.
+	// Errors are ignored: after the rename there is no temporary file to remove, and
+	// the data was synced before the file is closed.
 	defer func() { _ = os.Remove(file.Name()) }()
 	defer func() { _ = file.Close() }()
 	buffer := bufio.NewWriterSize(file, replayBufferBytes)
