--- a/internal/replay/event_queue.go
+++ b/internal/replay/event_queue.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// event is a callback that is due at a virtual time.
+// event is a callback that is scheduled for a virtual time.
 type event struct {
 	timeUs   int64
 	sequence int
 	run      func()
 }
 
-// eventHeap orders events by time, and events of the same time by the order in
-// which they were scheduled.
+// eventHeap implements heap.Interface. It orders events by time, and events with
+// the same time by the order in which they were scheduled.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -26,21 +26,23 @@
 	return last
 }
 
-// eventQueue is the virtual clock of a simulation, in Unix microseconds, and the
-// callbacks that wait for it.
+// eventQueue is the virtual clock of a simulation, in Unix microseconds, with the
+// pending callbacks.
 type eventQueue struct {
 	nowUs    int64
 	sequence int
 	pending  eventHeap
 }
 
-// schedule runs the callback at timeUs, or next if that time has passed.
+// schedule schedules the callback for timeUs. If that time has passed, the callback
+// is scheduled for the current virtual time.
 func (q *eventQueue) schedule(timeUs int64, run func()) {
 	q.sequence++
 	heap.Push(&q.pending, event{max(timeUs, q.nowUs), q.sequence, run})
 }
 
-// drain runs callbacks, also those that they schedule, until none is left.
+// drain runs callbacks, including those scheduled by other callbacks, until none is
+// pending.
 func (q *eventQueue) drain() {
 	for len(q.pending) > 0 {
 		next := heap.Pop(&q.pending).(event)
