--- a/internal/replay/attempt.go
+++ b/internal/replay/attempt.go
@@ -10,10 +10,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// rejectionTime is how long it takes until a full endpoint has refused.
-const rejectionTime = time.Millisecond
+// rejectionLatency is how long a full endpoint takes to reject an attempt.
+const rejectionLatency = time.Millisecond
 
-// simulatedAttempt is one attempt under way.
+// simulatedAttempt is an attempt in progress.
 type simulatedAttempt struct {
 	request  *simulatedRequest
 	endpoint *loadbalancer.Endpoint
@@ -22,9 +22,9 @@
 	done     func(Attempt)
 }
 
-// send begins an attempt at the endpoint and calls done once it has ended. It
-// follows the recording where the request went to that endpoint, and the model
-// where it did not.
+// send starts an attempt at the endpoint and calls done when it ends. If the
+// recorded request was sent to that endpoint, the recorded attempt is replayed;
+// otherwise the endpoint's model determines the outcome.
 func (r *simulatedRequest) send(endpoint *loadbalancer.Endpoint, done func(Attempt)) {
 	a := &simulatedAttempt{
 		request:  r,
@@ -35,27 +35,29 @@
 	}
 	endpoint.BeginAttempt()
 	if recorded := r.takeRecordedAttempt(endpoint.ID()); recorded != nil {
-		a.follow(recorded)
+		a.replayRecorded(recorded)
 		return
 	}
 	r.result.FromModel = true
 	a.predict()
 }
 
-// takeRecordedAttempt removes the first recorded attempt at the endpoint from
-// those that have not been followed, and returns it; nil if there is none.
+// takeRecordedAttempt removes the first remaining recorded attempt at the endpoint
+// and the request's current service, and returns it. It returns nil if there is
+// none.
 func (r *simulatedRequest) takeRecordedAttempt(endpoint string) *meshpb.Attempt {
-	for i, recorded := range r.unplayed {
+	for i, recorded := range r.remainingAttempts {
 		if recorded.Endpoint == endpoint && recorded.Service == r.result.Service {
-			r.unplayed = slices.Delete(r.unplayed, i, i+1)
+			r.remainingAttempts = slices.Delete(r.remainingAttempts, i, i+1)
 			return recorded
 		}
 	}
 	return nil
 }
 
-// follow ends the attempt as it was recorded, or at the deadline.
-func (a *simulatedAttempt) follow(recorded *meshpb.Attempt) {
+// replayRecorded ends the attempt as recorded, or with a timeout at the request's
+// deadline if that comes first.
+func (a *simulatedAttempt) replayRecorded(recorded *meshpb.Attempt) {
 	outcome, _ := retry.ParseOutcome(recorded.Outcome)
 	endUs := a.startUs + recorded.TookUs
 	if endUs > a.request.deadlineUs && outcome != retry.Canceled {
@@ -64,20 +66,21 @@
 	result := a.result(outcome, int(recorded.Code), endUs)
 	a.model.running++
 	a.request.simulation.schedule(endUs, func() {
-		a.model.release()
+		a.model.releaseSlot()
 		a.finish(result)
 	})
 }
 
-// predict ends the attempt as the endpoint's model draws it. It waits for a slot
-// where the endpoint lets it.
+// predict ends the attempt with an outcome sampled from the endpoint's model. If
+// all slots are occupied, the attempt is queued, or rejected if it would wait too
+// long.
 func (a *simulatedAttempt) predict() {
 	latency := a.request.routeLatency()
 	if latency == 0 {
-		latency = unknownLatency
+		latency = defaultLatency
 	}
-	drawn := a.request.drawOutcome(a.model, latency)
-	run := func() { a.runAs(drawn) }
+	sampled := a.request.sampleOutcome(a.model, latency)
+	run := func() { a.occupySlot(sampled) }
 	switch {
 	case a.model.running < a.model.slots:
 		run()
@@ -88,24 +91,25 @@
 	}
 }
 
-// runAs occupies a slot for the drawn time, or until the deadline.
-func (a *simulatedAttempt) runAs(drawn recordedOutcome) {
+// occupySlot occupies a slot for the sampled latency, or until the request's
+// deadline.
+func (a *simulatedAttempt) occupySlot(sampled recordedOutcome) {
 	s := a.request.simulation
 	a.model.running++
-	endUs, outcome := s.nowUs+drawn.tookUs, drawn.outcome
+	endUs, outcome := s.nowUs+sampled.tookUs, sampled.outcome
 	if endUs > a.request.deadlineUs {
 		endUs, outcome = a.request.deadlineUs, retry.TimedOut
 	}
 	s.schedule(endUs, func() {
-		a.model.release()
-		result := a.result(outcome, drawn.code, endUs)
+		a.model.releaseSlot()
+		result := a.result(outcome, sampled.code, endUs)
 		result.FromModel = true
 		a.finish(result)
 	})
 }
 
-// maxQueueWait is how long the attempt may wait for a slot: an endpoint without
-// an agent beside it takes all until the deadline.
+// maxQueueWait returns how long the attempt may wait for a slot. A direct endpoint
+// has no sidecar that limits its queue, so attempts may wait until the deadline.
 func (a *simulatedAttempt) maxQueueWait(latency time.Duration) time.Duration {
 	r := a.request
 	if a.model.direct {
@@ -114,18 +118,20 @@
 	return retry.QueueWait{LatencyTarget: r.route.LatencyTarget, Elapsed: r.elapsed(), Remaining: r.remaining(), MeanLatency: latency, FirstSeen: r.record.FirstSeen, ShortWait: r.plan.ShortWait()}.Limit()
 }
 
-// reject ends the attempt at an endpoint whose queue is full.
+// reject ends an attempt that would have to wait longer than maxQueueWait.
 func (a *simulatedAttempt) reject() {
 	outcome := retry.Rejected
 	if a.model.direct {
 		outcome = retry.Declined
 	}
-	endUs := a.startUs + rejectionTime.Microseconds()
+	endUs := a.startUs + rejectionLatency.Microseconds()
 	result := a.result(outcome, 0, endUs)
 	result.FromModel = true
 	a.request.simulation.schedule(endUs, func() { a.finish(result) })
 }
 
+// result returns the attempt as part of the request's Result, given how and when it
+// ended. outcome and code are those of the attempt, endUs is in virtual time.
 func (a *simulatedAttempt) result(outcome retry.Outcome, code int, endUs int64) Attempt {
 	return Attempt{
 		Endpoint: a.endpoint.ID(),
@@ -138,7 +144,7 @@
 	}
 }
 
-// finish tells the load balancer and the request that the attempt has ended.
+// finish reports the end of the attempt to the load balancer and to the request.
 func (a *simulatedAttempt) finish(result Attempt) {
 	r := a.request
 	latency := time.Duration(float64(r.routeLatency()) * a.model.relativeLatency)
@@ -147,11 +153,10 @@
 	a.done(result)
 }
 
-// drawOutcome draws what would happen at an endpoint where the recording has
-// nothing of this request: its own latency elsewhere, scaled by the two
-// endpoints' relative latencies, and failures as often as the recording has them
-// at that endpoint around that moment.
-func (r *simulatedRequest) drawOutcome(model *endpointModel, routeLatency time.Duration) recordedOutcome {
+// sampleOutcome returns the outcome of an attempt that is not in the recording. It
+// fails with the endpoint's recorded failure rate around the current time;
+// otherwise it is answered after the latency that scaledLatency estimates.
+func (r *simulatedRequest) sampleOutcome(model *endpointModel, routeLatency time.Duration) recordedOutcome {
 	total, failures := model.outcomesAround(r.simulation.nowUs)
 	if total >= minWindowOutcomes && len(failures) > 0 && r.random.Float64() < float64(len(failures))/float64(total) {
 		return failures[r.random.IntN(len(failures))]
@@ -160,6 +165,9 @@
 	return recordedOutcome{outcome: retry.Answered, code: http.StatusOK, tookUs: took.Microseconds()}
 }
 
+// scaledLatency estimates the request's latency at an endpoint from its last
+// recorded successful attempt, scaled by the relative latencies of the two
+// endpoints. Without such an attempt, it scales the mean latency of the route.
 func (r *simulatedRequest) scaledLatency(model *endpointModel, routeLatency time.Duration) time.Duration {
 	took := time.Duration(float64(routeLatency) * model.relativeLatency)
 	for _, attempt := range r.record.Attempts {
--- a/internal/replay/endpoint_model.go
+++ b/internal/replay/endpoint_model.go
@@ -11,45 +11,51 @@
 )
 
 const (
-	// unknownLatency is assumed for a route that the recording has no answered
-	// attempt of.
-	unknownLatency = 50 * time.Millisecond
-	// minRelativeLatency keeps an endpoint that answered at once from scaling
-	// others' latencies to nothing.
+	// defaultLatency is assumed for a route without a successful attempt in the
+	// recording.
+	defaultLatency = 50 * time.Millisecond
+	// minRelativeLatency is the lower bound of relative latencies. It prevents
+	// latencies near zero, or a division by zero, when latencies are scaled from or
+	// to an endpoint that responded almost immediately.
 	minRelativeLatency = 0.05
-	// outcomeWindowUs is how far around a moment recorded outcomes are taken for
-	// what would happen then, in microseconds.
+	// outcomeWindowUs is the time before and after an attempt, in microseconds,
+	// within which recorded outcomes determine the failure rate.
 	outcomeWindowUs = int64(time.Second / time.Microsecond)
-	// minWindowOutcomes is how many outcomes the window must have before failures
-	// are drawn from it.
+	// minWindowOutcomes is the minimum number of outcomes in the window for failures
+	// to be sampled from it.
 	minWindowOutcomes = 3
 )
 
-// endpointModel stands in for one endpoint: its slots, its queue, and what the
-// recording tells of its latency and its failures.
+// endpointModel models an endpoint by its slots, its queue, and its latency and
+// failures in the recording.
 type endpointModel struct {
 	slots   int
 	running int
-	// queue holds attempts that wait for a slot, oldest first.
+	// queue holds the attempts that wait for a slot, oldest first.
 	queue []func()
-	// relativeLatency is its latency over the mean of the same routes at all
-	// endpoints.
+	// relativeLatency is the ratio of the endpoint's latency to the mean latency of
+	// the same routes at all endpoints.
 	relativeLatency float64
-	// outcomes are the recorded ones, in order of time.
+	// outcomes are the recorded outcomes, in order of time.
 	outcomes []recordedOutcome
-	// direct tells that nodes send to the endpoint itself and not to an agent
-	// beside it, so that nobody but the endpoint limits its queue.
+	// direct means that nodes send requests to the endpoint itself and not to a
+	// sidecar, so that only the endpoint limits its queue.
 	direct bool
 }
 
-// recordedOutcome is how one recorded attempt at an endpoint ended.
+// recordedOutcome is the outcome of a recorded attempt at an endpoint, or one that
+// sampleOutcome estimated.
 type recordedOutcome struct {
+	// timeUs is when the attempt started, in Unix microseconds; it is 0 if the
+	// outcome was estimated.
 	timeUs  int64
 	outcome retry.Outcome
-	code    int
-	tookUs  int64
+	// code is the HTTP status, 0 unless the endpoint answered.
+	code   int
+	tookUs int64
 }
 
+// failed reports whether the attempt counts towards the endpoint's failure rate.
 func (o recordedOutcome) failed() bool {
 	switch o.outcome {
 	case retry.Failed, retry.TimedOut, retry.Unreachable:
@@ -60,8 +66,8 @@
 	return false
 }
 
-// release frees a slot and starts the attempt that has waited longest.
-func (e *endpointModel) release() {
+// releaseSlot frees a slot and starts the attempt that has waited longest, if any.
+func (e *endpointModel) releaseSlot() {
 	e.running--
 	if len(e.queue) > 0 && e.running < e.slots {
 		next := e.queue[0]
@@ -70,16 +76,16 @@
 	}
 }
 
-// load counts the attempts that run or wait.
+// load returns the number of attempts that are running or queued.
 func (e *endpointModel) load() int { return e.running + len(e.queue) }
 
-// queueWait estimates how long one more attempt would wait for a slot.
+// queueWait estimates how long another attempt would wait for a slot.
 func (e *endpointModel) queueWait(latency time.Duration) time.Duration {
 	return time.Duration(len(e.queue)+1) * latency / time.Duration(e.slots)
 }
 
-// outcomesAround returns how many recorded outcomes lie around a time, and those
-// of them that are failures.
+// outcomesAround returns the number of recorded outcomes within outcomeWindowUs of
+// a time, and the failures among them.
 func (e *endpointModel) outcomesAround(timeUs int64) (total int, failures []recordedOutcome) {
 	byTime := func(o recordedOutcome, t int64) int { return cmp.Compare(o.timeUs, t) }
 	first, _ := slices.BinarySearchFunc(e.outcomes, timeUs-outcomeWindowUs, byTime)
@@ -95,13 +101,16 @@
 	return total, failures
 }
 
-// trafficModel is what a recording tells of endpoints and routes.
+// trafficModel holds the models of endpoints and the latencies of routes that are
+// derived from a recording.
 type trafficModel struct {
 	endpoints map[string]*endpointModel
-	// routeLatency is the mean latency of a route's answered attempts.
+	// routeLatency is the mean latency of each route's successful attempts.
 	routeLatency map[string]time.Duration
 }
 
+// endpoint returns the model of the endpoint with the ID. One that the recording
+// does not contain gets one slot and average latency.
 func (m *trafficModel) endpoint(id string) *endpointModel {
 	e := m.endpoints[id]
 	if e == nil {
@@ -111,14 +120,14 @@
 	return e
 }
 
-// newTrafficModel learns from the recording how fast endpoints answer, when they
-// failed, and how many slots they have.
+// newTrafficModel derives the latencies, failures and slots of endpoints from the
+// recording. It returns an error if an attempt has an unknown outcome.
 func newTrafficModel(recording *meshpb.ReplayFile) (*trafficModel, error) {
 	m := &trafficModel{endpoints: map[string]*endpointModel{}, routeLatency: map[string]time.Duration{}}
 	latencies := newLatencySums()
 	for _, node := range recording.Nodes {
 		for _, record := range node.Records {
-			if err := m.learnOutcomes(record, latencies); err != nil {
+			if err := m.addOutcomes(record, latencies); err != nil {
 				return nil, err
 			}
 		}
@@ -127,11 +136,13 @@
 	for _, e := range m.endpoints {
 		slices.SortFunc(e.outcomes, func(a, b recordedOutcome) int { return cmp.Compare(a.timeUs, b.timeUs) })
 	}
-	m.learnSlots(recording.Views)
+	m.setSlots(recording.Views)
 	return m, nil
 }
 
-func (m *trafficModel) learnOutcomes(record *meshpb.RequestRecord, latencies *latencySums) error {
+// addOutcomes adds the outcomes of the request's attempts to the models of their
+// endpoints, and the latencies of the successful ones to latencies.
+func (m *trafficModel) addOutcomes(record *meshpb.RequestRecord, latencies *latencySums) error {
 	for _, attempt := range record.Attempts {
 		outcome, ok := retry.ParseOutcome(attempt.Outcome)
 		if !ok {
@@ -140,36 +151,41 @@
 		e := m.endpoint(attempt.Endpoint)
 		e.direct = e.direct || attempt.Node == ""
 		e.outcomes = append(e.outcomes, recordedOutcome{record.AtUs + attempt.AtUs, outcome, int(attempt.Code), attempt.TookUs})
-		if answeredWell(attempt, outcome) {
+		if succeeded(attempt, outcome) {
 			latencies.add(attempt.Endpoint, record.Route, microseconds(attempt.TookUs))
 		}
 	}
 	return nil
 }
 
-// answeredWell tells that the attempt's latency is that of normal work.
-func answeredWell(attempt *meshpb.Attempt, outcome retry.Outcome) bool {
+// succeeded reports whether the endpoint responded without a server error, so that
+// the attempt's latency is representative.
+func succeeded(attempt *meshpb.Attempt, outcome retry.Outcome) bool {
 	return outcome == retry.Answered && attempt.Code < http.StatusInternalServerError
 }
 
+// setLatencies sets the mean latency of each route and the relative latency of each
+// endpoint.
 func (m *trafficModel) setLatencies(latencies *latencySums) {
 	for route, sum := range latencies.routes {
 		m.routeLatency[route] = sum.total / time.Duration(sum.count)
 	}
-	type ratio struct{ relative, count float64 }
-	ratios := map[string]ratio{}
+	type relativeSum struct{ total, count float64 }
+	sums := map[string]relativeSum{}
 	for key, sum := range latencies.endpoints {
-		r := ratios[key.endpoint]
-		r.relative += float64(sum.total) / float64(max(m.routeLatency[key.route], 1))
+		r := sums[key.endpoint]
+		r.total += float64(sum.total) / float64(max(m.routeLatency[key.route], 1))
 		r.count += float64(sum.count)
-		ratios[key.endpoint] = r
+		sums[key.endpoint] = r
 	}
-	for id, r := range ratios {
-		m.endpoints[id].relativeLatency = max(r.relative/r.count, minRelativeLatency)
+	for id, r := range sums {
+		m.endpoints[id].relativeLatency = max(r.total/r.count, minRelativeLatency)
 	}
 }
 
-func (m *trafficModel) learnSlots(views []*meshpb.View) {
+// setSlots sets the slots of endpoints, and whether they are direct, from the last
+// of the views that contains them.
+func (m *trafficModel) setSlots(views []*meshpb.View) {
 	for _, view := range views {
 		for _, endpoint := range view.Endpoints {
 			e := m.endpoint(endpoint.Id)
@@ -184,11 +200,12 @@
 	total time.Duration
 }
 
-func (s latencySum) plus(d time.Duration) latencySum { return latencySum{s.count + 1, s.total + d} }
+func (s latencySum) add(d time.Duration) latencySum { return latencySum{s.count + 1, s.total + d} }
 
 type endpointRoute struct{ endpoint, route string }
 
-// latencySums adds up the latencies of answered attempts.
+// latencySums sums the latencies of successful attempts, by route and by endpoint
+// and route.
 type latencySums struct {
 	routes    map[string]latencySum
 	endpoints map[endpointRoute]latencySum
@@ -200,12 +217,13 @@
 
 func (s *latencySums) add(endpoint, route string, latency time.Duration) {
 	key := endpointRoute{endpoint, route}
-	s.routes[route] = s.routes[route].plus(latency)
-	s.endpoints[key] = s.endpoints[key].plus(latency)
+	s.routes[route] = s.routes[route].add(latency)
+	s.endpoints[key] = s.endpoints[key].add(latency)
 }
 
-// microseconds converts the recording's unit of time.
+// microseconds converts a time span in microseconds, the unit of recordings.
 func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// seconds converts the recording's unit of time to that of reports.
+// seconds converts microseconds, the unit of recordings, to seconds, the unit of
+// reports.
 func seconds(us int64) float64 { return float64(us) / 1e6 }
--- a/internal/replay/request.go
+++ b/internal/replay/request.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// defaultTimeLimit holds for a request without a deadline on a route without a
+	// defaultTimeout applies to a request without a deadline on a route without a
 	// timeout.
-	defaultTimeLimit = time.Minute
-	// endpointPollInterval is how often a request without any endpoint looks for
-	// one.
-	endpointPollInterval = 20 * time.Millisecond
+	defaultTimeout = time.Minute
+	// noEndpointRetryDelay is the interval at which a request that has no endpoint
+	// available looks for one again.
+	noEndpointRetryDelay = 20 * time.Millisecond
 )
 
-// simulatedRequest is one request under way.
+// simulatedRequest is a request in progress.
 type simulatedRequest struct {
 	simulation *simulation
 	node       *simulatedNode
@@ -35,7 +35,7 @@
 	result     *Result
 	random     *rand.Rand
 
-	// routes is the table in force when the request began.
+	// routes is the route table in effect when the request started.
 	routes      *routeconfig.Table
 	route       *routeconfig.CompiledRoute
 	path, query string
@@ -43,30 +43,31 @@
 	startUs     int64
 	deadlineUs  int64
 
-	// unplayed are the recorded attempts that have not been followed yet.
-	unplayed []*meshpb.Attempt
-	// sessionMoves counts how often the request's session was assigned anew.
+	// remainingAttempts are the recorded attempts that have not been replayed yet.
+	remainingAttempts []*meshpb.Attempt
+	// sessionMoves counts how often the request's session was reassigned.
 	sessionMoves int
-	// hedged tells that two attempts are under way.
-	hedged bool
-	done   bool
+	// hedgeInFlight means that a hedged attempt was sent and that neither it nor
+	// the first attempt has failed yet.
+	hedgeInFlight bool
+	done          bool
 }
 
-// startRequest begins a recorded request at the current virtual time.
+// startRequest starts a recorded request at the current virtual time.
 func (s *simulation) startRequest(n *simulatedNode, record *meshpb.RequestRecord) {
 	r := &simulatedRequest{
-		simulation: s,
-		node:       n,
-		record:     record,
-		result:     &Result{},
-		random:     s.newRandom(record.Id),
-		routes:     n.routes,
-		startUs:    s.nowUs,
-		unplayed:   slices.Clone(record.Attempts),
+		simulation:        s,
+		node:              n,
+		record:            record,
+		result:            &Result{},
+		random:            s.newRandom(record.Id),
+		routes:            n.routes,
+		startUs:           s.nowUs,
+		remainingAttempts: slices.Clone(record.Attempts),
 	}
 	r.path, r.query, _ = strings.Cut(record.Target, "?")
 	s.results[record] = r.result
-	if !r.admit() {
+	if !r.applyFilters() {
 		return
 	}
 	n.budget.RecordRequest(r.result.Service)
@@ -74,16 +75,18 @@
 	r.nextAttempt()
 }
 
-// admit takes the request through the filters that precede the first attempt. It
-// returns false if one of them answered.
-func (r *simulatedRequest) admit() bool {
+// applyFilters runs the filters that precede the first attempt. It returns false if
+// one of them has ended the request.
+func (r *simulatedRequest) applyFilters() bool {
 	if !r.matchRoute() || !r.pickService() || !r.authorize() {
 		return false
 	}
 	r.setDeadline()
-	return r.checkBodySize() && r.assignSession() && !r.repeatLocalReply()
+	return r.checkBodySize() && r.assignSession() && !r.replayLocalReply()
 }
 
+// matchRoute finds the request's route. It ends the request and returns false if
+// there is none.
 func (r *simulatedRequest) matchRoute() bool {
 	if r.routes == nil {
 		r.finishWithoutConfig()
@@ -99,8 +102,9 @@
 	return true
 }
 
-// finishWithoutConfig answers at a node that has no configuration yet, as
-// recorded if the recording has it so.
+// finishWithoutConfig ends a request at a node that has no configuration yet. If
+// the recorded request was answered without a route, its recorded status is
+// repeated.
 func (r *simulatedRequest) finishWithoutConfig() {
 	if r.record.Code != 0 && r.record.Route == "" {
 		r.finish(int(r.record.Code))
@@ -109,6 +113,9 @@
 	r.finish(http.StatusServiceUnavailable)
 }
 
+// pickService picks the service with the random number of the recording, so that
+// the result differs only if the route's traffic split does. It ends the request
+// and returns false if no service is available.
 func (r *simulatedRequest) pickService() bool {
 	index, ok := r.route.PickService(r.record.Draw)
 	if !ok {
@@ -119,6 +126,8 @@
 	return true
 }
 
+// authorize evaluates the route's policy. It ends the request and returns false if
+// the policy denies access.
 func (r *simulatedRequest) authorize() bool {
 	if r.route.Policy == nil {
 		return true
@@ -137,8 +146,8 @@
 	return allowed
 }
 
-// header returns what the recording has of a header; one that it does not have
-// makes the result a model.
+// header returns the recorded value of a header. If the header was not recorded, it
+// marks the result as not derived from the recording alone.
 func (r *simulatedRequest) header(name string) string {
 	value, ok := r.record.Headers[name]
 	if !ok {
@@ -147,20 +156,22 @@
 	return value
 }
 
-// setDeadline bounds the request by the lesser of what its client asked for and
-// the route's timeout.
+// setDeadline limits the request to the shorter of the deadline requested by the
+// client and the route's timeout.
 func (r *simulatedRequest) setDeadline() {
 	limit := microseconds(r.record.DeadlineUs)
 	if limit == 0 || r.route.Timeout > 0 && r.route.Timeout < limit {
 		limit = r.route.Timeout
 	}
 	if limit == 0 {
-		limit = defaultTimeLimit
+		limit = defaultTimeout
 	}
 	r.result.timeLimit = limit
 	r.deadlineUs = r.startUs + limit.Microseconds()
 }
 
+// checkBodySize ends the request and returns false if its body exceeds the limit of
+// the configuration.
 func (r *simulatedRequest) checkBodySize() bool {
 	if r.record.BodyBytes > r.routes.Limits.MaxBodyBytes {
 		r.finish(http.StatusRequestEntityTooLarge)
@@ -169,8 +180,9 @@
 	return true
 }
 
-// assignSession finds the endpoint of the request's session, if it has one, as
-// the live filter does.
+// assignSession looks up the service and the endpoint of the request's session, if
+// it has one, as package proxy does for live requests. It ends the request and
+// returns false if the session has no endpoint at present.
 func (r *simulatedRequest) assignSession() bool {
 	session := r.record.Session
 	if session == "" || r.route.SessionKey.Name == "" {
@@ -194,9 +206,11 @@
 	return true
 }
 
-// repeatLocalReply ends a request that the recorded node answered itself, on the
-// same route, for a reason that the recording does not have.
-func (r *simulatedRequest) repeatLocalReply() bool {
+// replayLocalReply ends a request with the recorded status, and returns true, if the
+// recorded node replied itself without an attempt and the request still has the
+// same route, kind and service. The recording does not contain the reason for such
+// a reply, so it cannot be simulated.
+func (r *simulatedRequest) replayLocalReply() bool {
 	record, result := r.record, r.result
 	sameRoute := result.Route == record.Route && result.Kind == record.Kind && result.Service == record.Service
 	if !sameRoute || len(record.Attempts) > 0 || record.Code == 0 || record.Code == http.StatusNotFound {
@@ -206,8 +220,8 @@
 	return true
 }
 
-// planAttempts makes a plan of attempts at the service that was picked, which
-// goes on from an earlier plan of the request.
+// planAttempts creates the attempt plan for the request's current service. The
+// arrivals of an earlier plan of the request count towards its limit.
 func (r *simulatedRequest) planAttempts() {
 	bulk := loadbalancer.IsBulk(r.route.Kind, r.record.BodyBytes)
 	earlier := r.plan
@@ -217,11 +231,13 @@
 	if r.route.HotKey.Location != "" {
 		r.setHotKey()
 	}
-	if !r.hotKeyChanged() {
+	if !r.hotKeySourceChanged() {
 		r.plan.SetPreferred(r.nextRecordedEndpoint)
 	}
 }
 
+// setHotKey passes the hash of the request's hot key to the plan. Idempotent requests
+// are also counted by the node's key meter.
 func (r *simulatedRequest) setHotKey() {
 	key := hotkeys.Hash(r.result.Service, r.route.HotKey.Extract(r.route.PathPrefix, r.path, r.query, r.header))
 	r.plan.SetKey(key)
@@ -230,9 +246,10 @@
 	}
 }
 
-// hotKeyChanged tells that the request's key is read from another place than
-// when it was recorded, so that its endpoint is chosen anew.
-func (r *simulatedRequest) hotKeyChanged() bool {
+// hotKeySourceChanged reports whether the request's hot key is extracted from a
+// different part of the request than in the recorded configuration. Its endpoint is
+// then chosen by the load balancer and not taken from the recording.
+func (r *simulatedRequest) hotKeySourceChanged() bool {
 	recorded := r.simulation.recordedRoutes[r.record.Config]
 	if recorded == nil || !r.route.Kind.Idempotent() {
 		return false
@@ -241,10 +258,10 @@
 	return route != nil && route.HotKey != r.route.HotKey
 }
 
-// nextRecordedEndpoint names the endpoint that the recorded request went to
-// next, or "".
+// nextRecordedEndpoint returns the ID of the endpoint of the next remaining recorded
+// attempt at the request's current service, or "".
 func (r *simulatedRequest) nextRecordedEndpoint() string {
-	for _, attempt := range r.unplayed {
+	for _, attempt := range r.remainingAttempts {
 		if attempt.Service == r.result.Service {
 			return attempt.Endpoint
 		}
@@ -252,23 +269,24 @@
 	return ""
 }
 
-// routeLatency is the mean latency of the request's route, 0 if the recording
-// has none.
+// routeLatency returns the mean latency of the request's route, or 0 if the
+// recording has no successful attempt on it.
 func (r *simulatedRequest) routeLatency() time.Duration {
 	return r.simulation.model.routeLatency[r.result.Route]
 }
 
-// elapsed is the virtual time since the request began.
+// elapsed returns the virtual time since the request started.
 func (r *simulatedRequest) elapsed() time.Duration {
 	return microseconds(r.simulation.nowUs - r.startUs)
 }
 
-// remaining is the virtual time until the request's deadline.
+// remaining returns the virtual time until the request's deadline.
 func (r *simulatedRequest) remaining() time.Duration {
 	return microseconds(r.deadlineUs - r.simulation.nowUs)
 }
 
-// nextAttempt sends the next attempt that the plan names, or ends the request.
+// nextAttempt takes the plan's next action: it sends an attempt, waits for an
+// endpoint, or gives up.
 func (r *simulatedRequest) nextAttempt() {
 	if r.done {
 		return
@@ -282,19 +300,19 @@
 	case retry.GiveUp:
 		r.giveUp(localreply.NoEndpoint)
 	case retry.Wait:
-		r.simulation.schedule(r.simulation.nowUs+endpointPollInterval.Microseconds(), r.nextAttempt)
+		r.simulation.schedule(r.simulation.nowUs+noEndpointRetryDelay.Microseconds(), r.nextAttempt)
 	default:
-		r.sendHedged(endpoint)
+		r.sendWithHedge(endpoint)
 	}
 }
 
-// sendHedged sends an attempt and, if it stays silent, another beside it where
-// the plan allows that.
-func (r *simulatedRequest) sendHedged(endpoint *loadbalancer.Endpoint) {
-	r.hedged = false
-	answered := false
+// sendWithHedge sends an attempt and, if it has not ended after the hedge delay, a
+// hedged one, provided that the plan allows it.
+func (r *simulatedRequest) sendWithHedge(endpoint *loadbalancer.Endpoint) {
+	r.hedgeInFlight = false
+	ended := false
 	r.send(endpoint, func(a Attempt) {
-		answered = true
+		ended = true
 		r.attemptDone(endpoint, a)
 	})
 	if !r.plan.MayHedge() {
@@ -302,7 +320,7 @@
 	}
 	delay := min(retry.HedgeDelay(r.routeLatency()), r.remaining()/2)
 	r.simulation.schedule(r.simulation.nowUs+delay.Microseconds(), func() {
-		if !answered && !r.done {
+		if !ended && !r.done {
 			r.sendHedge()
 		}
 	})
@@ -313,18 +331,18 @@
 	if !ok {
 		return
 	}
-	r.hedged = true
+	r.hedgeInFlight = true
 	r.send(endpoint, func(a Attempt) { r.attemptDone(endpoint, a) })
 }
 
-// attemptDone takes the end of an attempt; of two that run side by side the
-// first good one counts.
+// attemptDone handles the end of an attempt. Of two concurrent attempts, the first
+// one that ends without a failure ends the request.
 func (r *simulatedRequest) attemptDone(endpoint *loadbalancer.Endpoint, attempt Attempt) {
 	r.result.Attempts = append(r.result.Attempts, attempt)
 	if r.done {
 		return
 	}
-	if r.retriesResponse(attempt) {
+	if r.shouldRetryResponse(attempt) {
 		attempt.outcome = retry.Failed
 	}
 	switch {
@@ -334,19 +352,19 @@
 	case attempt.outcome == retry.Canceled:
 		r.result.clientGone = true
 		r.finish(0)
-	case r.hedged:
-		r.hedged = false
+	case r.hedgeInFlight:
+		r.hedgeInFlight = false
 		r.plan.HedgeFailed(endpoint, attempt.outcome)
 	default:
 		r.attemptFailed(endpoint, attempt.outcome)
 	}
 }
 
-// retriesResponse tells that the response is a failure of the endpoint's that is
-// tried again elsewhere instead of forwarded.
-func (r *simulatedRequest) retriesResponse(attempt Attempt) bool {
+// shouldRetryResponse reports whether the response is a server error that is retried
+// at another endpoint instead of being forwarded.
+func (r *simulatedRequest) shouldRetryResponse(attempt Attempt) bool {
 	return attempt.outcome == retry.Answered && attempt.code >= http.StatusInternalServerError && r.route.Kind.Idempotent() &&
-		(r.hedged || r.plan.MayRetry()) && r.node.budget.CanSpend(r.result.Service)
+		(r.hedgeInFlight || r.plan.MayRetry()) && r.node.budget.CanSpend(r.result.Service)
 }
 
 func (r *simulatedRequest) attemptFailed(endpoint *loadbalancer.Endpoint, outcome retry.Outcome) {
@@ -357,10 +375,10 @@
 	r.nextAttempt()
 }
 
-// giveUp ends the request with a reply of the node's own, unless its session can
-// be assigned anew.
+// giveUp ends the request with a local reply of the node, unless its session may be
+// reassigned to another endpoint.
 func (r *simulatedRequest) giveUp(reply localreply.Reply) {
-	if r.mayMoveSession(reply) {
+	if r.sessionMayMove(reply) {
 		r.sessionMoves++
 		if r.assignSession() {
 			r.planAttempts()
@@ -371,9 +389,10 @@
 	r.finish(r.plan.FinalReply(reply, r.remaining() <= 0).Code())
 }
 
-// mayMoveSession tells that the session's endpoint no longer takes requests,
-// that this one has certainly not run, and that it may still move.
-func (r *simulatedRequest) mayMoveSession(reply localreply.Reply) bool {
+// sessionMayMove reports whether the request may follow its session to another
+// endpoint: the current one no longer accepts requests, no endpoint can have run
+// this request, and proxy.MaxSessionMoves is not reached.
+func (r *simulatedRequest) sessionMayMove(reply localreply.Reply) bool {
 	if r.result.SessionEndpoint == "" || r.plan.MayHaveRun() || reply != localreply.NoEndpoint || r.sessionMoves >= proxy.MaxSessionMoves {
 		return false
 	}
@@ -381,7 +400,8 @@
 	return !accepts
 }
 
-// finish ends the request with an HTTP status; only the first end counts.
+// finish ends the request with an HTTP status, 0 if the client disconnected. Calls
+// after the first have no effect.
 func (r *simulatedRequest) finish(code int) {
 	if r.done {
 		return
