--- a/internal/replay/hot_keys.go
+++ b/internal/replay/hot_keys.go
@@ -9,24 +9,27 @@
 )
 
 const (
-	// hotKeyIntervalUs is how often the master decides on the widths of hot keys,
-	// in microseconds.
-	hotKeyIntervalUs = int64(250 * time.Millisecond / time.Microsecond)
-	// keyRatesIntervalUs is how often nodes report how often they read a key.
-	keyRatesIntervalUs = 4 * hotKeyIntervalUs
+	// hotKeyUpdateIntervalUs is the interval at which the master updates the widths of
+	// hot keys, in microseconds.
+	hotKeyUpdateIntervalUs = int64(250 * time.Millisecond / time.Microsecond)
+	// keyRatesIntervalUs is the interval at which nodes report the read rates of
+	// keys, in microseconds.
+	keyRatesIntervalUs = 4 * hotKeyUpdateIntervalUs
 )
 
-// hotKeySpread is the master's part in spreading hot keys; it is unused, with a
-// nil tracker, where the proposal has none.
-type hotKeySpread struct {
+// hotKeyState is the master's state for spreading the reads of hot keys over
+// several endpoints. If the proposal has no hot keys, it is unused and the tracker
+// is nil.
+type hotKeyState struct {
 	tracker *hotkeys.Tracker
-	// current goes with each view.
+	// current are the hot keys that are added to each view.
 	current []*meshpb.HotKey
-	// rates are each node's latest report.
+	// rates holds the latest report of each node, by the node's name.
 	rates map[string][]*meshpb.KeyRate
 }
 
-// trackHotKeys updates the widths of hot keys until untilUs.
+// trackHotKeys schedules regular updates of the widths of hot keys until the virtual
+// time untilUs.
 func (s *simulation) trackHotKeys(untilUs int64) {
 	s.hotKeys.tracker = hotkeys.NewTracker(s.scenario.HotKeys)
 	s.hotKeys.rates = map[string][]*meshpb.KeyRate{}
@@ -34,12 +37,14 @@
 	update = func() {
 		s.updateHotKeys()
 		if s.nowUs < untilUs {
-			s.schedule(s.nowUs+hotKeyIntervalUs, update)
+			s.schedule(s.nowUs+hotKeyUpdateIntervalUs, update)
 		}
 	}
-	s.schedule(s.startUs+hotKeyIntervalUs, update)
+	s.schedule(s.startUs+hotKeyUpdateIntervalUs, update)
 }
 
+// updateHotKeys updates the widths of hot keys. If one has changed, it applies the
+// current view of each node again, which contains the hot keys.
 func (s *simulation) updateHotKeys() {
 	if (s.nowUs-s.startUs)%keyRatesIntervalUs == 0 {
 		for _, n := range s.nodes {
@@ -58,7 +63,8 @@
 	}
 }
 
-// newestEndpoints are the endpoints of the newest view that a node has.
+// newestEndpoints returns the endpoints of the view with the highest version that
+// any node has.
 func (s *simulation) newestEndpoints() []*meshpb.Endpoint {
 	var endpoints []*meshpb.Endpoint
 	version := uint64(0)
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -50,7 +50,7 @@
 	recordedRoutes map[uint64]*routeconfig.Table
 	// proposedRoutes is nil if the scenario has no configuration.
 	proposedRoutes *routeconfig.Table
-	hotKeys        hotKeySpread
+	hotKeys        hotKeyState
 	results        map[*meshpb.RequestRecord]*Result
 }
 
