--- a/internal/replay/parents.go
+++ b/internal/replay/parents.go
@@ -6,31 +6,35 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// parentIndex leads from a call that an endpoint made to the request that it was
-// at work on.
+// parentIndex maps the calls that endpoints made to their parents: the requests
+// that the endpoints were processing when they made the calls.
 type parentIndex map[*meshpb.RequestRecord]*meshpb.RequestRecord
 
 const (
-	// A call's deadline is what its parent has left, as the endpoint counted it:
-	// later than the parent's by at most maxDeadlineLeadUs, earlier by at most
-	// maxDeadlineLagUs, in microseconds.
+	// An endpoint sets the deadline of a call to the time that it computes as
+	// remaining for the parent. The call's deadline may therefore be earlier than
+	// the parent's by at most maxDeadlineLagUs, or later by at most
+	// maxDeadlineLeadUs, in microseconds.
 	maxDeadlineLagUs  = int64(25 * time.Millisecond / time.Microsecond)
 	maxDeadlineLeadUs = maxDeadlineLagUs / 5
-	// A deadline is one that user agents ask for if at least minEqualDeadlines
-	// requests of its route have it, and one in maxEqualDeadlineShare of them.
-	minEqualDeadlines     = 3
-	maxEqualDeadlineShare = 10
+	// A deadline is taken to be requested by user agents if at least
+	// minEqualDeadlines requests of the route, and at least one in
+	// equalDeadlineDivisor of them, have the same deadline.
+	minEqualDeadlines    = 3
+	equalDeadlineDivisor = 10
 )
 
-// workInterval is a time in which an endpoint was at work on a request.
-type workInterval struct {
+// processingInterval is a time interval in which an endpoint processed a request.
+// Times are in Unix microseconds; deadlineUs is the request's deadline.
+type processingInterval struct {
 	record       *meshpb.RequestRecord
 	fromUs, toUs int64
 	deadlineUs   int64
 }
 
-// mayHaveCalled tells that a request may be a call made in the interval.
-func (w workInterval) mayHaveCalled(call *meshpb.RequestRecord) bool {
+// couldBeParentOf reports whether the endpoint may have made the call while it
+// processed the request: the call falls within the interval and the deadlines match.
+func (w processingInterval) couldBeParentOf(call *meshpb.RequestRecord) bool {
 	if w.record == call || call.AtUs < w.fromUs || call.AtUs > w.toUs || call.DeadlineUs == 0 {
 		return false
 	}
@@ -38,11 +42,11 @@
 	return difference >= -maxDeadlineLagUs && difference <= maxDeadlineLeadUs
 }
 
-// findParents finds the parent of each call that an endpoint made: the one
-// request that its endpoint was at work on then, and that ends with the same
-// deadline. nodeOf leads from endpoints to their nodes.
+// findParents finds the parent of each call that an endpoint made: the only request
+// that an endpoint on the call's node was processing at that time and whose deadline
+// matches that of the call. nodeOf maps endpoint IDs to node names.
 func findParents(recording *meshpb.ReplayFile, nodeOf map[string]string) parentIndex {
-	work := workByNode(recording, nodeOf)
+	work := intervalsByNode(recording, nodeOf)
 	fromUserAgent := userAgentDeadlines(recording)
 	parents := parentIndex{}
 	for _, node := range recording.Nodes {
@@ -50,7 +54,7 @@
 			if fromUserAgent(record) {
 				continue
 			}
-			if parent := onlyParent(record, work[node.Node]); parent != nil {
+			if parent := uniqueParent(record, work[node.Node]); parent != nil {
 				parents[record] = parent
 			}
 		}
@@ -58,29 +62,31 @@
 	return parents
 }
 
-func workByNode(recording *meshpb.ReplayFile, nodeOf map[string]string) map[string][]workInterval {
-	out := map[string][]workInterval{}
-	for _, node := range recording.Nodes {
-		for _, record := range node.Records {
+// intervalsByNode returns the processing intervals of all endpoints, by the node on
+// which the endpoint runs.
+func intervalsByNode(recording *meshpb.ReplayFile, nodeOf map[string]string) map[string][]processingInterval {
+	out := map[string][]processingInterval{}
+	for _, recorded := range recording.Nodes {
+		for _, record := range recorded.Records {
 			for _, attempt := range record.Attempts {
-				at := nodeOf[attempt.Endpoint]
-				if at == "" {
+				node := nodeOf[attempt.Endpoint]
+				if node == "" {
 					continue
 				}
 				fromUs := record.AtUs + attempt.AtUs
-				out[at] = append(out[at], workInterval{record, fromUs, fromUs + attempt.TookUs, record.AtUs + record.DueUs})
+				out[node] = append(out[node], processingInterval{record, fromUs, fromUs + attempt.TookUs, record.AtUs + record.DueUs})
 			}
 		}
 	}
 	return out
 }
 
-// onlyParent returns the one request that may have made the call; nil if there is
-// none, or more than one.
-func onlyParent(call *meshpb.RequestRecord, work []workInterval) *meshpb.RequestRecord {
+// uniqueParent returns the only request during which the call may have been made. It
+// returns nil if there is none or more than one.
+func uniqueParent(call *meshpb.RequestRecord, work []processingInterval) *meshpb.RequestRecord {
 	var parent *meshpb.RequestRecord
 	for _, w := range work {
-		if !w.mayHaveCalled(call) {
+		if !w.couldBeParentOf(call) {
 			continue
 		}
 		if parent != nil && parent != w.record {
@@ -91,9 +97,9 @@
 	return parent
 }
 
-// userAgentDeadlines tells which requests have a deadline that user agents ask
-// for: those come again and again on a route, while a call has what is left of
-// its parent's.
+// userAgentDeadlines returns a function that reports whether a request has a
+// deadline requested by user agents. Such deadlines recur on a route, while that of
+// a call is the remaining time of its parent and varies from call to call.
 func userAgentDeadlines(recording *meshpb.ReplayFile) func(*meshpb.RequestRecord) bool {
 	type deadline struct {
 		route string
@@ -102,20 +108,21 @@
 	key := func(r *meshpb.RequestRecord) deadline {
 		return deadline{r.Route, microseconds(r.DeadlineUs).Milliseconds()}
 	}
-	requests, equal := map[string]int{}, map[deadline]int{}
+	routeTotals, counts := map[string]int{}, map[deadline]int{}
 	for _, node := range recording.Nodes {
 		for _, record := range node.Records {
-			requests[record.Route]++
-			equal[key(record)]++
+			routeTotals[record.Route]++
+			counts[key(record)]++
 		}
 	}
 	return func(record *meshpb.RequestRecord) bool {
-		n := equal[key(record)]
-		return n >= minEqualDeadlines && maxEqualDeadlineShare*n >= requests[record.Route]
+		n := counts[key(record)]
+		return n >= minEqualDeadlines && equalDeadlineDivisor*n >= routeTotals[record.Route]
 	}
 }
 
-// endpointNodes leads from endpoints to their nodes.
+// endpointNodes maps endpoint IDs to the names of their nodes, according to the
+// last of the recorded views that contains the endpoint.
 func endpointNodes(recording *meshpb.ReplayFile) map[string]string {
 	out := map[string]string{}
 	for _, view := range recording.Views {
