--- a/internal/replay/flags.go
+++ b/internal/replay/flags.go
@@ -67,12 +67,12 @@
 func (w watchList) has(route string) bool { return w.called[route] || slices.Contains(w.named, route) }
 
 // watches tells whether the outcome is flagged if it is harmed.
-func (w watchList) watches(o *outcomePair) bool {
+func (w watchList) watches(o *requestComparison) bool {
 	return o.runOnce || w.has(o.record.Route) || slices.Contains(w.named, o.after.Route)
 }
 
 // harm tells what the proposal does to a watched request, and why; "" if nothing.
-func (o *outcomePair) harm() (harm Harm, reason string) {
+func (o *requestComparison) harm() (harm Harm, reason string) {
 	has := func(v Verdict) bool { return slices.Contains(o.verdicts, v) }
 	result := o.after
 	missedTarget := fmt.Sprintf("takes %d ms, its aim is %d ms", result.TookMs, o.latencyTarget.Milliseconds())
@@ -101,7 +101,7 @@
 
 // shorterTimeout adds to a reason that the proposal gives the request less time
 // than it had.
-func (o *outcomePair) shorterTimeout() string {
+func (o *requestComparison) shorterTimeout() string {
 	limit := o.after.timeLimit
 	if limit > 0 && (o.record.DueUs == 0 || limit < microseconds(o.record.DueUs)) {
 		return fmt.Sprintf(" (the route's timeout is %d ms now)", limit.Milliseconds())
--- a/internal/replay/helpers_test.go
+++ b/internal/replay/helpers_test.go
@@ -31,13 +31,14 @@
 
 var options = Options{MaxMismatch: 0.02, MinCoverage: 0.9}
 
-// parseConfig returns the test configuration with each pair of edits applied.
+// parseConfig returns the test configuration after replacing the first string of
+// each pair in edits by the second, once per pair.
 func parseConfig(t *testing.T, version int, edits ...string) routeconfig.Config {
 	t.Helper()
 	text := fmt.Sprintf(configTemplate, version)
 	for i := 0; i < len(edits); i += 2 {
 		edited := strings.Replace(text, edits[i], edits[i+1], 1)
-		qt.Assert(t, edited == text, qt.IsFalse, qt.Commentf("%q is not there", edits[i]))
+		qt.Assert(t, edited == text, qt.IsFalse, qt.Commentf("%q is not in the configuration", edits[i]))
 		text = edited
 	}
 	config, err := routeconfig.Parse([]byte(text))
@@ -45,8 +46,8 @@
 	return config
 }
 
-// newMesh starts a mesh of six endpoints; broken tells which requests an endpoint
-// runs and then gives no answer to.
+// newMesh starts a mesh of six endpoints, three for each service. breaksOff selects
+// the requests that an endpoint runs but does not answer; nil selects none.
 func newMesh(breaksOff func(r *http.Request) bool) *meshtest.Mesh {
 	var endpoints []*meshtest.Endpoint
 	for i := range 6 {
@@ -61,8 +62,8 @@
 	return meshtest.New(endpoints...)
 }
 
-// sendRequests sends n requests of all kinds and returns the responses, in the
-// order in which the requests were sent.
+// sendRequests sends count requests to random paths through random nodes and returns
+// the responses in the order in which the requests were sent.
 func sendRequests(m *meshtest.Mesh, count int, seed uint64) []meshtest.Response {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	responses := make([]meshtest.Response, count)
@@ -89,15 +90,15 @@
 	return responses
 }
 
-// everyTenthOf selects the requests of a path whose ID ends in 7.
-func everyTenthOf(path string) func(r *http.Request) bool {
+// everyTenthOf selects the requests with a path prefix whose ID ends in 7.
+func everyTenthOf(prefix string) func(r *http.Request) bool {
 	return func(r *http.Request) bool {
-		return strings.HasPrefix(r.URL.Path, path) && strings.HasSuffix(r.Header.Get("X-Request-Id"), "7")
+		return strings.HasPrefix(r.URL.Path, prefix) && strings.HasSuffix(r.Header.Get("X-Request-Id"), "7")
 	}
 }
 
-// recordTraffic sends n requests under version 1 of the configuration and returns
-// the recording, after it was written and read.
+// recordTraffic sends count requests under version 1 of the configuration. It returns
+// their recording after encoding and decoding it.
 func recordTraffic(t *testing.T, breaksOff func(*http.Request) bool, count int) (recording *meshpb.ReplayFile) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(breaksOff)
@@ -114,27 +115,28 @@
 	return parsed
 }
 
-// simulateUsable simulates a proposal on a recording that must be fit for it.
+// simulateUsable simulates a proposed configuration and fails the test if the report
+// is not usable.
 func simulateUsable(t *testing.T, recording *meshpb.ReplayFile, config routeconfig.Config) *Report {
 	t.Helper()
 	report, err := Simulate(recording, Scenario{Config: &config, Seed: 1}, options)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, report.Usable, qt.IsTrue, qt.Commentf("control is off by %v", report.ControlMismatch))
+	qt.Assert(t, report.Usable, qt.IsTrue, qt.Commentf("control mismatch %v, coverage %v", report.ControlMismatch, report.Coverage))
 	return report
 }
 
-// requestsWith returns the sorted IDs of the requests that have a verdict.
+// requestsWith returns the sorted IDs of the changed requests that have the verdict.
 func requestsWith(report *Report, verdict Verdict) (ids []string) {
-	for _, l := range report.ChangedRequests {
-		if slices.Contains(l.Verdicts, verdict) {
-			ids = append(ids, l.ID)
+	for _, changed := range report.ChangedRequests {
+		if slices.Contains(changed.Verdicts, verdict) {
+			ids = append(ids, changed.ID)
 		}
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// recordIDs returns the sorted IDs of the records that are selected.
+// recordIDs returns the sorted IDs of the selected records.
 func recordIDs(recording *meshpb.ReplayFile, selects func(*meshpb.RequestRecord) bool) (ids []string) {
 	for _, node := range recording.Nodes {
 		for _, record := range node.Records {
@@ -147,11 +149,13 @@
 	return ids
 }
 
+// firstAttemptFailed reports whether the first attempt ended without an answer after
+// the endpoint may have run the request.
 func firstAttemptFailed(record *meshpb.RequestRecord) bool {
 	return len(record.Attempts) > 0 && record.Attempts[0].Outcome == "unsure"
 }
 
-// writeRecording writes a complete recording.
+// writeRecording writes the recording as a complete replay file.
 func writeRecording(out io.Writer, recording *meshpb.ReplayFile) error {
 	w, err := NewWriter(out)
 	if err != nil {
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -7,42 +7,51 @@
 	"corkcove/internal/routeconfig"
 )
 
-// Scenario is what a simulation runs under; what is nil is taken from the
-// recording.
+// Scenario describes a proposed change to simulate. Settings that are nil are taken
+// from the recording.
 type Scenario struct {
 	// Config is the proposed configuration, in force at each node from the start.
 	Config *routeconfig.Config
-	// Retries are the proposed settings of the retry budget.
+	// Retries is the proposed retry budget.
 	Retries *RetrySettings
-	// Seed determines all random choices; equal seeds give equal reports.
+	// Seed seeds all random choices. Equal seeds give equal reports.
 	Seed uint64
-	// HotKeys bounds how widely the keys of a proposal's routes are spread in the
-	// simulation.
+	// HotKeys limits how reads of hot keys are spread over endpoints. It is used only
+	// if Config has routes with hot keys.
 	HotKeys hotkeys.Options
 }
 
-// RetrySettings are the settings of the retry budget: it grows by Ratio for each
-// request within Window, on top of Slack. A forecast stores them.
+// RetrySettings are the settings of the retry budget, which allows Ratio times the
+// requests of any Window, plus Slack. They are stored in forecast files.
 type RetrySettings struct {
-	Ratio  float64       `json:"Ratio"`
-	Slack  float64       `json:"Slack"`
+	// Ratio is the number of additional attempts allowed per request.
+	Ratio float64 `json:"Ratio"`
+	// Slack is a number of additional attempts that all nodes together may make in
+	// any window, whatever the number of requests.
+	Slack float64 `json:"Slack"`
+	// Window is the length of the sliding window. It is stored in
+	// nanoseconds.
 	Window time.Duration `json:"Window"`
 }
 
-// Options are what a recording must meet before it is decided on, and how its
-// requests are told apart and watched.
+// Options sets how good a recording must be for its report to be usable, how its
+// requests are grouped into flows, and which of them are flagged.
 type Options struct {
-	// MaxMismatch is the share of requests, from 0 to 1, that the control run may
-	// fail to reproduce.
+	// MaxMismatch is the maximum fraction of requests, from 0 to 1, that the control
+	// run fails to reproduce.
 	MaxMismatch float64
-	// MinCoverage is the share, from 0 to 1, of what the nodes forwarded in the
-	// span that the recording must still have.
+	// MinCoverage is the minimum coverage, from 0 to 1: the fraction of the span for
+	// which the nodes still have records of the requests that they forwarded.
 	MinCoverage float64
-	// ByNode tells flows apart by the node where they begin, not by its zone.
+	// ByNode distinguishes flows by the node that they start from instead of its
+	// zone.
 	ByNode bool
-	// WatchedRoutes are flagged like routes whose requests must not run twice.
+	// WatchedRoutes names further routes whose requests are flagged if the proposal
+	// harms them. Requests that must not run twice, and requests on routes that
+	// endpoints call, are flagged in any case.
 	WatchedRoutes []string
-	// WarmUp is how much of the recording's beginning is simulated but not counted
-	// in the flows: the widths of hot keys need a while to settle.
+	// WarmUp is the time from the first recorded request in which requests are
+	// simulated but not counted in flows, because the widths of hot keys take a while
+	// to settle.
 	WarmUp time.Duration
 }
--- a/internal/replay/simulate.go
+++ b/internal/replay/simulate.go
@@ -11,11 +11,13 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// timeOfDay is the layout of the times in reports.
+// timeOfDay is the layout in which reports print times.
 const timeOfDay = "15:04:05.000"
 
-// Simulate plays the recording under the recorded configurations and under the
-// scenario, and reports what differs.
+// Simulate replays the recording twice, under the recorded configurations and
+// under the scenario, and reports the differences. It returns an error if a
+// configuration in the recording cannot be decoded or the traffic model cannot be
+// built.
 func Simulate(recording *meshpb.ReplayFile, scenario Scenario, options Options) (*Report, error) {
 	before, err := simulate(recording, Scenario{Seed: scenario.Seed})
 	if err != nil {
@@ -36,20 +38,21 @@
 	return b.finish(options), nil
 }
 
-// summaryKey is what summaries are told apart by.
+// summaryKey identifies a RouteSummary.
 type summaryKey struct{ route, kind, node string }
 
-// reportBuilder gathers a report from two simulations, request by request.
+// reportBuilder builds a report by comparing two simulations request by request.
 type reportBuilder struct {
 	report        *Report
 	before, after *simulation
-	nodeOf        map[string]string
-	parents       parentIndex
-	watched       watchList
-	shifts        *shiftCounter
-	summaries     map[summaryKey]*RouteSummary
-	sessions      map[sessionID]bool
-	// mismatches counts the requests that the control run did not reproduce.
+	// nodeOf maps endpoint IDs to node names.
+	nodeOf    map[string]string
+	parents   parentIndex
+	watched   watchList
+	shifts    *shiftCounter
+	summaries map[summaryKey]*RouteSummary
+	sessions  map[sessionID]bool
+	// mismatches is the number of requests that the control run did not reproduce.
 	mismatches int
 }
 
@@ -88,16 +91,17 @@
 	return b
 }
 
-// outcomePair is one request with its results in both simulations.
-type outcomePair struct {
+// requestComparison holds one request with its results in both simulations.
+type requestComparison struct {
 	node   *meshpb.RequestRecordsResponse
 	record *meshpb.RequestRecord
-	// before is its result under the recorded configurations, after under the
-	// scenario.
+	// before is the result under the recorded configurations, after the result
+	// under the scenario.
 	before, after *Result
-	// runOnce tells that it must not run twice.
+	// runOnce is true if the request must not run more than once.
 	runOnce bool
-	// latencyTarget is the stricter one of both routes, 0 if neither has one.
+	// latencyTarget is the shorter of the two routes' targets, or 0 if neither route
+	// has one.
 	latencyTarget time.Duration
 	verdicts      []Verdict
 }
@@ -111,41 +115,43 @@
 }
 
 func (b *reportBuilder) addRequest(node *meshpb.RequestRecordsResponse, record *meshpb.RequestRecord) {
-	o := &outcomePair{node: node, record: record, before: b.before.results[record], after: b.after.results[record]}
-	o.runOnce = mustRunOnce(o)
-	o.latencyTarget = stricterTarget(o.before.latencyTarget, o.after.latencyTarget)
-	o.verdicts = b.judge(o)
+	c := &requestComparison{node: node, record: record, before: b.before.results[record], after: b.after.results[record]}
+	c.runOnce = mustRunOnce(c)
+	c.latencyTarget = stricterTarget(c.before.latencyTarget, c.after.latencyTarget)
+	c.verdicts = b.computeVerdicts(c)
 
 	b.report.Requests++
-	if !reproduces(o.before, record) {
+	if !reproduces(c.before, record) {
 		b.mismatches++
 	}
 	if b.parents[record] != nil {
 		b.report.CallsWithParent++
 	}
-	if o.after.FromModel {
+	if c.after.FromModel {
 		b.report.FromModel++
 	}
 	if record.Session != "" {
-		b.sessions[sessionID{record.Session, o.before.Service}] = true
+		b.sessions[sessionID{record.Session, c.before.Service}] = true
 	}
-	b.shifts.add(node, record, o.before, o.after)
-	b.count(o)
-	if len(o.verdicts) > 0 {
-		b.addChangedRequest(o)
+	b.shifts.add(node, record, c.before, c.after)
+	b.addToSummary(c)
+	if len(c.verdicts) > 0 {
+		b.addChangedRequest(c)
 	}
 }
 
-// mustRunOnce tells that a request must not run twice: by the kind that it was
-// recorded with, and by that of its new route only if it had none.
-func mustRunOnce(o *outcomePair) bool {
-	kind, known := routeconfig.ParseRouteKind(cmp.Or(o.record.Kind, o.before.Kind))
+// mustRunOnce reports whether a request must not run more than once. The recorded
+// kind of its route decides. If the request has none, the kind from the control run
+// decides, and otherwise that of its route under the scenario.
+func mustRunOnce(c *requestComparison) bool {
+	kind, known := routeconfig.ParseRouteKind(cmp.Or(c.record.Kind, c.before.Kind))
 	if known {
 		return !kind.Idempotent()
 	}
-	return o.after.Route != "" && !o.after.kind.Idempotent()
+	return c.after.Route != "" && !c.after.kind.Idempotent()
 }
 
+// stricterTarget returns the shorter of two latency targets, where 0 means none.
 func stricterTarget(before, after time.Duration) time.Duration {
 	if before == 0 || after > 0 && after < before {
 		return after
@@ -153,108 +159,113 @@
 	return before
 }
 
-// judge returns the sorted verdicts on a request.
-func (b *reportBuilder) judge(o *outcomePair) []Verdict {
-	if b.parentGone(o) {
+// computeVerdicts returns the sorted verdicts for a request.
+func (b *reportBuilder) computeVerdicts(c *requestComparison) []Verdict {
+	if b.parentNoLongerRuns(c) {
 		return []Verdict{VerdictNotSent}
 	}
-	faultsAfter := faults(o.after, o.runOnce, o.latencyTarget)
-	verdicts := newFaults(faults(o.before, o.runOnce, o.latencyTarget), faultsAfter)
-	if len(o.after.Attempts) > 0 && len(o.before.Attempts) > 0 && o.after.Service != o.before.Service {
+	faultsAfter := faults(c.after, c.runOnce, c.latencyTarget)
+	verdicts := newFaults(faults(c.before, c.runOnce, c.latencyTarget), faultsAfter)
+	if len(c.after.Attempts) > 0 && len(c.before.Attempts) > 0 && c.after.Service != c.before.Service {
 		verdicts = append(verdicts, VerdictRerouted)
 	}
-	if o.newlyRejected() && !slices.Contains(faultsAfter, VerdictLost) {
+	if c.newlyRejected() && !slices.Contains(faultsAfter, VerdictLost) {
 		verdicts = append(verdicts, VerdictRejected)
 	}
-	if o.sessionMoved() {
+	if c.sessionMoved() {
 		verdicts = append(verdicts, VerdictSessionMoved)
 	}
 	slices.Sort(verdicts)
 	return verdicts
 }
 
-// parentGone tells that the request is a call, and that its parent runs at the
-// call's node under the recorded configurations only.
-func (b *reportBuilder) parentGone(o *outcomePair) bool {
-	parent := b.parents[o.record]
+// parentNoLongerRuns reports whether the request is a call whose parent may have run
+// on the call's node under the recorded configurations, but not under the scenario.
+func (b *reportBuilder) parentNoLongerRuns(c *requestComparison) bool {
+	parent := b.parents[c.record]
 	if parent == nil {
 		return false
 	}
-	return !b.mayRunAt(b.after.results[parent], o.node.Node) && b.mayRunAt(b.before.results[parent], o.node.Node)
+	return !b.mayHaveRunOn(b.after.results[parent], c.node.Node) && b.mayHaveRunOn(b.before.results[parent], c.node.Node)
 }
 
-func (b *reportBuilder) mayRunAt(result *Result, node string) bool {
+// mayHaveRunOn reports whether an attempt of the result ran, or may have run, at an
+// endpoint on the node.
+func (b *reportBuilder) mayHaveRunOn(result *Result, node string) bool {
 	return slices.ContainsFunc(result.Attempts, func(a Attempt) bool { return a.mayHaveRun() && b.nodeOf[a.Endpoint] == node })
 }
 
-// maxErrorStatus is above all HTTP statuses that tell of an error.
-const maxErrorStatus = 600
+// errorStatusEnd is the first status code above the HTTP error range.
+const errorStatusEnd = 600
 
-// newlyRejected tells that a node answers with an error of its own where an
-// endpoint answered before.
-func (o *outcomePair) newlyRejected() bool {
-	isError := o.after.Code >= http.StatusBadRequest && o.after.Code < maxErrorStatus
-	return isError && !o.after.answered && o.before.answered
+// newlyRejected reports whether a node answers with a local error under the
+// scenario where an endpoint answered before.
+func (c *requestComparison) newlyRejected() bool {
+	isError := c.after.Code >= http.StatusBadRequest && c.after.Code < errorStatusEnd
+	return isError && !c.after.answered && c.before.answered
 }
 
-func (o *outcomePair) sessionMoved() bool {
-	before, after := o.before.SessionEndpoint, o.after.SessionEndpoint
-	return o.record.Session != "" && before != "" && after != "" && before != after
+// sessionMoved reports whether the scenario assigns the request's session to
+// another endpoint.
+func (c *requestComparison) sessionMoved() bool {
+	before, after := c.before.SessionEndpoint, c.after.SessionEndpoint
+	return c.record.Session != "" && before != "" && after != "" && before != after
 }
 
-// count adds the request and its verdicts to the totals and to its summary.
-func (b *reportBuilder) count(o *outcomePair) {
-	key := o.summaryKey()
+// addToSummary counts the request in the summary of its route, and its verdicts in
+// that summary and in the report's totals.
+func (b *reportBuilder) addToSummary(c *requestComparison) {
+	key := c.summaryKey()
 	summary := b.summaries[key]
 	if summary == nil {
 		summary = &RouteSummary{Route: key.route, Kind: key.kind, Node: key.node, Verdicts: map[Verdict]int{}}
 		b.summaries[key] = summary
 	}
 	summary.Requests++
-	for _, v := range o.verdicts {
+	for _, v := range c.verdicts {
 		summary.Verdicts[v]++
 		b.report.Verdicts[v]++
 	}
 }
 
-func (o *outcomePair) summaryKey() summaryKey {
+func (c *requestComparison) summaryKey() summaryKey {
 	return summaryKey{
-		route: cmp.Or(o.before.Route, o.after.Route, unmatchedRoute),
-		kind:  cmp.Or(o.before.Kind, o.after.Kind),
-		node:  o.node.Node,
+		route: cmp.Or(c.before.Route, c.after.Route, unmatchedRoute),
+		kind:  cmp.Or(c.before.Kind, c.after.Kind),
+		node:  c.node.Node,
 	}
 }
 
-func (b *reportBuilder) addChangedRequest(o *outcomePair) {
+func (b *reportBuilder) addChangedRequest(c *requestComparison) {
 	changed := ChangedRequest{
-		ID:       o.record.Id,
-		Node:     o.node.Node,
-		At:       time.UnixMicro(o.record.AtUs).UTC().Format(timeOfDay),
-		Host:     o.record.Host,
-		Path:     pathOf(o.record.Target),
-		Parent:   b.parents[o.record].GetId(),
-		Session:  o.record.Session,
-		Verdicts: o.verdicts,
+		ID:       c.record.Id,
+		Node:     c.node.Node,
+		At:       time.UnixMicro(c.record.AtUs).UTC().Format(timeOfDay),
+		Host:     c.record.Host,
+		Path:     pathOf(c.record.Target),
+		Parent:   b.parents[c.record].GetId(),
+		Session:  c.record.Session,
+		Verdicts: c.verdicts,
 		Basis:    BasisRecord,
-		Old:      *o.before,
-		New:      *o.after,
-		atUs:     o.record.AtUs,
+		Old:      *c.before,
+		New:      *c.after,
+		atUs:     c.record.AtUs,
 	}
-	if o.after.FromModel {
+	if c.after.FromModel {
 		changed.Basis = BasisModel
 	}
 	b.report.ChangedRequests = append(b.report.ChangedRequests, changed)
-	if b.watched.watches(o) {
-		b.addFlag(o, changed)
+	if b.watched.watches(c) {
+		b.addFlag(c, changed)
 	}
 }
 
-func (b *reportBuilder) addFlag(o *outcomePair, changed ChangedRequest) {
-	harm, reason := o.harm()
+func (b *reportBuilder) addFlag(c *requestComparison, changed ChangedRequest) {
+	harm, reason := c.harm()
 	if harm == "" {
 		return
 	}
-	key := o.summaryKey()
+	key := c.summaryKey()
 	b.report.Flags = append(b.report.Flags, Flag{
 		ID:     changed.ID,
 		Node:   changed.Node,
@@ -269,7 +280,8 @@
 	})
 }
 
-// addSessionMoves lists the sessions that nodes moved under the scenario.
+// addSessionMoves adds the sessions that nodes moved under the scenario to the
+// report.
 func (b *reportBuilder) addSessionMoves() {
 	for _, n := range b.after.nodes {
 		_, moves, _ := n.sessions.Report(0)
@@ -288,7 +300,8 @@
 	})
 }
 
-// finish fills in what needs all requests, and puts the lists in order.
+// finish sets the fields that depend on all requests, sorts the lists and returns
+// the report.
 func (b *reportBuilder) finish(options Options) *Report {
 	r := b.report
 	r.Sessions = len(b.sessions)
@@ -306,8 +319,10 @@
 	return r
 }
 
-// reproduces tells that the control run gave a request the recorded end: the
-// same status, and the same attempts with the same outcomes.
+// reproduces reports whether the control run reproduced the recorded result of a
+// request: the same status, and attempts at the same endpoints with the same
+// outcomes, in any order. A request that has neither a status nor attempts in the
+// recording, or whose client left in the control run, counts as reproduced.
 func reproduces(result *Result, record *meshpb.RequestRecord) bool {
 	if result.clientGone || record.Code == 0 && len(record.Attempts) == 0 {
 		return true
@@ -331,8 +346,8 @@
 	return true
 }
 
-// pathOf returns the path of a request target, or all of it if it has no valid
-// one.
+// pathOf returns the path of a request target, or the whole target if it cannot be
+// parsed.
 func pathOf(target string) string {
 	if u, err := url.ParseRequestURI(target); err == nil {
 		return u.Path
--- a/internal/replay/simulate_test.go
+++ b/internal/replay/simulate_test.go
@@ -13,19 +13,19 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func TestSimulateFindsExactlyTheRequestsThatABadChangeHarms(t *testing.T) {
+func TestSimulateFindsExactlyTheRequestsHarmedByAChange(t *testing.T) {
 	recording := recordTraffic(t, everyTenthOf("/pay/"), 400)
-	failed := recordIDs(recording, func(record *meshpb.RequestRecord) bool { return record.Route == "pay" && firstAttemptFailed(record) })
-	qt.Assert(t, len(failed) > 3, qt.IsTrue)
+	failedFirst := recordIDs(recording, func(record *meshpb.RequestRecord) bool { return record.Route == "pay" && firstAttemptFailed(record) })
+	qt.Assert(t, len(failedFirst) > 3, qt.IsTrue)
 
 	pure := []string{`"pathPrefix":"/pay/","bindingKind":"effectful"`, `"pathPrefix":"/pay/","bindingKind":"pure"`}
 	report := simulateUsable(t, recording, parseConfig(t, 2, pure...))
-	qt.Assert(t, len(requestsWith(report, VerdictDuplicated)), qt.Equals, 0, qt.Commentf("one attempt can't double"))
-	raised := append(pure, `"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":1`,
+	qt.Assert(t, len(requestsWith(report, VerdictDuplicated)), qt.Equals, 0, qt.Commentf("a route with one attempt cannot duplicate requests"))
+	withRetries := append(pure, `"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":1`,
 		`"bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":1,"serviceName":"desk","maxAttempts":3`)
-	report = simulateUsable(t, recording, parseConfig(t, 2, raised...))
-	qt.Assert(t, requestsWith(report, VerdictDuplicated), qt.DeepEquals, failed)
-	qt.Assert(t, report.SevereCount() >= len(failed), qt.IsTrue)
+	report = simulateUsable(t, recording, parseConfig(t, 2, withRetries...))
+	qt.Assert(t, requestsWith(report, VerdictDuplicated), qt.DeepEquals, failedFirst)
+	qt.Assert(t, report.SevereCount() >= len(failedFirst), qt.IsTrue)
 	for _, changed := range report.ChangedRequests {
 		if slices.Contains(changed.Verdicts, VerdictDuplicated) {
 			qt.Assert(t, changed.Old.Kind, qt.Equals, "effectful")
@@ -84,8 +84,8 @@
 	qt.Assert(t, requestsWith(report, VerdictMissedTarget), qt.DeepEquals, retried)
 }
 
-// What is forecast of a change is compared with what the same traffic meets once
-// the change is in force.
+// Compares the forecast for a change with the results of the same traffic after the
+// change is applied.
 func TestForecastMatchesTheSameTrafficUnderTheChange(t *testing.T) {
 	change := []string{`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"serviceName":"seats"`,
 		`"pathPrefix":"/map/","bindingKind":"pure","timeoutS":2,"targetS":0.4,"rank":2,"weightedSplit":[{"serviceName":"seats","share":50},{"serviceName":"desk","share":50}]`,
@@ -100,8 +100,8 @@
 		recording = m.Recording()
 		m.ApplyConfig(parseConfig(t, 2, change...))
 		responses = sendRequests(m, 400, 9)
-		for _, forecastRerouted := range m.Recording().Nodes {
-			for _, record := range forecastRerouted.Records {
+		for _, node := range m.Recording().Nodes {
+			for _, record := range node.Records {
 				if record.Config != 2 {
 					continue
 				}
@@ -130,7 +130,7 @@
 	qt.Assert(t, report.Verdicts[VerdictLost], qt.Equals, timedOut)
 	forecastRerouted := report.Verdicts[VerdictRerouted]
 	difference := float64(forecastRerouted - rerouted)
-	qt.Assert(t, difference*difference <= 9*float64(forecastRerouted), qt.IsTrue, qt.Commentf("foretold %d sent elsewhere, %d were", forecastRerouted, rerouted))
+	qt.Assert(t, difference*difference <= 9*float64(forecastRerouted), qt.IsTrue, qt.Commentf("forecast: %d rerouted, actual: %d", forecastRerouted, rerouted))
 	qt.Assert(t, len(responses), qt.Equals, 400)
-	t.Logf("uploads past their time: foretold %d, happened %d; lookups sent elsewhere: foretold %d, happened %d", report.Verdicts[VerdictLost], timedOut, forecastRerouted, rerouted)
+	t.Logf("timed-out uploads: forecast %d, actual %d; rerouted requests: forecast %d, actual %d", report.Verdicts[VerdictLost], timedOut, forecastRerouted, rerouted)
 }
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -17,44 +17,50 @@
 )
 
 const (
-	// assumedUptime is how long nodes have been up when the recording begins, so
-	// that their retry budgets are fully grown.
+	// assumedUptime is the uptime of the nodes at the start of the recording. It is
+	// meant to exceed the window in which a retry budget's slack grows to its full
+	// size after a start.
 	assumedUptime = time.Hour
-	// sessionLifetime is how long a node keeps a session without asking again: no
-	// session ends within a recording.
+	// sessionLifetime is the refresh interval and the idle timeout of sessions at a
+	// node, long enough that no session expires within a recording.
 	sessionLifetime = time.Hour
-	// maxSimulatedSessions bounds the sessions of one node; a recording has fewer.
+	// maxSimulatedSessions is the maximum number of sessions cached at one node. A
+	// recording has fewer, so that none is evicted.
 	maxSimulatedSessions = 1 << 20
-	// pinHistory is how long the table of pins remembers applied changes.
+	// pinHistory is how long the coordination table retains applied changes.
 	pinHistory = time.Minute
-	// slowStart is how long a new endpoint gets a growing share of requests.
+	// slowStart is the time over which an endpoint that is added to a hot key reaches
+	// its full share of the key's reads.
 	slowStart = 2 * time.Second
-	// afterAnyRequestUs is later than any recorded time.
+	// afterAnyRequestUs is later than any recorded time, in Unix microseconds.
 	afterAnyRequestUs = int64(1) << 62
 )
 
-// viewID identifies a view.
+// viewID identifies a view by its epoch and version.
 type viewID struct{ epoch, version uint64 }
 
-// simulation plays a recording in virtual time under one scenario.
+// simulation replays a recording in virtual time under one scenario.
 type simulation struct {
 	eventQueue
 	recording *meshpb.ReplayFile
 	scenario  Scenario
-	startUs   int64
-	model     *trafficModel
-	nodes     []*simulatedNode
-	// pins is the control state's table of sessions.
+	// startUs is when the first request began, in Unix microseconds.
+	startUs int64
+	model   *trafficModel
+	nodes   []*simulatedNode
+	// pins is the table in which the core pins sessions to endpoints.
 	pins *coordination.Table
-	// recordedRoutes are the recorded configurations by version.
+	// recordedRoutes maps versions to the route tables of the recorded
+	// configurations.
 	recordedRoutes map[uint64]*routeconfig.Table
-	// proposedRoutes is nil if the scenario has no configuration.
+	// proposedRoutes is the route table of the scenario's configuration, or nil if it
+	// has none.
 	proposedRoutes *routeconfig.Table
 	hotKeys        hotKeySpread
 	results        map[*meshpb.RequestRecord]*Result
 }
 
-// simulatedNode is one node with the components that decide for its requests.
+// simulatedNode is a node with the components that route its requests.
 type simulatedNode struct {
 	recorded *meshpb.RequestRecordsResponse
 	balancer *loadbalancer.Balancer
@@ -65,7 +71,8 @@
 	keyMeter *hotkeys.Meter
 }
 
-// simulate plays the recording under the scenario to its end.
+// simulate replays the whole recording under the scenario and returns the finished
+// simulation.
 func simulate(recording *meshpb.ReplayFile, scenario Scenario) (*simulation, error) {
 	s, err := newSimulation(recording, scenario)
 	if err != nil {
@@ -105,7 +112,8 @@
 	return s, nil
 }
 
-// firstRequestUs is when the recording's first request began.
+// firstRequestUs returns the time at which the first request of the recording began,
+// or afterAnyRequestUs if there are no requests.
 func firstRequestUs(recording *meshpb.ReplayFile) int64 {
 	first := afterAnyRequestUs
 	for _, node := range recording.Nodes {
@@ -124,7 +132,7 @@
 	return out
 }
 
-// parseSnapshot unpacks a recorded configuration.
+// parseSnapshot decompresses and parses a recorded configuration.
 func parseSnapshot(snapshot *meshpb.ConfigSnapshot) (routeconfig.Config, error) {
 	b, err := rpc.Decompress(snapshot.Packed)
 	if err != nil {
@@ -133,6 +141,7 @@
 	return routeconfig.Parse(b)
 }
 
+// compileConfigs returns the route tables of the recorded configurations by version.
 func compileConfigs(snapshots []*meshpb.ConfigSnapshot) (map[uint64]*routeconfig.Table, error) {
 	out := map[uint64]*routeconfig.Table{}
 	for _, snapshot := range snapshots {
@@ -145,10 +154,10 @@
 	return out, nil
 }
 
-// now is the virtual time as live components read it.
+// now returns the virtual time; it replaces the wall clock of the live components.
 func (s *simulation) now() time.Time { return time.UnixMicro(s.nowUs) }
 
-// uptime is the virtual time since the nodes are taken to have started.
+// uptime returns the virtual time since the assumed start of the nodes.
 func (s *simulation) uptime() time.Duration {
 	return microseconds(s.nowUs-s.startUs) + assumedUptime
 }
@@ -180,8 +189,9 @@
 	return b
 }
 
-// newRandom returns a source of its own for what is named, so that a change for
-// one node or request does not shift what others draw.
+// newRandom returns a random source that depends only on the seed and on the name of
+// a node or request, so that a change to one of them does not affect the numbers
+// that the others draw.
 func (s *simulation) newRandom(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -204,7 +214,8 @@
 	return n.routes.Version
 }
 
-// pinSession answers a node's question about a session as the control state does.
+// pinSession handles a node's request to pin a session as the core does. It never
+// fails.
 func (s *simulation) pinSession(_ context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	decision := s.pins.PinSession(request, s.uptime())
 	if decision.Change != nil {
@@ -213,8 +224,8 @@
 	return decision.Result.Response(), nil
 }
 
-// scheduleViews brings the recorded views into force at the node, the first one
-// at once.
+// scheduleViews applies the node's first recorded view immediately and schedules the
+// others for their recorded times.
 func (s *simulation) scheduleViews(n *simulatedNode, views map[viewID]*meshpb.View) {
 	for i, recorded := range n.recorded.Views {
 		view := views[viewID{recorded.Epoch, recorded.Version}]
@@ -228,8 +239,9 @@
 	}
 }
 
-// scheduleConfigs brings the recorded configurations into force at the node, the
-// first one at once, unless a proposal is in force.
+// scheduleConfigs puts the node's first recorded configuration in force immediately
+// and schedules the others for their recorded times. It does nothing if the scenario
+// has a configuration, which is in force from the start.
 func (s *simulation) scheduleConfigs(n *simulatedNode) {
 	if s.proposedRoutes != nil {
 		return
@@ -246,8 +258,8 @@
 	}
 }
 
-// applyView brings a view into force at a node; under a proposal with hot keys
-// their widths are those of the simulation.
+// applyView applies a view at a node. If the proposal has hot keys, their recorded
+// widths are replaced by those of the simulation.
 func (s *simulation) applyView(n *simulatedNode, view *meshpb.View) {
 	n.view = view
 	if s.hotKeys.tracker != nil {
@@ -257,10 +269,10 @@
 	n.balancer.ApplyView(view)
 }
 
-// restoreSessions assigns each session to the endpoint where the recording has
-// it first.
+// restoreSessions pins each session to the endpoint of the first attempt that the
+// recording has of it, and caches the pin at all nodes.
 func (s *simulation) restoreSessions() {
-	for key, record := range firstOfSessions(s.recording) {
+	for key, record := range firstRequestsOfSessions(s.recording) {
 		pin := &meshpb.Pin{Key: key.session, Service: key.service, Endpoint: record.Attempts[0].Endpoint, Config: record.Config}
 		s.pins.Apply(&meshpb.Change{Pin: pin}, assumedUptime)
 		for _, n := range s.nodes {
@@ -269,11 +281,12 @@
 	}
 }
 
+// sessionID identifies a session of a service.
 type sessionID struct{ session, service string }
 
-// firstOfSessions returns the earliest request of each session that reached an
-// endpoint.
-func firstOfSessions(recording *meshpb.ReplayFile) map[sessionID]*meshpb.RequestRecord {
+// firstRequestsOfSessions returns each session's earliest recorded request that has
+// an attempt.
+func firstRequestsOfSessions(recording *meshpb.ReplayFile) map[sessionID]*meshpb.RequestRecord {
 	first := map[sessionID]*meshpb.RequestRecord{}
 	for _, node := range recording.Nodes {
 		for _, record := range node.Records {
@@ -289,7 +302,8 @@
 	return first
 }
 
-// run plays all requests.
+// run schedules all recorded requests and runs the simulation until no event is
+// left.
 func (s *simulation) run() {
 	if config := s.scenario.Config; config != nil && config.HasHotKeys() {
 		s.trackHotKeys(s.lastRequestUs())
@@ -302,6 +316,7 @@
 	s.drain()
 }
 
+// lastRequestUs returns the time at which the last request of the recording began.
 func (s *simulation) lastRequestUs() int64 {
 	last := int64(0)
 	for _, n := range s.nodes {
