--- a/internal/replay/recording_reader.go
+++ b/internal/replay/recording_reader.go
@@ -19,21 +19,21 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("replay")
 
-// maxSectionBytes bounds the payload of one section, so that a damaged length
-// does not make the reader allocate without limit.
+// maxSectionBytes limits the compressed payload of one section, so that a corrupt
+// length field cannot make the reader allocate without bound.
 const maxSectionBytes = 256 << 20
 
-// readBufferBytes is the size of the buffer that a recording is read through.
+// readBufferBytes is the size of the buffered reader that ReadFile uses.
 const readBufferBytes = 1 << 20
 
-// sectionHeaderBytes is the size of a section's kind and length.
+// sectionHeaderBytes is the size of a section header: the kind and the length.
 const sectionHeaderBytes = 1 + 4
 
-// errTruncated tells that a file ends before its checksum.
-var errTruncated = Error.New("the file is cut short")
+// errTruncated is returned for a file that ends before the end of its checksum.
+var errTruncated = Error.New("recording is truncated")
 
-// wrapReadError turns an end of file in the midst of a recording into
-// errTruncated.
+// wrapReadError returns errTruncated for an unexpected end of file, and err in
+// class Error otherwise.
 func wrapReadError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errTruncated
@@ -41,13 +41,14 @@
 	return Error.Wrap(err)
 }
 
-// ReadFile reads a recording from the named file.
+// ReadFile reads the recording in the file at path. See ReadFrom for its checks;
+// its errors are of class Error.
 func ReadFile(path string) (*meshpb.ReplayFile, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer func() { _ = f.Close() }() // nothing was written
+	defer func() { _ = f.Close() }() // opened for reading only
 	recording, err := ReadFrom(bufio.NewReaderSize(f, readBufferBytes))
 	if err != nil {
 		return nil, Error.New("%s: %w", path, errors.Unwrap(err))
@@ -55,8 +56,9 @@
 	return recording, nil
 }
 
-// ReadFrom reads a recording section by section and verifies its checksum and
-// its counts. It refuses a recording without a request.
+// ReadFrom reads a recording section by section and verifies its checksum and the
+// counts in its trailer. It returns an error of class Error if the recording is
+// truncated, corrupt, of another format version, or has no requests.
 func ReadFrom(in io.Reader) (*meshpb.ReplayFile, error) {
 	checksum := sha256.New()
 	body := io.TeeReader(in, checksum)
@@ -81,6 +83,7 @@
 	return recording, nil
 }
 
+// readMagic reads the magic line and checks the format version in it.
 func readMagic(in io.Reader) error {
 	magic := make([]byte, len(fileMagic))
 	n, err := io.ReadFull(in, magic)
@@ -88,15 +91,15 @@
 	case err != nil && bytes.HasPrefix([]byte(fileMagic), magic[:n]):
 		return errTruncated
 	case !bytes.HasPrefix(magic, []byte(fileMagicPrefix)):
-		return Error.New("this is no file of `corkcove replay save`")
+		return Error.New("not a recording written by `corkcove replay save`")
 	case string(magic) != fileMagic:
-		return Error.New("the file is of another version of corkcove's record")
+		return Error.New("unsupported recording format version %q, expected %q", magic, fileMagic)
 	}
 	return nil
 }
 
-// readSection reads one section into the recording, or into the trailer if it is
-// the last one.
+// readSection reads the next section and adds it to recording, or decodes it into
+// trailer if it is the last section.
 func readSection(in io.Reader, recording *meshpb.ReplayFile, trailer *meshpb.ReplayTrailer) (sectionKind, error) {
 	kind, payload, err := readPayload(in)
 	if err != nil {
@@ -107,11 +110,13 @@
 		return 0, err
 	}
 	if err := proto.Unmarshal(payload, message); err != nil {
-		return 0, Error.New("the file was changed: %v", err)
+		return 0, Error.New("recording is corrupt: decoding section of kind %d: %v", kind, err)
 	}
 	return kind, nil
 }
 
+// readPayload reads the next section and returns its kind and its decompressed
+// payload.
 func readPayload(in io.Reader) (sectionKind, []byte, error) {
 	var header [sectionHeaderBytes]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -119,21 +124,21 @@
 	}
 	size := binary.BigEndian.Uint32(header[1:])
 	if size > maxSectionBytes {
-		return 0, nil, Error.New("the file was changed: a part of %d bytes", size)
+		return 0, nil, Error.New("recording is corrupt: section of %d bytes exceeds the limit of %d", size, maxSectionBytes)
 	}
-	var packed bytes.Buffer
-	if _, err := io.CopyN(&packed, in, int64(size)); err != nil {
+	var compressed bytes.Buffer
+	if _, err := io.CopyN(&compressed, in, int64(size)); err != nil {
 		return 0, nil, wrapReadError(err)
 	}
-	payload, err := rpc.Decompress(packed.Bytes())
+	payload, err := rpc.Decompress(compressed.Bytes())
 	if err != nil {
-		return 0, nil, Error.New("the file was changed: a part can't be unpacked: %v", err)
+		return 0, nil, Error.New("recording is corrupt: decompressing section: %v", err)
 	}
 	return sectionKind(header[0]), payload, nil
 }
 
-// addSection returns the message that a section of this kind is decoded into,
-// after it was appended to the recording.
+// addSection returns the message to decode a section of the given kind into: a new
+// message that it appends to recording, or trailer.
 func addSection(kind sectionKind, recording *meshpb.ReplayFile, trailer *meshpb.ReplayTrailer) (proto.Message, error) {
 	switch kind {
 	case sectionNode:
@@ -151,30 +156,33 @@
 	case sectionTrailer:
 		return trailer, nil
 	}
-	return nil, Error.New("the file was changed: a part of kind %d", kind)
+	return nil, Error.New("recording is corrupt: unknown section kind %d", kind)
 }
 
+// verifyChecksum reads the stored checksum from in and compares it with want.
 func verifyChecksum(in io.Reader, want []byte) error {
 	got := make([]byte, sha256.Size)
 	if _, err := io.ReadFull(in, got); err != nil {
 		return wrapReadError(err)
 	}
 	if !bytes.Equal(want, got) {
-		return Error.New("the file was changed: its checksum is wrong")
+		return Error.New("recording is corrupt: checksum mismatch")
 	}
 	return nil
 }
 
+// verifyCounts compares the numbers of nodes and requests in recording with those in
+// trailer, and returns an error if there are no requests.
 func verifyCounts(recording *meshpb.ReplayFile, trailer *meshpb.ReplayTrailer) error {
 	records := uint64(0)
 	for _, node := range recording.Nodes {
 		records += uint64(len(node.Records))
 	}
 	if uint32(len(recording.Nodes)) != trailer.Nodes || records != trailer.Records {
-		return Error.New("the file was changed: it has %d nodes and %d requests where its tail names %d and %d", len(recording.Nodes), records, trailer.Nodes, trailer.Records)
+		return Error.New("recording is corrupt: it has %d nodes and %d requests, but its trailer says %d and %d", len(recording.Nodes), records, trailer.Nodes, trailer.Records)
 	}
 	if records == 0 {
-		return Error.New("the record is empty: no node carried a request in its span, or none keeps a record")
+		return Error.New("recording is empty: no node forwarded a request in the time span, or request recording is off on all nodes")
 	}
 	return nil
 }
--- a/internal/replay/recording_test.go
+++ b/internal/replay/recording_test.go
@@ -11,7 +11,9 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-func TestDamagedRecordingsAreRefusedWithAReason(t *testing.T) {
+// TestReadFromRejectsInvalidRecordings checks the error for each kind of invalid file,
+// and that a file truncated at any byte is an error.
+func TestReadFromRejectsInvalidRecordings(t *testing.T) {
 	recording := recordTraffic(t, nil, 20)
 	var file bytes.Buffer
 	qt.Assert(t, writeRecording(&file, recording), qt.IsNil)
@@ -23,12 +25,12 @@
 	var empty bytes.Buffer
 	qt.Assert(t, writeRecording(&empty, &meshpb.ReplayFile{}), qt.IsNil)
 	for want, content := range map[string][]byte{
-		"cut short":       complete[:len(complete)/2],
-		"checksum":        changedChecksum,
-		"was changed":     changedSection,
-		"no file":         []byte("PK\x03\x04 something"),
-		"another version": []byte("corkcove replay 9\nxx"),
-		"empty":           empty.Bytes(),
+		"is truncated":                         complete[:len(complete)/2],
+		"checksum mismatch":                    changedChecksum,
+		"is corrupt":                           changedSection,
+		"not a recording":                      []byte("PK\x03\x04 something"),
+		"unsupported recording format version": []byte("corkcove replay 9\nxx"),
+		"is empty":                             empty.Bytes(),
 	} {
 		_, err := ReadFrom(bytes.NewReader(content))
 		qt.Assert(t, err, qt.ErrorMatches, ".*"+want+".*")
--- a/internal/replay/recording_writer.go
+++ b/internal/replay/recording_writer.go
@@ -12,17 +12,17 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// A recording file is the magic line, then sections, then the SHA-256 of all
-// before it. A section is one byte of kind, the length of its payload as a
-// big-endian uint32, and the payload: a packed protobuf message. The trailer is
-// the last section.
+// A recording file consists of the magic line, the sections, and the SHA-256
+// checksum of everything before it. A section consists of a kind byte, the payload
+// length as a big-endian uint32, and the payload, a compressed protobuf message. The
+// last section is the trailer.
 const (
 	fileMagic       = "corkcove replay 2\n"
 	fileMagicPrefix = "corkcove replay "
 	formatVersion   = 2
 )
 
-// sectionKind tells which message a section holds.
+// sectionKind identifies the type of message in a section.
 type sectionKind byte
 
 const (
@@ -32,8 +32,8 @@
 	sectionTrailer                        // meshpb.ReplayTrailer
 )
 
-// Writer writes a recording section by section, so that no more than one node's
-// records need to be in memory.
+// Writer writes a recording section by section, so that the caller needs to hold
+// the records of only one node in memory at a time. Its errors are of class Error.
 type Writer struct {
 	out      io.Writer
 	checksum hash.Hash
@@ -41,19 +41,21 @@
 	records  uint64
 }
 
-// NewWriter writes the file's magic line to out and returns a Writer for the
-// sections. The caller must call Close; a file without a trailer is refused.
+// NewWriter writes the magic line to out and returns a Writer for the sections. The
+// caller must call Close, because ReadFrom rejects a file without a trailer.
 func NewWriter(out io.Writer) (*Writer, error) {
 	w := &Writer{out: out, checksum: sha256.New()}
 	return w, w.write([]byte(fileMagic))
 }
 
+// write writes b and adds it to the checksum.
 func (w *Writer) write(b []byte) error {
 	w.checksum.Write(b)
 	_, err := w.out.Write(b)
 	return Error.Wrap(err)
 }
 
+// writeSection writes message as a section of the given kind.
 func (w *Writer) writeSection(kind sectionKind, message proto.Message) error {
 	b, err := proto.Marshal(message)
 	if err != nil {
@@ -67,23 +69,23 @@
 	return w.write(payload)
 }
 
-// WriteNode appends one node's request records.
+// WriteNode appends the request records of one node.
 func (w *Writer) WriteNode(node *meshpb.RequestRecordsResponse) error {
 	w.nodes++
 	w.records += uint64(len(node.Records))
 	return w.writeSection(sectionNode, node)
 }
 
-// WriteView appends a view that some node had in force.
+// WriteView appends a view that was active on at least one node.
 func (w *Writer) WriteView(view *meshpb.View) error { return w.writeSection(sectionView, view) }
 
-// WriteConfig appends a configuration that some node had in force.
+// WriteConfig appends a configuration that was active on at least one node.
 func (w *Writer) WriteConfig(config *meshpb.ConfigSnapshot) error {
 	return w.writeSection(sectionConfig, config)
 }
 
-// Close appends the trailer, with the counts of nodes and records filled in, and
-// the checksum. It does not close the underlying writer.
+// Close sets the node and record counts in trailer, then writes the trailer and the
+// checksum. It does not close the underlying writer.
 func (w *Writer) Close(trailer *meshpb.ReplayTrailer) error {
 	trailer.Nodes, trailer.Records = w.nodes, w.records
 	if err := w.writeSection(sectionTrailer, trailer); err != nil {
