--- a/internal/replay/report_text.go
+++ b/internal/replay/report_text.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// Text renders the report for people; each list is cut at limit entries, and the
-// lists of routes and requests hold what the filter selects.
+// Text formats the report as text. The summaries and the changed requests are
+// restricted to those that filter selects. The lists of lost spans, flags, session
+// moves and changed requests are cut off after limit entries each.
 func (r *Report) Text(filter Filter, limit int) string {
 	var b strings.Builder
 	r.writeOverview(&b)
-	r.writeFitness(&b, limit)
+	r.writeDataQuality(&b, limit)
 	b.WriteString(shiftsText(r.Shifts))
 	b.WriteString(flagsText(r.Flags, limit))
 	r.writeVerdicts(&b)
@@ -20,43 +21,46 @@
 	return b.String()
 }
 
+// writeOverview writes the size of the recording and what is missing from it.
 func (r *Report) writeOverview(b *strings.Builder) {
-	fmt.Fprintf(b, "%d requests at %d nodes in %.0f s; %d calls joined to their parents; %d followed the model at some point\n", r.Requests, r.Nodes, r.SpanSeconds, r.CallsWithParent, r.FromModel)
+	fmt.Fprintf(b, "%d requests at %d nodes in %.0f s; %d calls matched to a parent request; %d partly simulated by the model\n", r.Requests, r.Nodes, r.SpanSeconds, r.CallsWithParent, r.FromModel)
 	if r.Dropped > 0 || r.Unfinished > 0 || r.NodesWithoutView > 0 {
-		fmt.Fprintf(b, "missing: %d dropped by full records, %d still under way, %d nodes without a view\n", r.Dropped, r.Unfinished, r.NodesWithoutView)
+		fmt.Fprintf(b, "missing: %d requests dropped from full ring buffers, %d still in progress; %d nodes without a view\n", r.Dropped, r.Unfinished, r.NodesWithoutView)
 	}
 	for _, node := range r.Unreachable {
 		fmt.Fprintf(b, "%s did not answer: its requests are missing\n", node)
 	}
 }
 
-func (r *Report) writeFitness(b *strings.Builder, limit int) {
-	fmt.Fprintf(b, "control: the old rules give back all but %.2f%% of what was recorded (allowed: %.2f%%)\n", 100*r.ControlMismatch, 100*r.MaxMismatch)
-	fmt.Fprintf(b, "coverage: the record has %.1f%% of what the nodes carried in its span (needed: %.1f%%)\n", 100*r.Coverage, 100*r.MinCoverage)
+// writeDataQuality writes how well the control run reproduces the recording and how
+// complete the recording is.
+func (r *Report) writeDataQuality(b *strings.Builder, limit int) {
+	fmt.Fprintf(b, "control run: %.2f%% of the recorded requests not reproduced (limit: %.2f%%)\n", 100*r.ControlMismatch, 100*r.MaxMismatch)
+	fmt.Fprintf(b, "coverage: the recording covers %.1f%% of its time span, averaged over all nodes (required: %.1f%%)\n", 100*r.Coverage, 100*r.MinCoverage)
 	for i, lost := range r.LostSpans {
 		if i == limit {
 			fmt.Fprintf(b, "  and %d more nodes\n", len(r.LostSpans)-i)
 			break
 		}
-		fmt.Fprintf(b, "  %s: its ring lost %.1f s (recordSet.requests)\n", lost.Node, lost.Seconds)
+		fmt.Fprintf(b, "  %s: %.1f s overwritten in its ring buffer (raise recordSet.requests)\n", lost.Node, lost.Seconds)
 	}
 	if r.ControlMismatch > r.MaxMismatch {
-		b.WriteString("UNFIT TO DECIDE ON: the playing does not give back what happened\n")
+		b.WriteString("UNFIT FOR A DECISION: the control run does not reproduce the recording\n")
 	}
 	if r.Coverage < r.MinCoverage {
-		b.WriteString("UNFIT TO DECIDE ON: too much of what was carried is missing\n")
+		b.WriteString("UNFIT FOR A DECISION: the recording's coverage is too low\n")
 	}
 }
 
 func (r *Report) writeVerdicts(b *strings.Builder) {
-	b.WriteString("\nunder the new rules, and not under the old:\n")
+	b.WriteString("\nrequests by verdict (new under the proposal):\n")
 	for _, v := range allVerdicts {
 		fmt.Fprintf(b, "%10d  %s\n", r.Verdicts[v], v)
 	}
 }
 
 func (r *Report) writeSessions(b *strings.Builder, limit int) {
-	fmt.Fprintf(b, "\nsessions: %d open, %d moves\n", r.Sessions, len(r.SessionMoves))
+	fmt.Fprintf(b, "\nsessions: %d in the recording, %d moved under the proposal\n", r.Sessions, len(r.SessionMoves))
 	for i, m := range r.SessionMoves {
 		if i == limit {
 			fmt.Fprintf(b, "  and %d more\n", len(r.SessionMoves)-i)
@@ -102,7 +106,7 @@
 			verdictsText(c.Verdicts), c.Old, c.New)
 	}
 	if n > limit {
-		fmt.Fprintf(b, "and %d more; --most shows them\n", n-limit)
+		fmt.Fprintf(b, "and %d more; raise --limit to list them\n", n-limit)
 	}
 }
 
