--- a/internal/replay/forecast_test.go
+++ b/internal/replay/forecast_test.go
@@ -58,7 +58,7 @@
 	moved := 0
 	for _, shift := range report.Shifts {
 		if shift.Route != "map" {
-			qt.Check(t, shift.moved(), qt.IsFalse, qt.Commentf("%s", shift.Flow))
+			qt.Check(t, shift.changed(), qt.IsFalse, qt.Commentf("%s", shift.Flow))
 			continue
 		}
 		moved++
@@ -194,7 +194,7 @@
 	before, after := recordBeforeAndAfter(t, 900, nil, change...)
 	forecast, report := forecastOf(t, before, change...)
 	for _, shift := range report.Shifts {
-		qt.Check(t, shift.moved(), qt.Equals, shift.Route == "map", qt.Commentf("%s: %d", shift.Flow, shift.OtherNode))
+		qt.Check(t, shift.changed(), qt.Equals, shift.Route == "map", qt.Commentf("%s: %d", shift.Flow, shift.OtherNode))
 	}
 	qt.Assert(t, report.Flags, qt.HasLen, 0)
 	comparison, err := forecast.Compare(after, compareOptions)
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -9,22 +9,25 @@
 	"corkcove/internal/routeconfig"
 )
 
-// Attempt is one attempt of a request at an endpoint.
+// Attempt is one attempt to send a request to an endpoint.
 type Attempt struct {
+	// Endpoint is the ID of the endpoint, Service the name of its service.
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	// Outcome is the name of the attempt's retry.Outcome.
 	Outcome string `json:"fate"`
-	// AtMs is when the attempt began, counted from the request's arrival.
+	// AtMs is the time from the request's arrival to the start of the attempt, TookMs
+	// the duration of the attempt, both in milliseconds.
 	AtMs   int64 `json:"atMs"`
 	TookMs int64 `json:"tookMs"`
-	// FromModel tells that the recording has no such attempt.
+	// FromModel is true if the attempt is not in the recording.
 	FromModel bool `json:"fromModel,omitempty"`
 	outcome   retry.Outcome
 	code      int
 }
 
-// mayHaveRun tells that the endpoint ran the request, or may have.
+// mayHaveRun reports whether the endpoint has processed, or may have processed, the
+// request.
 func (a Attempt) mayHaveRun() bool {
 	switch a.outcome {
 	case retry.Answered, retry.Failed, retry.TimedOut, retry.Canceled:
@@ -33,32 +36,38 @@
 	return false
 }
 
-// Result is how one request ended in one simulation.
+// Result is the outcome of one request in one simulation.
 type Result struct {
+	// Route is the name of the matched route, Kind its kind and Service the service
+	// that the request goes to. Each is empty if the request ended before it was
+	// determined, for example because no route matched.
 	Route   string `json:"binding"`
 	Kind    string `json:"kind"`
 	Service string `json:"service"`
-	// Code is the HTTP status, 0 if the client left before it got one.
-	Code     int       `json:"code"`
-	TookMs   int64     `json:"tookMs"`
+	// Code is the HTTP status, or 0 if the client disconnected before the response.
+	Code int `json:"code"`
+	// TookMs is the time from the request's arrival to its end, in milliseconds.
+	TookMs int64 `json:"tookMs"`
+	// Attempts lists the attempts in the order in which they ended.
 	Attempts []Attempt `json:"dispatches"`
-	// FromModel tells that something in it was not in the recording.
+	// FromModel is true if the result depends on data that is not in the recording.
 	FromModel bool `json:"fromModel"`
-	// SessionEndpoint is the endpoint that the request's session is assigned to.
+	// SessionEndpoint is the ID of the endpoint that the request's session is
+	// assigned to.
 	SessionEndpoint string `json:"-"`
 
 	kind          routeconfig.RouteKind
 	latencyTarget time.Duration
-	// timeLimit is how long the request might take, 0 if it ended before that was
-	// known.
+	// timeLimit is the maximum duration of the request, or 0 if the request ended
+	// before the limit was determined.
 	timeLimit  time.Duration
 	took       time.Duration
 	clientGone bool
-	// answered tells that the response is an endpoint's own.
+	// answered is true if the response came from an endpoint, not from the node.
 	answered bool
 }
 
-// String returns the result as reports show it.
+// String returns the status, the duration and the attempts as reports show them.
 func (r Result) String() string {
 	if len(r.Attempts) == 0 {
 		return fmt.Sprintf("%d in %d ms (nowhere)", r.Code, r.TookMs)
--- a/internal/replay/shifts.go
+++ b/internal/replay/shifts.go
@@ -9,22 +9,24 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Shift tells how many of a flow's requests would be forwarded otherwise.
+// Shift counts how many requests of a flow would be forwarded differently.
 type Shift struct {
 	Flow
+	// Requests is the number of requests counted in the flow.
 	Requests int `json:"requests"`
-	// OtherNode, OtherPath and OtherAttempts count the requests that would go to
-	// another node, to another service or zone, with another number of attempts.
+	// OtherNode counts the requests that would go to a different node, OtherPath those
+	// that would go to a different service or change between staying in their zone
+	// and leaving it, and OtherAttempts those with a different number of attempts.
 	OtherNode     int `json:"otherNode"`
 	OtherPath     int `json:"otherPath"`
 	OtherAttempts int `json:"otherAttempts"`
-	// Old and New are the shares under the recorded configuration and under the
-	// proposal.
+	// Old and New are the distributions under the recorded configurations and under
+	// the proposal.
 	Old *Shares `json:"old"`
 	New *Shares `json:"new"`
 }
 
-func (s Shift) moved() bool { return s.OtherNode+s.OtherPath+s.OtherAttempts > 0 }
+func (s Shift) changed() bool { return s.OtherNode+s.OtherPath+s.OtherAttempts > 0 }
 
 func (s *Shift) add(before, after forwarding, timeUs int64) {
 	s.Requests++
@@ -41,11 +43,12 @@
 	}
 }
 
-// shiftCounter counts shifts, request by request.
+// shiftCounter accumulates the shifts of all flows, request by request.
 type shiftCounter struct {
 	locations endpointLocations
-	byNode    bool
-	// fromUs is when requests begin to count.
+	// byNode distinguishes flows by node instead of by zone.
+	byNode bool
+	// fromUs is the start time of the first request to count, in Unix microseconds.
 	fromUs int64
 	shifts map[Flow]*Shift
 }
@@ -67,7 +70,7 @@
 	shift.add(c.locations.simulated(before, node.Zone), c.locations.simulated(after, node.Zone), record.AtUs)
 }
 
-// sorted returns all shifts in order of their flows.
+// sorted returns all shifts, sorted by flow.
 func (c *shiftCounter) sorted() []Shift {
 	out := make([]Shift, 0, len(c.shifts))
 	for _, shift := range c.shifts {
@@ -81,13 +84,13 @@
 
 func shiftsText(shifts []Shift) string {
 	var b strings.Builder
-	moved := slices.DeleteFunc(slices.Clone(shifts), func(s Shift) bool { return !s.moved() })
-	fmt.Fprintf(&b, "\nflows: %d, of which %d would be carried otherwise\n", len(shifts), len(moved))
-	if len(moved) == 0 {
+	changed := slices.DeleteFunc(slices.Clone(shifts), func(s Shift) bool { return !s.changed() })
+	fmt.Fprintf(&b, "\nflows: %d, of which %d would be forwarded differently\n", len(shifts), len(changed))
+	if len(changed) == 0 {
 		return b.String()
 	}
 	fmt.Fprintf(&b, "%-20s %-10s %-26s %9s %10s %10s %14s  %s\n", "route", "kind", "from", "requests", "other node", "other path", "other attempts", "service, old -> new")
-	for _, s := range moved {
+	for _, s := range changed {
 		share := func(n int) string { return fmt.Sprintf("%d (%.0f%%)", n, 100*float64(n)/float64(s.Requests)) }
 		fmt.Fprintf(&b, "%-20s %-10s %-26s %9d %10s %10s %14s  %s -> %s\n", s.Route, s.Kind, s.Origin, s.Requests,
 			share(s.OtherNode), share(s.OtherPath), share(s.OtherAttempts),
