--- a/internal/replay/simulate.go
+++ b/internal/replay/simulate.go
@@ -158,8 +158,8 @@
 	if b.parentGone(o) {
 		return []Verdict{VerdictNotSent}
 	}
-	faultsAfter := faults(o.after, o.runOnce, o.latencyTarget)
-	verdicts := newFaults(faults(o.before, o.runOnce, o.latencyTarget), faultsAfter)
+	faultsAfter := resultVerdicts(o.after, o.runOnce, o.latencyTarget)
+	verdicts := addedVerdicts(resultVerdicts(o.before, o.runOnce, o.latencyTarget), faultsAfter)
 	if len(o.after.Attempts) > 0 && len(o.before.Attempts) > 0 && o.after.Service != o.before.Service {
 		verdicts = append(verdicts, VerdictRerouted)
 	}
--- a/internal/replay/verdicts.go
+++ b/internal/replay/verdicts.go
@@ -9,45 +9,51 @@
 	"corkcove/internal/proxy/retry"
 )
 
-// Verdict tells what a proposal does to a request that the recorded
-// configuration does not.
+// Verdict is an effect on a request that occurs under the proposal, but not under the
+// recorded configurations.
 type Verdict string
 
 // The verdicts, in the order in which reports list them.
 const (
-	// VerdictDuplicated is that it must run once and may run twice.
+	// VerdictDuplicated means that a request that is not idempotent may run more than
+	// once.
 	VerdictDuplicated Verdict = "doubled"
-	// VerdictLost is that it gets no answer that tells whether it ran.
+	// VerdictLost means that the request fails and that the client cannot tell whether
+	// it ran.
 	VerdictLost Verdict = "vanished"
-	// VerdictLate is that it is answered after its latency target, or reaches its time
-	// limit.
+	// VerdictLate means that an endpoint's response exceeds the latency target, or that
+	// the request reaches its time limit.
 	VerdictLate Verdict = "stalled"
-	// VerdictRerouted is that it goes to another service.
+	// VerdictRerouted means that the request goes to another service.
 	VerdictRerouted Verdict = "sent elsewhere"
-	// VerdictRejected is that a node answers it with an error instead of an endpoint.
+	// VerdictRejected means that the node responds with an error of its own, where an
+	// endpoint responded before.
 	VerdictRejected Verdict = "refused anew"
-	// VerdictMissedTarget is that it may be retried and is not answered within its
-	// latency target.
+	// VerdictMissedTarget means that an idempotent request fails or exceeds its latency
+	// target.
 	VerdictMissedTarget Verdict = "not at the right place in time"
-	// VerdictSessionMoved is that its session is assigned to another endpoint.
+	// VerdictSessionMoved means that the request's session is assigned to another
+	// endpoint.
 	VerdictSessionMoved Verdict = "session moved"
-	// VerdictNotSent is that the request that it is a call of no longer runs at its
-	// node.
+	// VerdictNotSent means that the request is a call whose parent request no longer
+	// runs on the node that made the call.
 	VerdictNotSent Verdict = "not asked: its parent does not run"
 )
 
+// allVerdicts lists the verdicts in the order of reports.
 var allVerdicts = []Verdict{
 	VerdictDuplicated, VerdictLost, VerdictLate, VerdictRerouted,
 	VerdictRejected, VerdictMissedTarget, VerdictSessionMoved, VerdictNotSent,
 }
 
-// severeVerdicts are those that a change should not be pushed with.
+// severeVerdicts are the verdicts with which a change should not be deployed.
 var severeVerdicts = []Verdict{VerdictDuplicated, VerdictLost, VerdictLate}
 
-// faults are the verdicts on one simulation of a request, before it is compared
-// with the other. Whether it may run twice was decided by the configuration that
-// it was recorded under: a proposal that calls it idempotent does not change it.
-func faults(result *Result, runOnce bool, latencyTarget time.Duration) []Verdict {
+// resultVerdicts returns the verdicts on a request's result in one simulation, without
+// a comparison with the other simulation. The caller determines runOnce from the route
+// kind that the request was recorded with, so that a proposal cannot make a request
+// safe to repeat by declaring its route idempotent.
+func resultVerdicts(result *Result, runOnce bool, latencyTarget time.Duration) []Verdict {
 	if result.clientGone {
 		return nil
 	}
@@ -57,7 +63,7 @@
 		out = append(out, VerdictDuplicated)
 	}
 	succeeded := result.answered && result.Code >= http.StatusOK && result.Code < http.StatusInternalServerError
-	if !succeeded && answered == 0 && !tellsNotRun(result.Code) {
+	if !succeeded && answered == 0 && !guaranteesNotRun(result.Code) {
 		out = append(out, VerdictLost)
 	}
 	missedTarget := latencyTarget > 0 && result.took > latencyTarget
@@ -70,7 +76,8 @@
 	return out
 }
 
-// countRuns counts the attempts that were answered, and those that may have run.
+// countRuns returns the number of attempts that were answered, and the number of other
+// attempts that the endpoint may have processed.
 func countRuns(attempts []Attempt) (answered, uncertain int) {
 	for _, a := range attempts {
 		switch {
@@ -83,13 +90,13 @@
 	return answered, uncertain
 }
 
-// tellsNotRun reports whether an error status tells the client that its request
-// has not run.
-func tellsNotRun(code int) bool {
+// guaranteesNotRun reports whether an error status tells the client that the request
+// was not processed: every 4xx status, and the local replies that guarantee it.
+func guaranteesNotRun(code int) bool {
 	return localreply.GuaranteesNotRun(code) || code >= http.StatusBadRequest && code < http.StatusInternalServerError
 }
 
-// newFaults are the faults under the proposal that are not there without it.
-func newFaults(before, after []Verdict) []Verdict {
+// addedVerdicts returns the verdicts of after that are not in before.
+func addedVerdicts(before, after []Verdict) []Verdict {
 	return slices.DeleteFunc(slices.Clone(after), func(v Verdict) bool { return slices.Contains(before, v) })
 }
