--- a/internal/replay/stored_json_test.go
+++ b/internal/replay/stored_json_test.go
@@ -10,8 +10,9 @@
 	"corkcove/internal/jsontest"
 )
 
-// The files were written by the code of commit 242832a, from values that have
-// every field set.
+// TestJSONKeysOf242832aAreKept guards against renamed or removed JSON keys, which would
+// break consumers of stored reports. The fixtures were written at commit 242832a from
+// values with every field set.
 func TestJSONKeysOf242832aAreKept(t *testing.T) {
 	for file, v := range map[string]any{
 		"report.json":     &Report{},
@@ -22,6 +23,8 @@
 	}
 }
 
+// TestForecastOf242832aIsReadAndSavedUnchanged checks that a stored forecast can still
+// be read, and that saving it gives the same bytes.
 func TestForecastOf242832aIsReadAndSavedUnchanged(t *testing.T) {
 	stored := filepath.Join(storedDir, "forecast.json")
 	f, err := ReadForecast(stored)
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -12,10 +12,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// update writes the fixture of this package if it is missing. The committed file
-// is the reference: it was written by the code of commit 242832a and must never
-// be regenerated, so a folder that exists is refused.
-var update = flag.Bool("update", false, "write a missing fixture folder")
+// update writes the fixture of this package if it is missing. The committed fixture is
+// the reference: it was written at commit 242832a and must never be regenerated, so an
+// existing fixture directory is an error.
+var update = flag.Bool("update", false, "write a missing fixture directory")
 
 const (
 	storedDir  = "testdata/242832a"
@@ -23,10 +23,11 @@
 	storedText = storedDir + "/record.txt"
 )
 
-// TestReplayFileOf242832aIsRead reads a file whose parts have every field set.
+// TestReplayFileOf242832aIsRead guards against format changes that make stored
+// recordings unreadable. It reads a recording in which every field is set.
 func TestReplayFileOf242832aIsRead(t *testing.T) {
 	if *update {
-		writeStored(t)
+		writeStoredRecording(t)
 	}
 	recording, err := ReadFile(storedFile)
 	qt.Assert(t, err, qt.IsNil)
@@ -35,14 +36,15 @@
 	qt.Assert(t, prototest.Text(recording), qt.Equals, string(want))
 }
 
-func writeStored(t *testing.T) {
+// writeStoredRecording writes the fixture directory, for a recording with every field set.
+func writeStoredRecording(t *testing.T) {
 	t.Helper()
 	recording := &meshpb.ReplayFile{}
 	prototest.Fill(recording)
 	recording.Version = formatVersion
 	file := proto.Clone(recording).(*meshpb.ReplayFile)
 	qt.Assert(t, os.MkdirAll("testdata", 0o755), qt.IsNil)
-	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures are never written again"))
+	qt.Assert(t, os.Mkdir(storedDir, 0o755), qt.IsNil, qt.Commentf("committed fixtures must not be overwritten"))
 	out, err := os.Create(storedFile)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, writeRecording(out, file), qt.IsNil)
