--- a/internal/replay/report_text.go
+++ b/internal/replay/report_text.go
@@ -60,7 +60,7 @@
 }
 
 func (r *Report) writeSessions(b *strings.Builder, limit int) {
-	fmt.Fprintf(b, "\nsessions: %d in the recording, %d moved under the proposal\n", r.Sessions, len(r.SessionMoves))
+	fmt.Fprintf(b, "\nsessions: %d in the recording, %d moves under the proposal\n", r.Sessions, len(r.SessionMoves))
 	for i, m := range r.SessionMoves {
 		if i == limit {
 			fmt.Fprintf(b, "  and %d more\n", len(r.SessionMoves)-i)
--- a/internal/replay/shifts.go
+++ b/internal/replay/shifts.go
@@ -15,8 +15,9 @@
 	// Requests is the number of requests counted in the flow.
 	Requests int `json:"requests"`
 	// OtherNode counts the requests that would go to a different node, OtherPath those
-	// that would go to a different service or change between staying in their zone
-	// and leaving it, and OtherAttempts those with a different number of attempts.
+	// that would go to a different service or take a different path (within the zone,
+	// to another zone, to no endpoint), and OtherAttempts those with a different number
+	// of attempts.
 	OtherNode     int `json:"otherNode"`
 	OtherPath     int `json:"otherPath"`
 	OtherAttempts int `json:"otherAttempts"`
