--- a/internal/replay/simulate.go
+++ b/internal/replay/simulate.go
@@ -164,8 +164,8 @@
 	if b.parentNoLongerRuns(c) {
 		return []Verdict{VerdictNotSent}
 	}
-	faultsAfter := faults(c.after, c.runOnce, c.latencyTarget)
-	verdicts := newFaults(faults(c.before, c.runOnce, c.latencyTarget), faultsAfter)
+	faultsAfter := resultVerdicts(c.after, c.runOnce, c.latencyTarget)
+	verdicts := addedVerdicts(resultVerdicts(c.before, c.runOnce, c.latencyTarget), faultsAfter)
 	if len(c.after.Attempts) > 0 && len(c.before.Attempts) > 0 && c.after.Service != c.before.Service {
 		verdicts = append(verdicts, VerdictRerouted)
 	}
