--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -11,69 +11,79 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// CompareOptions bound a comparison of a forecast with a recording.
+// CompareOptions are the thresholds for comparing a forecast with a recording.
 type CompareOptions struct {
-	// FalseAlarmRate is the chance, between 0 and 1, that any share of a right
-	// forecast is called a deviation.
+	// FalseAlarmRate is the accepted probability, between 0 and 1, that at least one
+	// share of an accurate forecast is reported as a deviation.
 	FalseAlarmRate float64
-	// Tolerance is what a share may be off, from 0 to 1, beyond chance: what the
-	// model does not get right.
+	// Tolerance is the difference between a forecast and an actual share, from 0 to
+	// 1, that is accepted in addition to sampling error. It covers the systematic
+	// error of the model.
 	Tolerance float64
-	// MinRequests is how many requests a flow must have on both sides.
+	// MinRequests is the number of requests that a flow must have both in the
+	// forecast and in the recording to be compared.
 	MinRequests int
-	// WarmUp is how long after a node took the configuration its requests begin to
-	// count.
+	// WarmUp is the time after a node applied the configuration during which its
+	// requests are not counted.
 	WarmUp time.Duration
-	// AnyConfig compares also if another configuration than the proposal is in
-	// force.
+	// AnyConfig skips the check that the recording was taken under the proposed
+	// configuration and retry settings. The requests under the newest recorded
+	// configuration are compared.
 	AnyConfig bool
-	// MinCoverage is the share, from 0 to 1, of what the nodes forwarded that the
-	// recording must have.
+	// MinCoverage is the share, from 0 to 1, of the forwarded requests that the
+	// recording must contain.
 	MinCoverage float64
 }
 
-// Comparison is a forecast beside what happened.
+// Comparison is the result of comparing a forecast with a recording.
 type Comparison struct {
-	// Flows are those with enough requests on both sides.
-	Flows         []FlowComparison `json:"flows"`
-	SharesChecked int              `json:"sharesChecked"`
-	Deviations    []Deviation      `json:"outside"`
-	// MissingFlows were forecast and have no request, NewFlows have requests and
-	// were not forecast, SparseFlows have too few requests to tell.
+	// Flows are the flows with enough requests in the forecast and in the recording.
+	Flows []FlowComparison `json:"flows"`
+	// SharesChecked is the number of shares compared over all Flows.
+	SharesChecked int         `json:"sharesChecked"`
+	Deviations    []Deviation `json:"outside"`
+	// MissingFlows were forecast and have no recorded requests. NewFlows have
+	// recorded requests and were not forecast. SparseFlows have too few requests to
+	// be compared.
 	MissingFlows []Flow `json:"notSeen"`
 	NewFlows     []Flow `json:"notForetold"`
 	SparseFlows  []Flow `json:"tooFew"`
-	// Requests counts those under the change, OtherRequests those under another
-	// configuration or within the warm-up.
+	// Requests counts the requests under the compared configuration, OtherRequests
+	// those under another configuration or within the warm-up.
 	Requests      int `json:"requests"`
 	OtherRequests int `json:"underOtherConfigurations"`
-	// MaxStandardErrors is how many standard errors a share may be off.
+	// MaxStandardErrors is the accepted difference of a share, in standard errors.
 	MaxStandardErrors float64 `json:"z"`
-	Coverage          float64 `json:"coverage"`
+	// Coverage is the share, from 0 to 1, of the forwarded requests that the
+	// recording contains.
+	Coverage float64 `json:"coverage"`
 }
 
-// FlowComparison is one flow's forecast beside its actual shares.
+// FlowComparison holds the forecast and the actual shares of one flow.
 type FlowComparison struct {
 	Flow
-	Forecast   *Shares `json:"foretold"`
-	Actual     *Shares `json:"actual"`
-	Deviations int     `json:"outside"`
+	Forecast *Shares `json:"foretold"`
+	Actual   *Shares `json:"actual"`
+	// Deviations is the number of the flow's entries in Comparison.Deviations.
+	Deviations int `json:"outside"`
 }
 
-// Deviation is one share that is not where it was forecast to be.
+// Deviation is an actual share that lies outside its expected interval.
 type Deviation struct {
 	Flow
-	// Dimension is what the share is of: service, node, path or attempts.
-	Dimension string  `json:"what"`
-	Value     string  `json:"value"`
-	Forecast  float64 `json:"foretold"`
-	Actual    float64 `json:"actual"`
-	// Low and High bound where the actual share should lie.
+	// Dimension is service, node, path or attempts, Value the service, node, path or
+	// number of attempts that the share is of.
+	Dimension string `json:"what"`
+	Value     string `json:"value"`
+	// Forecast and Actual are shares of the flow's requests, from 0 to 1.
+	Forecast float64 `json:"foretold"`
+	Actual   float64 `json:"actual"`
+	// Low and High bound the interval in which the actual share is expected.
 	Low  float64 `json:"from"`
 	High float64 `json:"to"`
 }
 
-// dimension is one way to tell a flow's requests apart.
+// dimension is a property by which the requests of a flow are counted.
 type dimension struct {
 	name   string
 	counts func(*Shares) map[string]int
@@ -86,15 +96,17 @@
 	{"attempts", func(s *Shares) map[string]int { return s.Attempts }},
 }
 
-// Compare holds the forecast against a recording that was taken once the change
-// was live.
+// Compare compares the forecast with a recording that was taken after the proposal
+// took effect. It returns an error if the recording was taken under another
+// configuration or other retry settings (unless options.AnyConfig is set), if its
+// coverage is below options.MinCoverage, or if no request in it can be compared.
 func (f Forecast) Compare(recording *meshpb.ReplayFile, options CompareOptions) (*Comparison, error) {
 	if err := f.checkRecording(recording); err != nil && !options.AnyConfig {
 		return nil, err
 	}
 	version := f.ConfigVersion
 	if version == 0 || options.AnyConfig {
-		version = newestConfig(recording)
+		version = newestConfigVersion(recording)
 	}
 	actual, other := actualShares(recording, version, f.ByNode, options.WarmUp)
 	c := &Comparison{
@@ -107,13 +119,13 @@
 		Coverage:      coverageOf(recording),
 	}
 	if c.Coverage < options.MinCoverage {
-		return nil, Error.New("the record has only %.1f%% of what the nodes carried, %.1f%% is needed", 100*c.Coverage, 100*options.MinCoverage)
+		return nil, Error.New("the recording contains only %.1f%% of the requests that the nodes forwarded; %.1f%% is required", 100*c.Coverage, 100*options.MinCoverage)
 	}
 	for _, shares := range actual {
 		c.Requests += shares.Requests
 	}
 	if c.Requests == 0 {
-		return nil, Error.New("the record has no request that was carried under %s", routeconfig.FormatVersion(version))
+		return nil, Error.New("the recording contains no request that was forwarded under %s after the warm-up", routeconfig.FormatVersion(version))
 	}
 	c.matchFlows(f.Flows, actual, options.MinRequests)
 	c.MaxStandardErrors = zScore(options.FalseAlarmRate, c.SharesChecked)
@@ -123,8 +135,9 @@
 	return c, nil
 }
 
-// newestConfig returns the newest version in the recording.
-func newestConfig(recording *meshpb.ReplayFile) uint64 {
+// newestConfigVersion returns the highest configuration version in the recording,
+// 0 if it has none.
+func newestConfigVersion(recording *meshpb.ReplayFile) uint64 {
 	version := uint64(0)
 	for _, snapshot := range recording.Configs {
 		version = max(version, snapshot.Version)
@@ -132,20 +145,22 @@
 	return version
 }
 
+// coverageOf returns the coverage as Report.Coverage defines it.
 func coverageOf(recording *meshpb.ReplayFile) float64 {
 	r := &Report{}
 	r.setCoverage(recording)
 	return r.Coverage
 }
 
-// actualShares counts how the flows of a recording were forwarded under one
-// configuration, and how many requests were not under it for long enough.
+// actualShares returns the shares of each flow under one configuration version, and
+// the number of requests under other versions or within the warm-up. Requests
+// without a status are left out, because their clients left before the response.
 func actualShares(recording *meshpb.ReplayFile, version uint64, byNode bool, warmUp time.Duration) (map[Flow]*Shares, int) {
 	locations := locateEndpoints(recording)
 	shares := map[Flow]*Shares{}
 	other := 0
 	for _, node := range recording.Nodes {
-		fromUs := countedFromUs(node, version, warmUp)
+		fromUs := countingStartUs(node, version, warmUp)
 		for _, record := range node.Records {
 			if record.Config != version || record.AtUs < fromUs {
 				other++
@@ -158,7 +173,7 @@
 			if shares[flow] == nil {
 				shares[flow] = newShares()
 			}
-			shares[flow].add(locations.recorded(record, node.Zone), record.AtUs)
+			shares[flow].add(locations.recordedForwarding(record, node.Zone), record.AtUs)
 		}
 	}
 	for _, s := range shares {
@@ -167,8 +182,9 @@
 	return shares, other
 }
 
-// countedFromUs is when a node's requests begin to count.
-func countedFromUs(node *meshpb.RequestRecordsResponse, version uint64, warmUp time.Duration) int64 {
+// countingStartUs returns when the warm-up ends at a node that applied the version,
+// in microseconds since the Unix epoch; 0 if the node's report does not list it.
+func countingStartUs(node *meshpb.RequestRecordsResponse, version uint64, warmUp time.Duration) int64 {
 	fromUs := int64(0)
 	for _, config := range node.Configs {
 		if config.Version == version {
@@ -178,8 +194,8 @@
 	return fromUs
 }
 
-// matchFlows sorts flows by whether they can be compared, and counts the shares
-// of those that can.
+// matchFlows sorts the flows into Flows, MissingFlows, NewFlows and SparseFlows, and
+// counts the shares of those in Flows.
 func (c *Comparison) matchFlows(forecasts []FlowForecast, actual map[Flow]*Shares, minRequests int) {
 	known := map[Flow]bool{}
 	for _, forecast := range forecasts {
@@ -205,13 +221,14 @@
 	slices.SortFunc(c.NewFlows, Flow.compare)
 }
 
-// zScore is how many standard errors each of n shares may be off, so that all
-// lie within but for the false alarm rate.
+// zScore returns the two-sided bound, in standard errors, that n shares of an
+// accurate forecast exceed at most with the probability falseAlarmRate in total
+// (Bonferroni correction).
 func zScore(falseAlarmRate float64, n int) float64 {
 	return math.Sqrt2 * math.Erfinv(1-falseAlarmRate/float64(max(n, 1)))
 }
 
-// checkShares adds the deviations of one flow.
+// checkShares appends the deviations of one flow to c.Deviations.
 func (c *Comparison) checkShares(flow *FlowComparison, tolerance float64) {
 	forecast, actual := flow.Forecast, flow.Actual
 	for _, d := range dimensions {
@@ -236,6 +253,7 @@
 	}
 }
 
+// unionOfKeys returns the sorted keys of both maps.
 func unionOfKeys(a, b map[string]int) []string {
 	union := map[string]bool{}
 	for k := range a {
@@ -247,10 +265,11 @@
 	return slices.Sorted(maps.Keys(union))
 }
 
-// shareInterval is where the actual share of a value should lie that count of
-// the forecast's requests have. Both samples vary, each the more the larger its
-// overdispersion is. The estimate adds one request with the value and one
-// without, so that a share of 0 or 1 has a width too.
+// shareInterval returns the interval in which the actual share of a value is
+// expected if count of the forecast's requests have that value. Its width accounts
+// for the sampling variance of both samples, each scaled by its overdispersion. The
+// variance is estimated with one more request with the value and one more without,
+// so that the interval of a share of 0 or 1 has a width above 0 too.
 func shareInterval(count int, forecast, actual *Shares, z, tolerance float64) (low, high float64) {
 	forecastRequests, actualRequests := float64(forecast.Requests), float64(actual.Requests)
 	p := (float64(count) + 1) / (forecastRequests + 2)
--- a/internal/replay/compare_text.go
+++ b/internal/replay/compare_text.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Text renders the comparison for people; each list is cut at limit entries.
+// Text formats the comparison for an operator. Each list ends after limit entries.
 func (c *Comparison) Text(limit int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d requests under the change, %d under others or too early; coverage %.1f%%\n", c.Requests, c.OtherRequests, 100*c.Coverage)
-	fmt.Fprintf(&b, "%d flows, %d shares compared, each within %.1f standard errors of both samples\n\n", len(c.Flows), c.SharesChecked, c.MaxStandardErrors)
+	fmt.Fprintf(&b, "%d requests under the change, %d under other configurations or within the warm-up; coverage %.1f%%\n", c.Requests, c.OtherRequests, 100*c.Coverage)
+	fmt.Fprintf(&b, "%d flows, %d shares compared; %.1f standard errors of both samples are allowed\n\n", len(c.Flows), c.SharesChecked, c.MaxStandardErrors)
 	c.writeFlows(&b, limit)
 	c.writeDeviations(&b, limit)
-	writeFlowList(&b, "not seen since", c.MissingFlows, limit)
-	writeFlowList(&b, "not foretold", c.NewFlows, limit)
-	writeFlowList(&b, "too few requests to tell", c.SparseFlows, limit)
+	writeFlowList(&b, "forecast, but without requests", c.MissingFlows, limit)
+	writeFlowList(&b, "not forecast", c.NewFlows, limit)
+	writeFlowList(&b, "too few requests to compare", c.SparseFlows, limit)
 	return b.String()
 }
 
@@ -36,10 +36,10 @@
 			b.WriteString("\n")
 		}
 		if i == limit {
-			fmt.Fprintf(b, "and %d more outside\n", len(c.Deviations)-i)
+			fmt.Fprintf(b, "and %d more shares outside\n", len(c.Deviations)-i)
 			break
 		}
-		fmt.Fprintf(b, "OUTSIDE %s: %s %s was foretold for %.1f%%, carried %.1f%% (should lie between %.1f%% and %.1f%%)\n",
+		fmt.Fprintf(b, "OUTSIDE %s: %s %s was forecast at %.1f%%, is %.1f%% (expected between %.1f%% and %.1f%%)\n",
 			d.Flow, d.Dimension, d.Value, 100*d.Forecast, 100*d.Actual, 100*d.Low, 100*d.High)
 	}
 }
--- a/internal/replay/flows.go
+++ b/internal/replay/flows.go
@@ -11,25 +11,29 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Flow names requests that are counted together: a route, its kind, and the zone
-// or the node where they begin.
+// Flow identifies requests that are counted together.
 type Flow struct {
-	Route  string `json:"route"`
-	Kind   string `json:"kind"`
+	// Route is a route's name, or unmatchedRoute. Kind is the kind of the route, as in
+	// the configuration.
+	Route string `json:"route"`
+	Kind  string `json:"kind"`
+	// Origin is the zone where the requests begin, or the node if flows are separated
+	// by node.
 	Origin string `json:"origin"`
 }
 
-// String returns the flow as reports name it.
+// String returns the flow in the form that text reports use.
 func (f Flow) String() string { return f.Route + " " + f.Kind + " from " + f.Origin }
 
+// compare orders flows by route, kind and origin.
 func (f Flow) compare(other Flow) int {
 	return cmp.Or(cmp.Compare(f.Route, other.Route), cmp.Compare(f.Kind, other.Kind), cmp.Compare(f.Origin, other.Origin))
 }
 
-// unmatchedRoute stands for the route of requests that match none.
+// unmatchedRoute is the route name of requests that match no route.
 const unmatchedRoute = "(none)"
 
-// originOf names where a node's requests begin.
+// originOf returns the Flow.Origin of a node's requests.
 func originOf(node *meshpb.RequestRecordsResponse, byNode bool) string {
 	if byNode {
 		return node.Node
@@ -37,27 +41,33 @@
 	return node.Zone
 }
 
-// forwarding is where one request went, or would go.
+// forwarding is how one request was or would be forwarded.
 type forwarding struct {
-	service  string
-	node     string
-	path     string
+	// service and node are the destination's, or noDestination.
+	service string
+	node    string
+	// path is noDestination, withinZone or acrossZones.
+	path string
+	// attempts is the number of attempts that reached an endpoint.
 	attempts int
 }
 
-// Values of a forwarding's service, node and path.
+// Values of a forwarding's fields. Forecast files contain them as keys, so they must
+// not change.
 const (
 	noDestination = "(nowhere)"
 	withinZone    = "in its zone"
 	acrossZones   = "to another zone"
 )
 
-// endpointLocations tells on which node and in which zone endpoints are.
+// endpointLocations maps endpoint IDs to the nodes and zones of the endpoints.
 type endpointLocations struct {
 	node map[string]string
 	zone map[string]string
 }
 
+// locateEndpoints collects the locations from all views of the recording. An endpoint
+// without a node counts as a node of its own.
 func locateEndpoints(recording *meshpb.ReplayFile) endpointLocations {
 	l := endpointLocations{node: map[string]string{}, zone: map[string]string{}}
 	for _, view := range recording.Views {
@@ -69,27 +79,31 @@
 	return l
 }
 
-// simulated tells where a simulated request that began in the zone went.
-func (l endpointLocations) simulated(result *Result, zone string) forwarding {
+// simulatedForwarding returns how a simulated request that began in the zone was
+// forwarded.
+func (l endpointLocations) simulatedForwarding(result *Result, zone string) forwarding {
 	var d destination
 	for _, attempt := range result.Attempts {
-		d.add(attempt.Service, attempt.Endpoint, attempt.outcome)
+		d.addAttempt(attempt.Service, attempt.Endpoint, attempt.outcome)
 	}
-	return l.forwarding(d, zone)
+	return l.resolve(d, zone)
 }
 
-// recorded tells where a recorded request that began in the zone went.
-func (l endpointLocations) recorded(record *meshpb.RequestRecord, zone string) forwarding {
+// recordedForwarding returns how a recorded request that began in the zone was
+// forwarded. Attempts with an unknown outcome are ignored.
+func (l endpointLocations) recordedForwarding(record *meshpb.RequestRecord, zone string) forwarding {
 	var d destination
 	for _, attempt := range record.Attempts {
 		if outcome, ok := retry.ParseOutcome(attempt.Outcome); ok {
-			d.add(attempt.Service, attempt.Endpoint, outcome)
+			d.addAttempt(attempt.Service, attempt.Endpoint, outcome)
 		}
 	}
-	return l.forwarding(d, zone)
+	return l.resolve(d, zone)
 }
 
-func (l endpointLocations) forwarding(d destination, zone string) forwarding {
+// resolve looks up the destination's node and compares its zone with the one where
+// the request began.
+func (l endpointLocations) resolve(d destination, zone string) forwarding {
 	f := forwarding{service: cmp.Or(d.service, noDestination), node: noDestination, path: noDestination, attempts: d.attempts}
 	if d.endpoint == "" {
 		return f
@@ -101,15 +115,17 @@
 	return f
 }
 
-// destination is the endpoint that answered a request, else the first that it
-// reached, and how many attempts reached one.
+// destination is the endpoint that answered a request, or the first one that it
+// reached if none answered, and the number of attempts that reached an endpoint.
 type destination struct {
 	service  string
 	endpoint string
 	attempts int
 }
 
-func (d *destination) add(service, endpoint string, outcome retry.Outcome) {
+// addAttempt counts an attempt unless its outcome says that it did not reach the
+// endpoint.
+func (d *destination) addAttempt(service, endpoint string, outcome retry.Outcome) {
 	if outcome == retry.Rejected || outcome == retry.Unreachable {
 		return
 	}
@@ -119,37 +135,40 @@
 	}
 }
 
-// blockUs is the length of the blocks of time whose shares are compared with each
-// other, in microseconds.
-const blockUs = int64(1e6)
+// blockLengthUs is the length, in microseconds, of the blocks of time into which
+// Shares divides requests to measure overdispersion.
+const blockLengthUs = int64(1e6)
 
 const (
-	// maxOverdispersion bounds Shares.Overdispersion.
+	// maxOverdispersion is the upper bound of Shares.Overdispersion.
 	maxOverdispersion = 8
-	// minExpectedCount is what a cell must be expected to hold to count in the
-	// chi-square statistic.
+	// minExpectedCount is the expected number of requests that a category and all
+	// others together must each have in a block for the block to contribute to the
+	// category's chi-square statistic.
 	minExpectedCount = 2
-	// minDegreesOfFreedom is how many cells the statistic needs to be used at all.
+	// minDegreesOfFreedom is the number of contributions, summed over categories and
+	// blocks, below which the statistic is ignored.
 	minDegreesOfFreedom = 4
 )
 
-// Shares counts a flow's requests by where they went, on which path, with how
-// many attempts. A forecast stores them.
+// Shares counts the requests of a flow by destination, path and number of attempts.
+// Forecast files contain it.
 type Shares struct {
+	// Requests is the total. Each of the maps below counts all of them once.
 	Requests int            `json:"requests"`
 	Service  map[string]int `json:"service"`
 	Node     map[string]int `json:"node"`
 	Path     map[string]int `json:"path"`
 	Attempts map[string]int `json:"attempts"`
-	// Overdispersion tells how much more the shares vary from moment to moment
-	// than if requests were drawn independently; 1 if they do not.
+	// Overdispersion is the ratio between the variance of the shares over time and
+	// the variance of independent requests, from 1 to maxOverdispersion.
 	Overdispersion float64 `json:"clump"`
 
-	// blocks counts by block of time and by destination.
+	// blocks counts requests by block of time and blockCell. It is not stored.
 	blocks map[int64]map[blockCell]int
 }
 
-// blockCell is what the counts of a block of time are told apart by.
+// blockCell is the category by which the requests of a block of time are counted.
 type blockCell struct{ service, path string }
 
 func newShares() *Shares {
@@ -170,13 +189,15 @@
 	s.Node[f.node]++
 	s.Path[f.path]++
 	s.Attempts[attemptsLabel(f.attempts)]++
-	block := timeUs / blockUs
+	block := timeUs / blockLengthUs
 	if s.blocks[block] == nil {
 		s.blocks[block] = map[blockCell]int{}
 	}
 	s.blocks[block][blockCell{f.service, f.path}]++
 }
 
+// attemptsLabel returns the key in Shares.Attempts. Forecast files contain it, so it
+// must not change.
 func attemptsLabel(n int) string {
 	if n > 2 {
 		return "3 or more"
@@ -184,8 +205,8 @@
 	return fmt.Sprint(n)
 }
 
-// setOverdispersion divides the chi-square statistic of the shares of all blocks
-// of time by its degrees of freedom.
+// setOverdispersion sets Overdispersion to the chi-square statistic of the shares in
+// all blocks of time, divided by its degrees of freedom.
 func (s *Shares) setOverdispersion() {
 	totals := map[blockCell]int{}
 	for _, block := range s.blocks {
@@ -204,7 +225,9 @@
 	}
 }
 
-// chiSquare holds the share of a cell in each block against its share in all.
+// chiSquare returns the chi-square statistic of one category, which has the given
+// share of all requests: the sum over the blocks of the squared difference between
+// its actual and expected count, divided by the binomial variance.
 func (s *Shares) chiSquare(cell blockCell, share float64) (sum, degreesOfFreedom float64) {
 	if share == 0 || share == 1 {
 		return 0, 0
@@ -225,13 +248,11 @@
 	return sum, degreesOfFreedom
 }
 
-const (
-	// maxListedShares is how many shares of a distribution are listed if it has
-	// more than one above that.
-	maxListedShares = 3
-)
+// maxListedShares is the number of shares that sharesText lists before it summarizes
+// the others. A single remaining share is listed too.
+const maxListedShares = 3
 
-// sharesText lists a distribution, largest share first.
+// sharesText formats a distribution in percent of total, largest share first.
 func sharesText(counts map[string]int, total int) string {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
--- a/internal/replay/shifts.go
+++ b/internal/replay/shifts.go
@@ -64,7 +64,7 @@
 		shift = &Shift{Flow: flow, Old: newShares(), New: newShares()}
 		c.shifts[flow] = shift
 	}
-	shift.add(c.locations.simulated(before, node.Zone), c.locations.simulated(after, node.Zone), record.AtUs)
+	shift.add(c.locations.simulatedForwarding(before, node.Zone), c.locations.simulatedForwarding(after, node.Zone), record.AtUs)
 }
 
 // sorted returns all shifts in order of their flows.
