--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -30,8 +30,7 @@
 	// configuration and retry settings. The requests under the newest recorded
 	// configuration are compared.
 	AnyConfig bool
-	// MinCoverage is the share, from 0 to 1, of the forwarded requests that the
-	// recording must contain.
+	// MinCoverage is the lower bound of Comparison.Coverage, from 0 to 1.
 	MinCoverage float64
 }
 
@@ -40,8 +39,9 @@
 	// Flows are the flows with enough requests in the forecast and in the recording.
 	Flows []FlowComparison `json:"flows"`
 	// SharesChecked is the number of shares compared over all Flows.
-	SharesChecked int         `json:"sharesChecked"`
-	Deviations    []Deviation `json:"outside"`
+	SharesChecked int `json:"sharesChecked"`
+	// Deviations are the shares of Flows that lie outside their expected intervals.
+	Deviations []Deviation `json:"outside"`
 	// MissingFlows were forecast and have no recorded requests. NewFlows have
 	// recorded requests and were not forecast. SparseFlows have too few requests to
 	// be compared.
@@ -54,14 +54,15 @@
 	OtherRequests int `json:"underOtherConfigurations"`
 	// MaxStandardErrors is the accepted difference of a share, in standard errors.
 	MaxStandardErrors float64 `json:"z"`
-	// Coverage is the share, from 0 to 1, of the forwarded requests that the
-	// recording contains.
+	// Coverage is the share, from 0 to 1, of the span that the recording covers,
+	// averaged over all nodes; a node that did not answer covers nothing.
 	Coverage float64 `json:"coverage"`
 }
 
 // FlowComparison holds the forecast and the actual shares of one flow.
 type FlowComparison struct {
 	Flow
+	// Forecast are the shares of the forecast file, Actual those of the recording.
 	Forecast *Shares `json:"foretold"`
 	Actual   *Shares `json:"actual"`
 	// Deviations is the number of the flow's entries in Comparison.Deviations.
@@ -119,7 +120,7 @@
 		Coverage:      coverageOf(recording),
 	}
 	if c.Coverage < options.MinCoverage {
-		return nil, Error.New("the recording contains only %.1f%% of the requests that the nodes forwarded; %.1f%% is required", 100*c.Coverage, 100*options.MinCoverage)
+		return nil, Error.New("the recording covers only %.1f%% of what the nodes forwarded; %.1f%% is required", 100*c.Coverage, 100*options.MinCoverage)
 	}
 	for _, shares := range actual {
 		c.Requests += shares.Requests
--- a/internal/replay/flags.go
+++ b/internal/replay/flags.go
@@ -41,10 +41,11 @@
 	// Parent is the ID of the request that an endpoint was handling when it made this
 	// one; empty if there is none.
 	Parent string `json:"parent,omitempty"`
+	// Harm is how the proposal harms the request, Reason an explanation for operators.
 	Harm   Harm   `json:"what"`
-	// Reason explains the harm to an operator.
 	Reason string `json:"why"`
-	Basis  Basis  `json:"basis"`
+	// Basis tells whether the result under the proposal was recorded or modelled.
+	Basis Basis `json:"basis"`
 	// atUs is At in microseconds since the Unix epoch.
 	atUs int64
 }
--- a/internal/replay/flows.go
+++ b/internal/replay/flows.go
@@ -154,8 +154,11 @@
 // Shares counts the requests of a flow by destination, path and number of attempts.
 // Forecast files contain it.
 type Shares struct {
-	// Requests is the total. Each of the maps below counts all of them once.
-	Requests int            `json:"requests"`
+	// Requests is the total. Each map counts every request once.
+	Requests int `json:"requests"`
+	// Service and Node count by destination, Path by whether the destination is in
+	// the zone of the origin, Attempts by the number of attempts that reached an
+	// endpoint.
 	Service  map[string]int `json:"service"`
 	Node     map[string]int `json:"node"`
 	Path     map[string]int `json:"path"`
--- a/internal/replay/forecast.go
+++ b/internal/replay/forecast.go
@@ -41,6 +41,7 @@
 // FlowForecast is the expected distribution of one flow.
 type FlowForecast struct {
 	Flow
+	// Shares is never nil in a valid file.
 	Shares *Shares `json:"shares"`
 }
 
