--- a/internal/jsontest/jsontest.go
+++ b/internal/jsontest/jsontest.go
@@ -1,5 +1,6 @@
-// Package jsontest checks in tests that a stored JSON form stays as it is. It has
-// no state, runs on the test's goroutine and only reads the stored file.
+// Package jsontest checks in tests that the JSON encoding of a stored type stays the
+// same. It keeps no state, runs on the test's goroutine, and only reads the stored
+// file.
 package jsontest
 
 import (
@@ -11,10 +12,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Unchanged decodes the named file into v, a pointer, and encodes v again. It
-// fails the test unless v knows each key of the file and the result has the same
-// bytes: no key was renamed, dropped or added.
-func Unchanged(t *testing.T, file string, v any) {
+// AssertRoundTrip decodes the named file into v, a pointer, and encodes v again. It
+// fails the test if the file has a key that v does not know, or if the encoded bytes
+// differ from the file, as they do if a key was renamed, removed or added.
+func AssertRoundTrip(t *testing.T, file string, v any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/loadestimate/stored_json_test.go
+++ b/internal/loadestimate/stored_json_test.go
@@ -14,6 +14,6 @@
 		"estimate.json": &Estimate{},
 		"check.json":    &[]Deviation{},
 	} {
-		t.Run(file, func(t *testing.T) { jsontest.Unchanged(t, filepath.Join("testdata/242832a", file), v) })
+		t.Run(file, func(t *testing.T) { jsontest.AssertRoundTrip(t, filepath.Join("testdata/242832a", file), v) })
 	}
 }
--- a/internal/replay/stored_json_test.go
+++ b/internal/replay/stored_json_test.go
@@ -18,7 +18,7 @@
 		"comparison.json": &Comparison{},
 		"forecast.json":   &Forecast{},
 	} {
-		t.Run(file, func(t *testing.T) { jsontest.Unchanged(t, filepath.Join(storedDir, file), v) })
+		t.Run(file, func(t *testing.T) { jsontest.AssertRoundTrip(t, filepath.Join(storedDir, file), v) })
 	}
 }
 
