--- a/internal/changetrace/change.go
+++ b/internal/changetrace/change.go
@@ -10,19 +10,20 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("changetrace")
 
-// Kinds of changes that have a version of their own.
+// Kinds of versioned changes.
 const (
 	KindConfig = "configuration"
 	KindView   = "view"
 )
 
-// SessionKind is the kind of the pins of a session, by its hashed key.
+// SessionKind returns the kind of the pins of the session with the given hashed key.
 func SessionKind(key string) string { return "pin " + key }
 
-// CellKind is the kind of the puts of a cell.
+// CellKind returns the kind of the puts to the named cell (key-value pair).
 func CellKind(name string) string { return "cell " + name }
 
-// What names a change on the command line and in requests between processes.
+// Prefixes that select the kind of a change on the command line and in requests
+// between processes.
 const (
 	configPrefix  = "r"
 	viewPrefix    = "view:"
@@ -30,16 +31,19 @@
 	sessionPrefix = "pin:"
 )
 
-// Change names what an operator asks for.
+// Change identifies the change that an operator wants to trace.
 type Change struct {
+	// Kind is KindConfig, KindView, or the result of SessionKind or CellKind.
 	Kind string
-	// Version is 0 for a cell or a session: their newest change is meant.
+	// Version is the version of a configuration or view. It is 0 for a cell or session,
+	// which selects the newest recorded version.
 	Version uint64
 }
 
-// ParseChange reads r12 (a configuration), view:9, key:group.name for the last
-// put of a cell that is remembered, or pin:KEY for a session under its hashed
-// key.
+// ParseChange parses the identifier of a change: r12 is version 12 of the
+// configuration, view:9 is version 9 of the view, key:group.name is the newest
+// recorded put to a cell, and pin:KEY is the pin of the session with the hashed key
+// KEY. It returns an Error for any other input, and for version 0.
 func ParseChange(s string) (Change, error) {
 	if key, ok := strings.CutPrefix(s, sessionPrefix); ok && key != "" {
 		return Change{Kind: SessionKind(key)}, nil
@@ -49,15 +53,17 @@
 	}
 	kind, number, ok := cutVersionPrefix(s)
 	if !ok {
-		return Change{}, invalidChange(s)
+		return Change{}, invalidChangeError(s)
 	}
 	version, err := strconv.ParseUint(number, 10, 64)
 	if err != nil || version == 0 {
-		return Change{}, invalidChange(s)
+		return Change{}, invalidChangeError(s)
 	}
 	return Change{kind, version}, nil
 }
 
+// cutVersionPrefix splits the identifier of a versioned change into its kind and
+// the text of its version.
 func cutVersionPrefix(s string) (kind, number string, ok bool) {
 	if number, ok := strings.CutPrefix(s, viewPrefix); ok {
 		return KindView, number, true
@@ -66,6 +72,6 @@
 	return KindConfig, number, ok
 }
 
-func invalidChange(s string) error {
-	return Error.New("%q is no change: give a configuration such as r12, a view such as view:9, a key such as key:g1.a, or a session such as pin:0a1b", s)
+func invalidChangeError(s string) error {
+	return Error.New("invalid change %q: want a configuration such as r12, a view such as view:9, a key such as key:g1.a, or a session such as pin:0a1b", s)
 }
--- a/internal/changetrace/doc.go
+++ b/internal/changetrace/doc.go
@@ -1,13 +1,13 @@
-// Package changetrace keeps what a process did to each change of the control
-// state, and gathers it from all processes.
+// Package changetrace records how each process handles changes to the control state,
+// and collects these events from all processes.
 //
-// A change is a configuration, a view, a cell or a session's pin. Each process
-// adds an Event to its Ring whenever it has proposed, committed, published or
-// applied one; `corkcove trace` asks all processes for the events of one change
-// and prints them in order of nodes. Commits cover several changes at once:
-// Ring.Find takes the first commit of a shard that covers the version that a
-// change was proposed with.
+// A change is a new version of the configuration or the view, a put to a cell, or a
+// session's pin. A process adds an Event to its Ring when it proposes, commits,
+// publishes or applies a change. `corkcove trace` queries all processes for the events
+// of one change and prints them by node. A commit covers all earlier proposals of its
+// shard, so Ring.Find returns the first commit that covers the version at which the
+// change was proposed.
 //
-// A Ring belongs to its process, may be used from any goroutine and holds the
-// last events only; nothing of it is stored.
+// Each process has one Ring. It is safe for concurrent use, keeps only the most recent
+// events, and is not persisted.
 package changetrace
--- a/internal/changetrace/gather.go
+++ b/internal/changetrace/gather.go
@@ -12,34 +12,42 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Report is what all processes did to a change.
+// Report holds the events of a change from all processes.
 type Report struct {
-	// Change is as the operator gave it.
+	// Change is the identifier that the operator specified.
 	Change string `json:"change"`
-	// Known tells that some process has an event of it.
-	Known bool        `json:"known"`
+	// Known is set if at least one process has an event of the change.
+	Known bool `json:"known"`
+	// Nodes holds the processes that answered, sorted by role and name.
 	Nodes []NodeTrace `json:"nodes"`
-	// Unreachable are the processes that did not answer.
+	// Unreachable holds the sorted names of the processes that did not answer.
 	Unreachable []string `json:"silent"`
 }
 
-// NodeTrace is what one process did.
+// NodeTrace holds the events of a change at one process.
 type NodeTrace struct {
-	Name   string      `json:"name"`
-	Role   string      `json:"role"`
+	// Name is the process's node name.
+	Name string `json:"name"`
+	// Role is the process's role, such as core or sidecar.
+	Role string `json:"role"`
+	// Events are in the order in which they were recorded.
 	Events []NodeEvent `json:"steps"`
 }
 
-// NodeEvent is one event as a process reports it.
+// NodeEvent is an event as reported by a process.
 type NodeEvent struct {
-	Time   time.Time `json:"at"`
-	Action string    `json:"step"`
-	Epoch  uint64    `json:"epoch"`
-	Detail string    `json:"detail,omitempty"`
+	// Time is in UTC, by the process's clock.
+	Time time.Time `json:"at"`
+	// Action is what the process did, such as proposed or committed.
+	Action string `json:"step"`
+	// Epoch is the epoch of the change, or 0 if the event has none.
+	Epoch uint64 `json:"epoch"`
+	// Detail is the event's shard and version, or empty if it has none.
+	Detail string `json:"detail,omitempty"`
 }
 
-// Gather asks all processes, given as addresses by name, for the events of a
-// change, each for at most timeout. They are asked at the same time.
+// Gather queries all processes concurrently for the events of a change, waiting at
+// most timeout for each. The keys of addresses are the names of the processes.
 func Gather(clients *rpc.Clients, change string, addresses map[string]string, timeout time.Duration) Report {
 	report := Report{Change: change, Unreachable: []string{}, Nodes: []NodeTrace{}}
 	var mu sync.Mutex
@@ -73,7 +81,7 @@
 	r.Nodes = append(r.Nodes, node)
 }
 
-// String renders the report for people, one event a line.
+// String formats the report as human-readable text, one event per line.
 func (r Report) String() string {
 	var b strings.Builder
 	for _, n := range r.Nodes {
--- a/internal/changetrace/ring.go
+++ b/internal/changetrace/ring.go
@@ -9,29 +9,33 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// actionProposed is the action of an event that proposes a change to its shard.
+// actionProposed is the action of the event in which an owner proposes a change to
+// its shard.
 const actionProposed = "proposed"
 
-// Event is one thing that a process did to a change.
+// Event records that a process performed an action on a change.
 type Event struct {
-	Time   time.Time
+	// Time is when the process performed the action, by its own clock.
+	Time time.Time
+	// Action is what the process did, such as proposed or committed.
 	Action string
-	// Kind and Version name the change for its users. Kind is empty for a commit,
-	// which covers all that was proposed before it.
+	// Kind and Version identify the change to an operator. Kind is empty for a commit,
+	// which covers all earlier proposals of its shard.
 	Kind    string
 	Version uint64
-	// Shard, Epoch and ShardVersion are the change's place in the control state;
-	// ShardVersion is 0 if it has none.
+	// Shard, Epoch and ShardVersion are the change's position in the control state.
+	// ShardVersion is 0 if the event has no such position.
 	Shard        int
 	Epoch        uint64
 	ShardVersion uint64
 }
 
-func (e Event) isOf(c Change) bool { return e.Kind == c.Kind && e.Version == c.Version }
+// matches reports whether the event belongs to a change.
+func (e Event) matches(c Change) bool { return e.Kind == c.Kind && e.Version == c.Version }
 
-func (e Event) proposes() bool { return e.Kind != "" && e.Action == actionProposed }
+func (e Event) isProposal() bool { return e.Kind != "" && e.Action == actionProposed }
 
-// detail tells the event's place in its shard, "" if it has none.
+// detail returns the event's shard and version as text, or "" if it has none.
 func (e Event) detail() string {
 	if e.ShardVersion == 0 {
 		return ""
@@ -39,49 +43,53 @@
 	return fmt.Sprintf("shard %d version %d", e.Shard, e.ShardVersion)
 }
 
-// Ring keeps the last events of a process.
+// Ring is a ring buffer of a process's most recent events. It is safe for concurrent
+// use.
 type Ring struct {
 	mu     sync.Mutex
 	events logring.RingBuffer[Event]
 }
 
-// NewRing returns a ring that keeps size events.
+// NewRing returns an empty ring that holds up to size events. The size must be
+// positive.
 func NewRing(size int) *Ring { return &Ring{events: logring.NewRingBuffer[Event](size)} }
 
-// Add adds an event; the oldest one gives way to it.
+// Add adds an event, replacing the oldest one if the ring is full.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events.Put(e)
 }
 
-func (r *Ring) all() []Event {
+// snapshot returns a copy of the events, oldest first.
+func (r *Ring) snapshot() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events.All()
 }
 
-// Find returns the events of a change in their order, and the first commit that
+// Find returns the events of a change, oldest first, including the first commit that
 // covers it.
 func (r *Ring) Find(c Change) []*meshpb.TraceEvent {
-	events := r.all()
+	events := r.snapshot()
 	if c.Version == 0 {
 		c.Version = newestVersion(events, c.Kind)
 	}
 	var out []*meshpb.TraceEvent
-	waiting := proposals{}
+	pending := pendingProposals{}
 	for _, e := range events {
-		if !e.isOf(c) && (e.Kind != "" || !waiting.commit(e)) {
+		if !e.matches(c) && (e.Kind != "" || !pending.removeCovered(e)) {
 			continue
 		}
-		if e.proposes() && e.ShardVersion > 0 {
-			waiting[proposal{e.Epoch, e.ShardVersion}] = e.Shard
+		if e.isProposal() && e.ShardVersion > 0 {
+			pending[proposalKey{e.Epoch, e.ShardVersion}] = e.Shard
 		}
 		out = append(out, &meshpb.TraceEvent{AtUs: e.Time.UnixMicro(), Step: e.Action, Epoch: e.Epoch, Detail: e.detail()})
 	}
 	return out
 }
 
+// newestVersion returns the highest recorded version of a kind, or 0 if there is none.
 func newestVersion(events []Event, kind string) uint64 {
 	version := uint64(0)
 	for _, e := range events {
@@ -92,20 +100,21 @@
 	return version
 }
 
-type proposal struct{ epoch, shardVersion uint64 }
+// proposalKey is the epoch and shard version at which a change was proposed.
+type proposalKey struct{ epoch, shardVersion uint64 }
 
-// proposals are those that wait for their commit, with their shards.
-type proposals map[proposal]int
+// pendingProposals maps each uncommitted proposal to its shard.
+type pendingProposals map[proposalKey]int
 
-// commit removes the proposals that a commit covers, and tells whether there were
-// any.
-func (p proposals) commit(e Event) bool {
-	covers := false
-	for waiting, shard := range p {
-		if shard == e.Shard && waiting.epoch == e.Epoch && e.ShardVersion >= waiting.shardVersion {
-			covers = true
-			delete(p, waiting)
+// removeCovered removes the proposals that a commit covers and reports whether there
+// were any.
+func (p pendingProposals) removeCovered(e Event) bool {
+	covered := false
+	for key, shard := range p {
+		if shard == e.Shard && key.epoch == e.Epoch && e.ShardVersion >= key.shardVersion {
+			covered = true
+			delete(p, key)
 		}
 	}
-	return covers
+	return covered
 }
--- a/internal/changetrace/ring_test.go
+++ b/internal/changetrace/ring_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestFindReturnsEventsOfAChangeAndTheCommitThatCoversIt(t *testing.T) {
+func TestFindReturnsEventsAndFirstCoveringCommit(t *testing.T) {
 	r := NewRing(8)
 	for i := uint64(0); i < 20; i++ {
 		r.Add(Event{Action: "proposed", Kind: "cell g.old", Version: i, Shard: 2, Epoch: 1, ShardVersion: i})
@@ -26,7 +26,7 @@
 	qt.Assert(t, len(r.Find(change)), qt.Equals, 1)
 }
 
-func TestParseChangeRefusesWhatNamesNoChange(t *testing.T) {
+func TestParseChangeRejectsInvalidInput(t *testing.T) {
 	for _, s := range []string{"", "12", "view:", "view:x", "key:", "r0"} {
 		_, err := ParseChange(s)
 		qt.Check(t, err, qt.IsNotNil, qt.Commentf("%q", s))
