--- a/internal/requestlog/doc.go
+++ b/internal/requestlog/doc.go
@@ -1,10 +1,10 @@
-// Package requestlog keeps a record of the requests that a node carried: who
-// asked what, at which endpoints it was tried, and how it ended. Bodies are not
-// kept, nor header values that no policy or key asked for.
+// Package requestlog records the requests that a node forwarded: the caller and
+// target, the attempts and their endpoints, and the outcome. It does not record bodies,
+// or header values that no policy or key uses.
 //
-// A Recorder holds the records of a bounded time in a ring of bounded size, and
-// beside them the views and configurations that were in force meanwhile and
-// samples of the retry budget, so that package replay can play the requests
-// again. It keeps everything in memory only. One short lock guards it; any
-// goroutine may call it, and a nil Recorder keeps nothing.
+// A Recorder keeps recent records in a ring buffer of fixed size. It also keeps the
+// views and configurations that were in force during that time and samples of the retry
+// budgets, which package replay needs to replay the requests. All data is in memory
+// only. A Recorder is safe for concurrent use; its mutex is held only briefly. On a nil
+// Recorder, all methods but Begin and End do nothing and return empty results.
 package requestlog
--- a/internal/requestlog/recorder_test.go
+++ b/internal/requestlog/recorder_test.go
@@ -10,30 +10,30 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// testClock is a clock that a test moves.
-type testClock struct{ now time.Time }
+// fakeClock is a clock that tests advance.
+type fakeClock struct{ now time.Time }
 
-func (c *testClock) read() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
-func newTestRecorder(size int, span time.Duration) (*Recorder, *testClock) {
-	clock := &testClock{now: time.Unix(1000, 0)}
-	return New(size, span, clock.read), clock
+func newTestRecorder(size int, span time.Duration) (*Recorder, *fakeClock) {
+	clock := &fakeClock{now: time.Unix(1000, 0)}
+	return New(size, span, clock.Now), clock
 }
 
-func balanceOfTwo(string) float64 { return 2 }
+func constantBalance(string) float64 { return 2 }
 
-// carry records count requests, one each 100 ms.
-func carry(r *Recorder, clock *testClock, count int) {
+// addRecords records count requests at intervals of 100 ms.
+func addRecords(r *Recorder, clock *fakeClock, count int) {
 	for i := range count {
 		clock.now = clock.now.Add(100 * time.Millisecond)
 		r.Begin()
-		r.End(&meshpb.RequestRecord{Id: fmt.Sprint("r", i), Service: "s", AtUs: clock.now.UnixMicro()}, balanceOfTwo)
+		r.End(&meshpb.RequestRecord{Id: fmt.Sprint("r", i), Service: "s", AtUs: clock.now.UnixMicro()}, constantBalance)
 	}
 }
 
-func TestReportPagesThroughTheRing(t *testing.T) {
+func TestReportPagesThroughRecords(t *testing.T) {
 	r, clock := newTestRecorder(8, time.Minute)
-	carry(r, clock, 20)
+	addRecords(r, clock, 20)
 	r.Begin()
 	first := r.Report(time.Minute, 0, 5)
 	qt.Assert(t, first.Records, qt.HasLen, 5)
@@ -50,13 +50,13 @@
 	qt.Assert(t, second.BudgetSamples, qt.HasLen, 0)
 }
 
-func TestReportLeavesOutWhatIsOlderThanTheSpan(t *testing.T) {
+func TestReportOmitsRecordsOlderThanSpan(t *testing.T) {
 	r, clock := newTestRecorder(100, time.Minute)
-	carry(r, clock, 20)
+	addRecords(r, clock, 20)
 	qt.Assert(t, r.Report(time.Second, 0, 100).Records, qt.HasLen, 11)
 }
 
-func TestViewsAndConfigsStayWhileARecordMayNeedThem(t *testing.T) {
+func TestViewsAndConfigsAreRetainedWhileRecordsNeedThem(t *testing.T) {
 	r, clock := newTestRecorder(8, time.Minute)
 	for version := range uint64(4) {
 		r.RecordView(&meshpb.View{Epoch: 1, Version: version})
@@ -82,7 +82,7 @@
 	qt.Assert(t, len(r.configs) <= maxConfigs, qt.IsTrue)
 }
 
-func TestNilRecorderKeepsNothing(t *testing.T) {
+func TestNilRecorderReturnsNothing(t *testing.T) {
 	var r *Recorder
 	r.RecordView(&meshpb.View{})
 	r.RecordConfig(1, nil)
--- a/internal/requestlog/report.go
+++ b/internal/requestlog/report.go
@@ -7,10 +7,10 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// Report returns the records of the last span that have ended, without as many
-// of the oldest as offset says and at most limit. Its Next is the offset for the
-// call after it, or 0 if there are no more; the first report also has what was in
-// force meanwhile.
+// Report returns up to limit records of requests that started within the last span,
+// skipping the offset oldest of them. Next in the response is the offset for the next
+// call, or 0 if there are no more records. The response for offset 0 also holds the
+// versions of the view and configuration that were in force and the budget samples.
 func (r *Recorder) Report(span time.Duration, offset, limit uint32) *meshpb.RequestRecordsResponse {
 	if r == nil {
 		return &meshpb.RequestRecordsResponse{}
@@ -18,31 +18,33 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now().UnixMicro()
-	since := now - min(span, r.span).Microseconds()
-	report := &meshpb.RequestRecordsResponse{NowUs: now, BeganUs: max(r.began, since), Unfinished: uint64(max(r.open, 0))}
-	r.reportRecords(report, since, offset, limit)
+	since := now - min(span, r.retention).Microseconds()
+	report := &meshpb.RequestRecordsResponse{NowUs: now, BeganUs: max(r.startedAt, since), Unfinished: uint64(max(r.inProgress, 0))}
+	r.addRecords(report, since, offset, limit)
 	if offset == 0 {
-		r.reportVersions(report, since)
-		r.reportSamples(report, since)
+		r.addVersions(report, since)
+		r.addBudgetSamples(report, since)
 	}
 	return report
 }
 
-func (r *Recorder) reportRecords(report *meshpb.RequestRecordsResponse, since int64, offset, limit uint32) {
+// addRecords adds the records from since on, and how many records were overwritten
+// if the ring no longer holds the start of the span.
+func (r *Recorder) addRecords(report *meshpb.RequestRecordsResponse, since int64, offset, limit uint32) {
 	size := uint64(len(r.ring))
 	oldest := uint64(0)
-	if r.ended > size {
-		oldest = r.ended - size
+	if r.added > size {
+		oldest = r.added - size
 	}
 	if oldest > 0 && size > 0 {
 		first := r.ring[oldest%size]
-		if first.AtUs > since && r.began < first.AtUs {
+		if first.AtUs > since && r.startedAt < first.AtUs {
 			report.Dropped = oldest
 			report.LostUs = first.AtUs - report.BeganUs
 		}
 	}
 	found := uint32(0)
-	for i := oldest; i < r.ended; i++ {
+	for i := oldest; i < r.added; i++ {
 		record := r.ring[i%size]
 		if record.AtUs < since {
 			continue
@@ -59,9 +61,9 @@
 	}
 }
 
-// reportVersions adds the views and configurations that were in force after
-// since.
-func (r *Recorder) reportVersions(report *meshpb.RequestRecordsResponse, since int64) {
+// addVersions adds the versions of the view and the configuration that were in force
+// after since.
+func (r *Recorder) addVersions(report *meshpb.RequestRecordsResponse, since int64) {
 	for i, v := range r.views {
 		if i == len(r.views)-1 || r.views[i+1].since > since {
 			report.Views = append(report.Views, &meshpb.VersionChange{AtUs: v.since, Epoch: v.view.Epoch, Version: v.view.Version})
@@ -74,27 +76,29 @@
 	}
 }
 
-func (r *Recorder) reportSamples(report *meshpb.RequestRecordsResponse, since int64) {
-	for _, sample := range r.samples {
+// addBudgetSamples adds the samples of the retry budgets that were taken after since.
+func (r *Recorder) addBudgetSamples(report *meshpb.RequestRecordsResponse, since int64) {
+	for _, sample := range r.budgetSamples {
 		if sample.AtUs > since {
 			report.BudgetSamples = append(report.BudgetSamples, sample)
 		}
 	}
 }
 
-// Snapshots returns the views and configurations that are asked for, as far as
-// they are kept.
+// Snapshots returns those of the requested views and configurations that are still
+// retained.
 func (r *Recorder) Snapshots(request *meshpb.SnapshotsRequest) *meshpb.SnapshotsResponse {
 	response := &meshpb.SnapshotsResponse{}
 	if r == nil {
 		return response
 	}
-	// What is in the slices does not change, so the lock is not needed for long.
+	// The elements of the slices are never modified, so the mutex only protects the
+	// slice headers.
 	r.mu.Lock()
 	views, configs := r.views, r.configs
 	r.mu.Unlock()
-	for _, wanted := range request.Views {
-		if view := findView(views, wanted); view != nil {
+	for _, requested := range request.Views {
+		if view := findView(views, requested); view != nil {
 			response.Views = append(response.Views, view.ForNodes())
 		}
 	}
@@ -106,20 +110,20 @@
 	return response
 }
 
-func findView(views []effectiveView, wanted *meshpb.VersionChange) *meshpb.View {
+func findView(views []activatedView, requested *meshpb.VersionChange) *meshpb.View {
 	for _, v := range views {
-		if v.view.Epoch == wanted.Epoch && v.view.Version == wanted.Version {
+		if v.view.Epoch == requested.Epoch && v.view.Version == requested.Version {
 			return v.view
 		}
 	}
 	return nil
 }
 
-func findConfig(configs []effectiveConfig, version uint64) (effectiveConfig, bool) {
+func findConfig(configs []activatedConfig, version uint64) (activatedConfig, bool) {
 	for _, c := range configs {
 		if c.version == version {
 			return c, true
 		}
 	}
-	return effectiveConfig{}, false
+	return activatedConfig{}, false
 }
