--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,7 +1,8 @@
-// Package memnet is a network in memory, for tests: addresses lead to listeners
-// over pipes. It has no buffers: a write blocks until it is read, and so does a
-// dial until it is accepted. A Network owns its listeners and connections, guards
-// them with one mutex for calls from any goroutine, and starts no goroutine.
+// Package memnet provides an in-memory network for tests, in which addresses map to
+// listeners and connections are pipes. Nothing is buffered: a write blocks until it is
+// read, and a dial blocks until it is accepted. A Network owns its listeners and
+// connections, guards them with a mutex so that any goroutine may use it, and starts no
+// goroutines.
 package memnet
 
 import (
@@ -14,24 +15,26 @@
 	"time"
 )
 
-// continueTimeout is how long a transport waits for a 100 Continue.
-const continueTimeout = time.Second
+// expectContinueTimeout is how long a transport waits for a 100 Continue response
+// before it sends the body.
+const expectContinueTimeout = time.Second
 
-// defaultPort is what an HTTP transport adds to an address without a port.
+// defaultPort is the port that an HTTP transport appends to an address without one.
 const defaultPort = ":80"
 
-// errRefused tells that nobody listens at an address.
-var errRefused = errors.New("refused")
+// errConnectionRefused reports that there is no listener at an address.
+var errConnectionRefused = errors.New("refused")
 
-// Network leads from addresses to listeners. Its zero value is empty and ready.
+// Network maps addresses to listeners. Its zero value is an empty network, ready to use.
 type Network struct {
 	mu          sync.Mutex
 	listeners   map[string]*listener
 	connections []net.Conn
 }
 
-// Listen returns the listener of an address; an earlier one of that address gets
-// no further connections. Its Close does nothing: Network.Close ends it.
+// Listen returns a new listener for an address. A previous listener of the address
+// receives no further connections. The listener's Close method does nothing; it is
+// closed by Network.Close.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,33 +46,34 @@
 	return l
 }
 
-// Transport returns an HTTP transport whose connections lead to the listeners.
+// Transport returns an HTTP transport that connects to the network's listeners.
 func (n *Network) Transport() *http.Transport {
-	return &http.Transport{DisableCompression: true, ExpectContinueTimeout: continueTimeout, DialContext: n.dial}
+	return &http.Transport{DisableCompression: true, ExpectContinueTimeout: expectContinueTimeout, DialContext: n.dial}
 }
 
 func (n *Network) dial(_ context.Context, _, address string) (net.Conn, error) {
 	return n.Dial(strings.TrimSuffix(address, defaultPort), func(server net.Conn) net.Conn { return server })
 }
 
-// Dial connects to the listener of an address, which accepts what wrap makes of
-// its side of the connection. It fails if nobody listens there.
-func (n *Network) Dial(address string, wrap func(server net.Conn) net.Conn) (net.Conn, error) {
-	l, client, server := n.connect(address)
+// Dial connects to the listener of an address. The listener accepts the connection
+// that wrapServer returns for the server end. Dial returns a *net.OpError if there is
+// no listener at the address or if the network is closed.
+func (n *Network) Dial(address string, wrapServer func(server net.Conn) net.Conn) (net.Conn, error) {
+	l, client, server := n.newConnection(address)
 	if l == nil {
-		return nil, dialError()
+		return nil, connectionRefusedError()
 	}
 	select {
-	case l.accepted <- wrap(server):
+	case l.accepted <- wrapServer(server):
 		return client, nil
 	case <-l.closed:
-		return nil, dialError()
+		return nil, connectionRefusedError()
 	}
 }
 
-// connect makes a connection that the address's listener has not accepted yet;
-// without a listener it makes none.
-func (n *Network) connect(address string) (l *listener, client, server net.Conn) {
+// newConnection creates a connection to the listener of an address, which has yet to
+// accept it. All results are nil if there is no listener.
+func (n *Network) newConnection(address string) (l *listener, client, server net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l = n.listeners[address]
@@ -81,9 +85,10 @@
 	return l, client, server
 }
 
-func dialError() error { return &net.OpError{Op: "dial", Err: errRefused} }
+// connectionRefusedError returns the error of a dial to an address without a listener.
+func connectionRefusedError() error { return &net.OpError{Op: "dial", Err: errConnectionRefused} }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections. It must be called only once.
 func (n *Network) Close() {
 	n.mu.Lock()
 	for _, l := range n.listeners {
@@ -93,16 +98,17 @@
 	n.CloseConnections()
 }
 
-// CloseConnections ends all connections; listeners go on, and so do dials that
-// have not been accepted.
+// CloseConnections closes all connections. Listeners stay open, and dials that wait to
+// be accepted keep waiting, although their connections are closed too.
 func (n *Network) CloseConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.connections {
-		_ = c.Close() // the close of a pipe cannot fail
+		_ = c.Close() // closing a pipe never fails
 	}
 }
 
+// listener is the net.Listener of an address.
 type listener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -116,5 +122,6 @@
 		return nil, net.ErrClosed
 	}
 }
+
 func (l *listener) Close() error   { return nil }
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func unwrapped(server net.Conn) net.Conn { return server }
+func noWrap(server net.Conn) net.Conn { return server }
 
-func TestDialReachesTheListenerOfItsAddress(t *testing.T) {
+func TestDialConnectsToListener(t *testing.T) {
 	var n Network
 	l := n.Listen("a")
 	received := make(chan string)
@@ -24,7 +24,7 @@
 		b, _ := io.ReadAll(server)
 		received <- string(b)
 	}()
-	client, err := n.Dial("a", unwrapped)
+	client, err := n.Dial("a", noWrap)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = io.WriteString(client, "hello")
 	qt.Assert(t, err, qt.IsNil)
@@ -34,11 +34,11 @@
 
 func TestDialWithoutListenerIsRefused(t *testing.T) {
 	var n Network
-	_, err := n.Dial("a", unwrapped)
+	_, err := n.Dial("a", noWrap)
 	qt.Assert(t, err, qt.ErrorMatches, "dial.*refused")
 }
 
-func TestCloseEndsListenersAndConnections(t *testing.T) {
+func TestCloseClosesListenersAndConnections(t *testing.T) {
 	var n Network
 	l := n.Listen("a")
 	accepted := make(chan net.Conn)
@@ -46,7 +46,7 @@
 		server, _ := l.Accept()
 		accepted <- server
 	}()
-	client, err := n.Dial("a", unwrapped)
+	client, err := n.Dial("a", noWrap)
 	qt.Assert(t, err, qt.IsNil)
 	<-accepted
 	n.Close()
@@ -54,6 +54,6 @@
 	qt.Assert(t, err, qt.IsNotNil)
 	_, err = l.Accept()
 	qt.Assert(t, errors.Is(err, net.ErrClosed), qt.IsTrue)
-	_, err = n.Dial("a", unwrapped)
+	_, err = n.Dial("a", noWrap)
 	qt.Assert(t, err, qt.ErrorMatches, "dial.*refused")
 }
--- a/internal/prototest/prototest.go
+++ b/internal/prototest/prototest.go
@@ -1,7 +1,6 @@
-// Package prototest helps tests that compare stored or sent messages across
-// releases. It identifies fields by number and never by name, so that such
-// tests hold when messages and fields are renamed. It has no state and runs on the
-// test's goroutine.
+// Package prototest helps tests compare stored and sent messages across releases. It
+// identifies fields by number instead of name, so that renaming a message or field does
+// not break such tests. It keeps no state and runs on the test's goroutine.
 package prototest
 
 import (
@@ -13,19 +12,19 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// repeatedLen is how many elements Fill gives to each repeated field.
-const repeatedLen = 2
+// repeatedFieldLen is the number of elements that Fill adds to each repeated field.
+const repeatedFieldLen = 2
 
-// Base values of Fill: those of 64-bit fields don't fit into 32 bits, so that a
-// narrowed field is found.
+// Offsets that Fill adds to the integers that it generates. The integers of 64-bit
+// fields don't fit into 32 bits, so that a test detects a narrowed field.
 const (
-	base32 = 1 << 20
-	base64 = 1 << 40
+	valueOffset32 = 1 << 20
+	valueOffset64 = 1 << 40
 )
 
-// Text writes the populated fields of a message, one a line, by number. Fields
-// come in the order of their declaration, so that two fields that exchange
-// their numbers change the text. Unknown fields are written as hex.
+// Text formats the populated fields of a message by number, one per line. The fields
+// are in the order of their declaration, so that the text changes if two fields swap
+// their numbers. Unknown fields are formatted as hex.
 func Text(m proto.Message) string {
 	var out strings.Builder
 	writeMessage(&out, m.ProtoReflect(), "")
@@ -87,63 +86,64 @@
 	}
 }
 
-// Fill sets every field of a message, and of the messages in it, to a value of
-// its own; booleans are set to true. A map gets one entry, so that its encoding
-// is the same each time. Fill panics on a kind of field that it doesn't know.
+// Fill sets every field of a message and its nested messages to a distinct value, except
+// that every boolean is true. Each map gets a single entry, because the encoding of
+// several would not be deterministic. Fill panics if it does not support the kind of a
+// field.
 func Fill(m proto.Message) {
 	f := filler{}
-	f.message(m.ProtoReflect())
+	f.fillMessage(m.ProtoReflect())
 }
 
-// filler counts the values that were handed out.
-type filler struct{ used uint64 }
+// filler generates distinct values; count is the number generated so far.
+type filler struct{ count uint64 }
 
-func (f *filler) message(m protoreflect.Message) {
+func (f *filler) fillMessage(m protoreflect.Message) {
 	fields := m.Descriptor().Fields()
 	for i := 0; i < fields.Len(); i++ {
-		f.field(m, fields.Get(i))
+		f.fillField(m, fields.Get(i))
 	}
 }
 
-func (f *filler) field(m protoreflect.Message, field protoreflect.FieldDescriptor) {
+func (f *filler) fillField(m protoreflect.Message, field protoreflect.FieldDescriptor) {
 	switch {
 	case field.IsList():
 		list := m.Mutable(field).List()
-		for range repeatedLen {
-			list.Append(f.value(field, list.NewElement))
+		for range repeatedFieldLen {
+			list.Append(f.nextValue(field, list.NewElement))
 		}
 	case field.IsMap():
 		entries := m.Mutable(field).Map()
-		key := f.value(field.MapKey(), nil).MapKey()
-		entries.Set(key, f.value(field.MapValue(), entries.NewValue))
+		key := f.nextValue(field.MapKey(), nil).MapKey()
+		entries.Set(key, f.nextValue(field.MapValue(), entries.NewValue))
 	default:
-		m.Set(field, f.value(field, func() protoreflect.Value { return m.NewField(field) }))
+		m.Set(field, f.nextValue(field, func() protoreflect.Value { return m.NewField(field) }))
 	}
 }
 
-func (f *filler) value(field protoreflect.FieldDescriptor, newValue func() protoreflect.Value) protoreflect.Value {
-	f.used++
+func (f *filler) nextValue(field protoreflect.FieldDescriptor, newValue func() protoreflect.Value) protoreflect.Value {
+	f.count++
 	switch field.Kind() {
 	case protoreflect.MessageKind:
 		value := newValue()
-		f.message(value.Message())
+		f.fillMessage(value.Message())
 		return value
 	case protoreflect.StringKind:
-		return protoreflect.ValueOfString(fmt.Sprintf("text-%d", f.used))
+		return protoreflect.ValueOfString(fmt.Sprintf("text-%d", f.count))
 	case protoreflect.BytesKind:
-		return protoreflect.ValueOfBytes(fmt.Appendf(nil, "\x00\xffbytes-%d", f.used))
+		return protoreflect.ValueOfBytes(fmt.Appendf(nil, "\x00\xffbytes-%d", f.count))
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(true)
 	case protoreflect.Uint32Kind:
-		return protoreflect.ValueOfUint32(uint32(base32 + f.used))
+		return protoreflect.ValueOfUint32(uint32(valueOffset32 + f.count))
 	case protoreflect.Uint64Kind:
-		return protoreflect.ValueOfUint64(base64 + f.used)
+		return protoreflect.ValueOfUint64(valueOffset64 + f.count)
 	case protoreflect.Int32Kind:
-		return protoreflect.ValueOfInt32(-int32(base32 + f.used))
+		return protoreflect.ValueOfInt32(-int32(valueOffset32 + f.count))
 	case protoreflect.Int64Kind:
-		return protoreflect.ValueOfInt64(-int64(base64 + f.used))
+		return protoreflect.ValueOfInt64(-int64(valueOffset64 + f.count))
 	case protoreflect.DoubleKind:
-		return protoreflect.ValueOfFloat64(float64(f.used) + 0.25)
+		return protoreflect.ValueOfFloat64(float64(f.count) + 0.25)
 	}
-	panic(fmt.Sprintf("prototest: no value for a field of kind %s", field.Kind()))
+	panic(fmt.Sprintf("prototest: unsupported field kind %s", field.Kind()))
 }
