--- a/internal/requestlog/recorder.go
+++ b/internal/requestlog/recorder.go
@@ -137,7 +137,7 @@
 }
 
 // countExpired returns the number of oldest entries to discard: those that exceed
-// limit, and those whose successor came into force before the retention time.
+// limit, and those whose successor came into force longer than the retention time ago.
 func (r *Recorder) countExpired(count, limit int, now int64, since func(int) int64) int {
 	expired := 0
 	for expired < count-1 && (count-expired > limit || now-since(expired+1) > r.retention.Microseconds()) {
