--- a/internal/meshtest/client.go
+++ b/internal/meshtest/client.go
@@ -7,31 +7,38 @@
 	"time"
 )
 
-// host is what all requests of a test mesh name in their Host header.
-const host = "a"
+// requestHost is the Host header of all requests.
+const requestHost = "a"
 
-// Response is what a user agent received.
+// Response is the outcome of a request as its user agent sees it.
 type Response struct {
-	RequestID  string
+	// RequestID is the ID under which the request was sent.
+	RequestID string
+	// StatusCode is the HTTP status, or 0 if no response header arrived.
 	StatusCode int
-	Body       string
-	// Took is the time until the response's header.
-	Took time.Duration
-	// RetryAfter is the header of this name.
+	// Body is the part of the response body that arrived.
+	Body string
+	// Latency is the time from sending the request to receiving the response header, or
+	// the error if there is none.
+	Latency time.Duration
+	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
-	// Failed tells that there was no response, or that it broke off.
+	// Failed reports that there was no response or that its body was truncated.
 	Failed bool
 }
 
-// Send sends one request to a node over a connection of its own, under the next
-// request ID. An empty session sends none.
+// Send sends a request with an empty body to the outbound listener of a node, over
+// a new connection and with a new request ID. The deadline is only sent as a
+// header; Send doesn't enforce it. If session is empty, the session header is
+// omitted. Errors of the transport are reported by Response.Failed. Send panics if
+// method or path is invalid.
 func (m *Mesh) Send(n *Node, method, path, session string, deadline time.Duration) Response {
 	response := Response{RequestID: fmt.Sprintf("q%d", m.lastRequest.Add(1))}
 	request, err := http.NewRequest(method, "http://"+outboundAddress(n.Endpoint.ID)+path, nil)
 	if err != nil {
 		panic(err)
 	}
-	request.Host = host
+	request.Host = requestHost
 	request.Header.Set(requestIDHeader, response.RequestID)
 	request.Header.Set(deadlineHeader, fmt.Sprint(deadline.Milliseconds()))
 	if session != "" {
@@ -41,12 +48,12 @@
 	transport.DisableKeepAlives = true
 	start := time.Now()
 	received, err := transport.RoundTrip(request)
-	response.Took = time.Since(start)
+	response.Latency = time.Since(start)
 	if err != nil {
 		response.Failed = true
 		return response
 	}
-	defer func() { _ = received.Body.Close() }() // what it could tell, ReadAll has told
+	defer func() { _ = received.Body.Close() }() // read errors are returned by io.ReadAll
 	body, err := io.ReadAll(received.Body)
 	response.StatusCode, response.Body = received.StatusCode, string(body)
 	response.RetryAfter, response.Failed = received.Header.Get("Retry-After"), err != nil
--- a/internal/meshtest/endpoint.go
+++ b/internal/meshtest/endpoint.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Headers of the wire that endpoints and clients of a test mesh use.
+// HTTP headers that the endpoints and clients of a test mesh set or read.
 const (
 	requestIDHeader        = "X-Request-Id"
 	deadlineHeader         = "X-Deadline-Ms"
@@ -19,37 +19,46 @@
 	expectedInstanceHeader = "X-Expect-Instance"
 )
 
-// Endpoint works on each request for a while, then answers with its ID, or
-// breaks the connection off.
+// Endpoint is an application instance. It runs each request for ServiceTime, then
+// responds with its ID as the body or closes the connection. The exported fields
+// must not change after the endpoint has been added to a Mesh.
 type Endpoint struct {
-	ID      string
+	// ID identifies the endpoint. It must be unique in the mesh.
+	ID string
+	// Service is the name of the service that the endpoint belongs to.
 	Service string
-	Zone    string
-	// Slots is how many requests its agent lets it serve at once.
+	// Zone is the zone of the endpoint and of its node.
+	Zone string
+	// Slots is the number of requests that the agent of its node lets it run
+	// concurrently.
 	Slots int
-	// ServiceTime is how long it works on a request.
+	// ServiceTime returns how long a request runs.
 	ServiceTime func(r *http.Request) time.Duration
-	// BreaksOff tells which requests it runs and gives no answer to; nil means
-	// none.
-	BreaksOff func(r *http.Request) bool
+	// ClosesWithoutResponse reports whether the endpoint closes the connection
+	// after it has run a request, instead of responding. If it is nil, the endpoint
+	// responds to all requests.
+	ClosesWithoutResponse func(r *http.Request) bool
 
 	mu         sync.Mutex
 	executions []Execution
 }
 
-// Execution is one request that an endpoint ran.
+// Execution is one run of a request at an endpoint. Endpoint is the endpoint's ID,
+// Path the path of the URL. Session is empty for a request without a session.
 type Execution struct {
 	RequestID, Session, Endpoint, Path string
 	Start, End                         time.Time
 }
 
-// Executions returns what the endpoint ran, in the order in which it ended.
+// Executions returns the requests that the endpoint has run, in order of their
+// end.
 func (e *Endpoint) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Execution(nil), e.executions...)
 }
 
+// serve accepts connections until the listener is closed.
 func (e *Endpoint) serve(l net.Listener) {
 	for {
 		connection, err := l.Accept()
@@ -60,6 +69,7 @@
 	}
 }
 
+// serveConnection handles the requests of a connection one after the other.
 func (e *Endpoint) serveConnection(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	in := bufio.NewReader(connection)
@@ -68,20 +78,21 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, r.Body) // a request whose body breaks off runs all the same
-		answer, ok := e.handle(r)
+		_, _ = io.Copy(io.Discard, r.Body) // a request with a truncated body runs too
+		response, ok := e.handle(r)
 		if !ok {
 			return
 		}
-		if _, err := connection.Write(answer); err != nil {
+		if _, err := connection.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// handle runs a request and returns the answer's bytes; ok is false if the
-// connection breaks off instead.
-func (e *Endpoint) handle(r *http.Request) (answer []byte, ok bool) {
+// handle runs a request and returns the serialized response. A request that is
+// meant for another instance is rejected without running it. If ok is false, the
+// connection must be closed without a response.
+func (e *Endpoint) handle(r *http.Request) (response []byte, ok bool) {
 	id := r.Header.Get(requestIDHeader)
 	if r.Header.Get(expectedInstanceHeader) != e.ID {
 		return fmt.Appendf(nil, "HTTP/1.1 421 Misdirected\r\nX-Request-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", id), true
@@ -91,7 +102,7 @@
 	e.mu.Lock()
 	e.executions = append(e.executions, Execution{id, r.Header.Get(sessionHeader), e.ID, r.URL.Path, start, time.Now()})
 	e.mu.Unlock()
-	if e.BreaksOff != nil && e.BreaksOff(r) {
+	if e.ClosesWithoutResponse != nil && e.ClosesWithoutResponse(r) {
 		return nil, false
 	}
 	var b bytes.Buffer
--- a/internal/meshtest/hot_keys.go
+++ b/internal/meshtest/hot_keys.go
@@ -10,35 +10,38 @@
 )
 
 const (
-	// hotKeyInterval is how often the widths of hot keys are decided on.
-	hotKeyInterval = 250 * time.Millisecond
-	// roundsPerReport is how many of these rounds pass between two reports of the
+	// hotKeyUpdateInterval is the interval between updates of the widths of hot
+	// keys.
+	hotKeyUpdateInterval = 250 * time.Millisecond
+	// updatesPerReport is the number of such updates per report of key rates by the
 	// nodes.
-	roundsPerReport = 2
+	updatesPerReport = 2
 )
 
-// TrackHotKeys sets the widths of hot keys, as a master does, until the context
-// ends. Each time that they change, onChange gets them; it may be nil.
+// TrackHotKeys updates the widths of hot keys periodically, as the master does,
+// until ctx is done. After each change it publishes a view and calls onChange, if
+// that is not nil, with all hot keys.
 func (m *Mesh) TrackHotKeys(ctx context.Context, options hotkeys.Options, onChange func([]*meshpb.HotKey)) {
 	m.mu.Lock()
 	m.hotKeyOptions, m.hotKeyTracker = options, hotkeys.NewTracker(options)
 	m.mu.Unlock()
 	rates := map[string][]*meshpb.KeyRate{}
-	for round := 0; ctx.Err() == nil; round++ {
-		time.Sleep(hotKeyInterval)
-		hotKeys, changed := m.updateHotKeys(rates, round%roundsPerReport == 0)
+	for update := 0; ctx.Err() == nil; update++ {
+		time.Sleep(hotKeyUpdateInterval)
+		hotKeys, changed := m.updateHotKeys(rates, update%updatesPerReport == 0)
 		if !changed {
 			continue
 		}
-		m.PublishView(m.publishedStates())
+		m.PublishView(m.lastStates())
 		if onChange != nil {
 			onChange(hotKeys)
 		}
 	}
 }
 
-// updateHotKeys decides on the widths by the nodes' rates, after it has collected
-// these if they report.
+// updateHotKeys updates the widths according to rates, which has the latest report
+// of each node by its name. If report is true, it first collects new reports.
+// changed reports whether any width changed.
 func (m *Mesh) updateHotKeys(rates map[string][]*meshpb.KeyRate, report bool) (hotKeys []*meshpb.HotKey, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,8 +55,9 @@
 	return hotKeys, len(changes) > 0
 }
 
-// ReplaceMaster stands in for a new master: its tracker knows the last view and
-// nothing else.
+// ReplaceMaster simulates the election of a new master by replacing the tracker
+// with one whose only state is the hot keys of the last view. It must not be called
+// before TrackHotKeys has started.
 func (m *Mesh) ReplaceMaster() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +65,7 @@
 	m.hotKeyTracker.Restore(m.view.HotKeys, m.elapsed())
 }
 
-// HotKeys returns the last view's hot keys.
+// HotKeys returns the hot keys of the last view.
 func (m *Mesh) HotKeys() []*meshpb.HotKey {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/meshtest/mesh.go
+++ b/internal/meshtest/mesh.go
@@ -16,41 +16,45 @@
 )
 
 const (
-	// viewEpoch is the epoch of all views.
+	// viewEpoch is the epoch of every published view.
 	viewEpoch = 1
-	// pinHistory is how long the table of pins remembers applied changes.
-	pinHistory = time.Minute
+	// minPinHistory is the minimum time for which the coordination table retains
+	// applied changes.
+	minPinHistory = time.Minute
 )
 
-// errCoreUnreachable is what nodes get that ask about a session while
-// Mesh.CoreUnreachable is set.
-var errCoreUnreachable = errors.New("no core answers")
+// errCoreUnreachable is returned by PinSession while Mesh.CoreUnreachable is set.
+var errCoreUnreachable = errors.New("core unreachable")
 
-// Mesh is a complete mesh. Its pins are in one table, as under one owner.
+// Mesh is a set of nodes with their endpoints and a simulated control plane. A
+// single table has the pins of all sessions. Make one with New.
 type Mesh struct {
+	// Network connects the nodes, the endpoints and the clients.
 	Network *memnet.Network
-	Nodes   []*Node
-	// CoreUnreachable makes the core answer no question about sessions.
+	// Nodes has the nodes in the order in which they were added.
+	Nodes []*Node
+	// CoreUnreachable makes PinSession fail, as if no core node were reachable.
 	CoreUnreachable atomic.Bool
 
 	started     time.Time
 	lastRequest atomic.Int64
 
-	// mu guards what follows, and changes of Nodes.
-	mu     sync.Mutex
-	pins   *coordination.Table
-	view   *meshpb.View
+	// mu guards the fields below and writes to Nodes.
+	mu   sync.Mutex
+	pins *coordination.Table
+	view *meshpb.View
+	// states are the states passed to the last PublishView.
 	states map[string]lifecycle.State
-	// hotKeys go with each view; the tracker is nil until TrackHotKeys runs.
+	// hotKeys are part of every view. hotKeyTracker is nil until TrackHotKeys is
+	// called.
 	hotKeys       []*meshpb.HotKey
 	hotKeyTracker *hotkeys.Tracker
 	hotKeyOptions hotkeys.Options
 }
 
-// New makes a mesh with a node beside each endpoint, and publishes its first
-// view.
+// New returns a mesh with one node per endpoint, after publishing its first view.
 func New(endpoints ...*Endpoint) *Mesh {
-	m := &Mesh{Network: &memnet.Network{}, pins: coordination.NewTable(pinHistory), started: time.Now(), view: &meshpb.View{Epoch: viewEpoch}}
+	m := &Mesh{Network: &memnet.Network{}, pins: coordination.NewTable(minPinHistory), started: time.Now(), view: &meshpb.View{Epoch: viewEpoch}}
 	for _, e := range endpoints {
 		m.AddNode(e)
 	}
@@ -58,13 +62,14 @@
 	return m
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections.
 func (m *Mesh) Close() { m.Network.Close() }
 
+// elapsed returns the time since the mesh was made.
 func (m *Mesh) elapsed() time.Duration { return time.Since(m.started) }
 
-// AddNode starts a node beside the endpoint; others send to it from the next
-// view on.
+// AddNode starts the endpoint and a node for it. Other nodes send requests to it
+// once the next view has been published. The node has no configuration yet.
 func (m *Mesh) AddNode(e *Endpoint) *Node {
 	n := m.newNode(e)
 	m.mu.Lock()
@@ -73,14 +78,16 @@
 	return n
 }
 
-// PickNode returns the node that draw, given the number of nodes, names.
-func (m *Mesh) PickNode(draw func(int) int) *Node {
+// RandomNode returns a node that is selected by intN, which returns a number in
+// [0, n) as rand.IntN does.
+func (m *Mesh) RandomNode(intN func(n int) int) *Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.Nodes[draw(len(m.Nodes))]
+	return m.Nodes[intN(len(m.Nodes))]
 }
 
-// PinSession answers a node's question about a session.
+// PinSession pins or moves a session on behalf of a node and returns the pin that
+// is in force. It fails only while CoreUnreachable is set.
 func (m *Mesh) PinSession(_ context.Context, request *meshpb.PinRequest) (*meshpb.PinResponse, error) {
 	if m.CoreUnreachable.Load() {
 		return nil, errCoreUnreachable
@@ -94,8 +101,9 @@
 	return decision.Result.Response(), nil
 }
 
-// PublishView brings a new view to all nodes. The states are those of endpoints
-// that are not up, by ID; one that is gone is not in the view.
+// PublishView applies a new view on all nodes. states has the states of endpoints
+// by their ID; an endpoint without an entry is up. The view doesn't contain
+// endpoints whose state is lifecycle.Gone.
 func (m *Mesh) PublishView(states map[string]lifecycle.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,13 +115,14 @@
 	}
 }
 
-// publishedStates are those of the last view.
-func (m *Mesh) publishedStates() map[string]lifecycle.State {
+// lastStates returns the endpoint states of the last view.
+func (m *Mesh) lastStates() map[string]lifecycle.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.states
 }
 
+// nextView returns the view that follows the last one. The caller must hold m.mu.
 func (m *Mesh) nextView() *meshpb.View {
 	view := &meshpb.View{Epoch: viewEpoch, Version: m.view.Version + 1, Nodes: uint32(len(m.Nodes)), HotKeys: m.hotKeys}
 	for _, n := range m.Nodes {
@@ -128,6 +137,7 @@
 	return view
 }
 
+// viewEndpoint returns the entry of the node's endpoint in a view.
 func (n *Node) viewEndpoint(state lifecycle.State) *meshpb.Endpoint {
 	e := n.Endpoint
 	return &meshpb.Endpoint{
@@ -143,12 +153,13 @@
 	}
 }
 
-// Retire takes one endpoint out of the view, and brings all others up.
+// Retire publishes a view without the given endpoint, in which all other endpoints
+// are up.
 func (m *Mesh) Retire(id string) {
 	m.PublishView(map[string]lifecycle.State{id: lifecycle.Gone})
 }
 
-// ApplyConfig brings a configuration to all nodes.
+// ApplyConfig compiles a configuration and applies it on all nodes.
 func (m *Mesh) ApplyConfig(config routeconfig.Config) {
 	for _, n := range m.Nodes {
 		n.Routes.Store(routeconfig.Compile(config))
@@ -156,7 +167,7 @@
 	}
 }
 
-// Executions returns what all endpoints ran, by request ID.
+// Executions returns the requests that all endpoints have run, by request ID.
 func (m *Mesh) Executions() map[string][]Execution {
 	out := map[string][]Execution{}
 	for _, n := range m.Nodes {
--- a/internal/meshtest/sessions_test.go
+++ b/internal/meshtest/sessions_test.go
@@ -18,6 +18,8 @@
 	"corkcove/internal/routeconfig"
 )
 
+// sessionConfigTemplate takes the version, the name and timeout of the route and its
+// weighted split.
 const sessionConfigTemplate = `{"stamp":"r%d","resourceList":[
 {"variant":"bindingList","metadata":{"name":"%s"},"specification":{"hostname":"a","pathPrefix":"/buy/","bindingKind":"effectful","timeoutS":%v,"targetS":1.5,"rank":1,"weightedSplit":[%s],"maxAttempts":2,"sessionKey":"header X-Session"}},
 {"variant":"serviceList","metadata":{"name":"desk"},"specification":{"soundnessPath":"/h"}},
@@ -29,12 +31,16 @@
 	splitToOneService    = `{"serviceName":"desk","share":100}`
 )
 
+// sessionConfig returns a configuration with one route, whose sessions are keyed by
+// the X-Session header.
 func sessionConfig(t *testing.T, version int, name string, timeout float64, split string) routeconfig.Config {
 	config, err := routeconfig.Parse(fmt.Appendf(nil, sessionConfigTemplate, version, name, timeout, split))
 	qt.Assert(t, err, qt.IsNil)
 	return config
 }
 
+// newSessionMesh returns a mesh with endpoints e0 to e4 of service desk and e5 to e7
+// of service other, in two zones.
 func newSessionMesh() *Mesh {
 	var endpoints []*Endpoint
 	for i := range 8 {
@@ -47,14 +53,17 @@
 	return New(endpoints...)
 }
 
+// sentRequest is a request of a session and its response.
 type sentRequest struct {
 	session  string
 	response Response
 }
 
-// sendPurchases lets each session buy one thing after the other, each time at
-// another node, and runs midway in the middle of it.
-func sendPurchases(m *Mesh, sessions, perSession int, midway func()) []sentRequest {
+// sendPurchases sends the purchases of concurrent sessions, those of each session one
+// after the other through random nodes, and calls duringTraffic after 1.5 s. A
+// purchase that is refused with status 503 is sent again up to three times. It
+// returns all requests.
+func sendPurchases(m *Mesh, sessions, perSession int, duringTraffic func()) []sentRequest {
 	var mu sync.Mutex
 	var sent []sentRequest
 	var wg sync.WaitGroup
@@ -67,7 +76,7 @@
 			for range perSession {
 				time.Sleep(time.Duration(20+rng.IntN(200)) * time.Millisecond)
 				for range 4 {
-					response := m.Send(m.PickNode(rng.IntN), "POST", "/buy/", name, 3*time.Second)
+					response := m.Send(m.RandomNode(rng.IntN), "POST", "/buy/", name, 3*time.Second)
 					mu.Lock()
 					sent = append(sent, sentRequest{name, response})
 					mu.Unlock()
@@ -80,18 +89,20 @@
 		}()
 	}
 	time.Sleep(1500 * time.Millisecond)
-	midway()
+	duringTraffic()
 	wg.Wait()
 	return sent
 }
 
-// checkExecutions holds what user agents were told against what ran, and returns
-// the executions of each session in their order.
-func checkExecutions(t *testing.T, m *Mesh, sent []sentRequest) map[string][]Execution {
+// assertExecutions checks the responses against the executions: each request ran at
+// most once, a 200 names the endpoint that ran it, a request answered with 503 did
+// not run, and executions of one session don't overlap. It returns the executions by
+// session, in order of their start.
+func assertExecutions(t *testing.T, m *Mesh, sent []sentRequest) map[string][]Execution {
 	bySession := map[string][]Execution{}
 	byRequest := m.Executions()
 	for id, executions := range byRequest {
-		qt.Assert(t, len(executions), qt.Equals, 1, qt.Commentf("request %s ran at %v", id, executions))
+		qt.Assert(t, len(executions), qt.Equals, 1, qt.Commentf("request %s ran %v", id, executions))
 		bySession[executions[0].Session] = append(bySession[executions[0].Session], executions[0])
 	}
 	for _, request := range sent {
@@ -101,24 +112,25 @@
 			qt.Assert(t, n, qt.Equals, 1)
 			qt.Assert(t, request.response.Body, qt.Equals, byRequest[request.response.RequestID][0].Endpoint)
 		case http.StatusServiceUnavailable:
-			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("a promise that was not kept"))
+			qt.Assert(t, n, qt.Equals, 0, qt.Commentf("request %s ran although it was answered with status 503", request.response.RequestID))
 			qt.Assert(t, request.response.RetryAfter, qt.Not(qt.Equals), "")
 		default:
-			t.Fatalf("request %s of %s got %d after %v", request.response.RequestID, request.session, request.response.StatusCode, request.response.Took)
+			t.Fatalf("request %s of session %s: unexpected status %d after %v", request.response.RequestID, request.session, request.response.StatusCode, request.response.Latency)
 		}
 	}
 	for _, executions := range bySession {
 		slices.SortFunc(executions, func(a, b Execution) int { return a.Start.Compare(b.Start) })
 		for i := 1; i < len(executions); i++ {
-			qt.Assert(t, executions[i].Start.Before(executions[i-1].End), qt.IsFalse, qt.Commentf("one session ran at two endpoints at once"))
+			qt.Assert(t, executions[i].Start.Before(executions[i-1].End), qt.IsFalse, qt.Commentf("executions of one session overlap: %v, %v", executions[i-1], executions[i]))
 		}
 	}
 	return bySession
 }
 
-// sessionReports joins what the nodes report of sessions: the endpoint of each,
-// and its move since a version of the configuration.
-func sessionReports(m *Mesh, since uint64) (open map[string]string, moves map[string]string) {
+// collectSessionReports merges the session reports of all nodes. open has the
+// endpoint of each session as of its latest use, and moves its move since the given
+// configuration version as "from to reason", both by session key.
+func collectSessionReports(m *Mesh, since uint64) (open map[string]string, moves map[string]string) {
 	open, moves = map[string]string{}, map[string]string{}
 	used := map[string]int64{}
 	for _, n := range m.Nodes {
@@ -135,8 +147,11 @@
 	return open, moves
 }
 
+// sessionKey returns the key of the session with the given X-Session header.
 func sessionKey(name string) string { return affinity.SessionKey("header X-Session", name) }
 
+// Sessions must stay at their endpoints while the weighted split, the name and the
+// timeout of their route change and an endpoint is added.
 func TestConfigChangeMovesNoSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newSessionMesh()
@@ -149,9 +164,9 @@
 			m.PublishView(nil)
 			m.ApplyConfig(sessionConfig(t, 3, "purchase", 2.5, splitShifted))
 		})
-		bySession := checkExecutions(t, m, sent)
+		bySession := assertExecutions(t, m, sent)
 		qt.Assert(t, len(bySession), qt.Equals, 60)
-		open, moves := sessionReports(m, 2)
+		open, moves := collectSessionReports(m, 2)
 		qt.Assert(t, len(moves), qt.Equals, 0)
 		used := map[string]bool{}
 		for name, executions := range bySession {
@@ -168,7 +183,9 @@
 	})
 }
 
-func TestOnlySessionsOfADrainingEndpointMove(t *testing.T) {
+// Each session of a draining endpoint must move exactly once and must not start a
+// request there more than 10 ms after the drain began. Other sessions must not move.
+func TestOnlySessionsOfDrainingEndpointMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newSessionMesh()
 		m.ApplyConfig(sessionConfig(t, 1, "buy", 4, splitToOneService))
@@ -183,8 +200,8 @@
 			time.Sleep(2 * time.Second)
 			m.PublishView(map[string]lifecycle.State{"e1": lifecycle.Gone})
 		})
-		bySession := checkExecutions(t, m, sent)
-		open, moves := sessionReports(m, 2)
+		bySession := assertExecutions(t, m, sent)
+		open, moves := collectSessionReports(m, 2)
 		moved := 0
 		for name, executions := range bySession {
 			first, last := executions[0].Endpoint, executions[len(executions)-1].Endpoint
@@ -215,6 +232,8 @@
 	})
 }
 
+// Requests of a session must wait for the endpoint that it is pinned to, or be refused
+// with status 503, and never run at another one.
 func TestSessionWaitsForItsBusyEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newSessionMesh()
@@ -249,6 +268,7 @@
 	})
 }
 
+// A route without a session key must ignore the X-Session header.
 func TestRouteWithoutSessionKeyPinsNoSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newSessionMesh()
@@ -259,7 +279,7 @@
 		for i := range 20 {
 			qt.Assert(t, m.Send(m.Nodes[i%8], "POST", "/buy/", "one", 3*time.Second).StatusCode, qt.Equals, 200)
 		}
-		open, _ := sessionReports(m, 0)
+		open, _ := collectSessionReports(m, 0)
 		qt.Assert(t, len(open), qt.Equals, 0)
 		m.Close()
 		time.Sleep(time.Minute)
--- a/internal/replay/helpers_test.go
+++ b/internal/replay/helpers_test.go
@@ -54,7 +54,7 @@
 		if i >= 3 {
 			service = "seats"
 		}
-		endpoints = append(endpoints, &meshtest.Endpoint{ID: fmt.Sprint("e", i), Service: service, Zone: "z", Slots: 4, BreaksOff: breaksOff, ServiceTime: func(r *http.Request) time.Duration {
+		endpoints = append(endpoints, &meshtest.Endpoint{ID: fmt.Sprint("e", i), Service: service, Zone: "z", Slots: 4, ClosesWithoutResponse: breaksOff, ServiceTime: func(r *http.Request) time.Duration {
 			return 20*time.Millisecond + time.Duration(len(r.Header.Get("X-Request-Id"))*7)*time.Millisecond
 		}})
 	}
