--- a/internal/meshtest/client.go
+++ b/internal/meshtest/client.go
@@ -18,8 +18,8 @@
 	StatusCode int
 	// Body is the part of the response body that arrived.
 	Body string
-	// Latency is the time from sending the request to receiving the response header, or
-	// the error if there is none.
+	// Latency is the time from sending the request to the arrival of the response
+	// header, or to the error if none arrived.
 	Latency time.Duration
 	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
--- a/internal/meshtest/hot_keys.go
+++ b/internal/meshtest/hot_keys.go
@@ -56,8 +56,8 @@
 }
 
 // ReplaceMaster simulates the election of a new master by replacing the tracker
-// with one whose only state is the hot keys of the last view. It must not be called
-// before TrackHotKeys has started.
+// with one whose only state is the hot keys of the last view. TrackHotKeys must have
+// been called before.
 func (m *Mesh) ReplaceMaster() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/meshtest/mesh.go
+++ b/internal/meshtest/mesh.go
@@ -45,8 +45,8 @@
 	view *meshpb.View
 	// states are the states passed to the last PublishView.
 	states map[string]lifecycle.State
-	// hotKeys are part of every view. hotKeyTracker is nil until TrackHotKeys is
-	// called.
+	// hotKeys are included in the next view. hotKeyTracker is nil until TrackHotKeys
+	// is called.
 	hotKeys       []*meshpb.HotKey
 	hotKeyTracker *hotkeys.Tracker
 	hotKeyOptions hotkeys.Options
