--- a/cmd/corkcove/replay_save.go
+++ b/cmd/corkcove/replay_save.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// recordsPerCall is the maximum number of request records per call.
+	// recordsPerCall is the page size of Diagnostics.RequestRecords: the maximum number
+	// of request records that one call returns.
 	recordsPerCall = 2000
 	// maxParallelCalls is the upper limit of --parallel.
 	maxParallelCalls = 256
--- a/internal/changetrace/change.go
+++ b/internal/changetrace/change.go
@@ -41,9 +41,10 @@
 }
 
 // ParseChange parses the identifier of a change: r12 is version 12 of the
-// configuration, view:9 is version 9 of the view, key:group.name is the newest
-// recorded put to a cell, and pin:KEY is the pin of the session with the hashed key
-// KEY. It returns an Error for any other input, and for version 0.
+// configuration, view:9 is version 9 of the view, key:NAME is the newest recorded put
+// to the cell NAME (such as group.name), and pin:KEY is the pin of the session with the
+// hashed key KEY. NAME and KEY are not checked beyond being non-empty. ParseChange
+// returns an Error for any other input, and for version 0.
 func ParseChange(s string) (Change, error) {
 	if key, ok := strings.CutPrefix(s, sessionPrefix); ok && key != "" {
 		return Change{Kind: SessionKind(key)}, nil
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -182,8 +182,8 @@
 }
 
 // Guards against a known failure that disappears from CI's output, and against one
-// that fails CI: run prints each entry, runs each listed test and no other, and
-// succeeds although go test fails.
+// that fails CI: the command "known-red run" prints each entry, runs each listed test
+// and no other, and succeeds although go test fails.
 func TestKnownRedRunsOnlyTheListedTests(t *testing.T) {
 	directory := t.TempDir()
 	list := knownRedOne + strings.TrimSuffix(knownRedTwo, "\n")
@@ -196,7 +196,8 @@
 }
 
 // Guards against CI output in which the listed tests are lost among the packages that
-// have none of them, and against a run that fails because nothing else is left to print.
+// have none of them, and against a "known-red run" that fails because nothing else is
+// left to print.
 func TestKnownRedRunOmitsPackagesWithoutListedTests(t *testing.T) {
 	directory := t.TempDir()
 	writeFile(t, directory, "KNOWN-RED.txt", knownRedOne)
--- a/internal/clustercontroller/outliers.go
+++ b/internal/clustercontroller/outliers.go
@@ -31,8 +31,8 @@
 	// with each further ejection, up to maxEjectionTime.
 	baseEjectionTime = 2500 * time.Millisecond
 	maxEjectionTime  = 10 * time.Second
-	// ejectionBackoffReset is how long after the end of an ejection the next one starts
-	// again with baseEjectionTime.
+	// ejectionBackoffReset is how long after the end of an ejection its record is
+	// deleted. The limit on a later ejection is then baseEjectionTime again.
 	ejectionBackoffReset = 4 * maxEjectionTime
 )
 
--- a/internal/meshtest/node.go
+++ b/internal/meshtest/node.go
@@ -17,26 +17,42 @@
 	"corkcove/internal/routeconfig"
 )
 
-// Settings of the retry budget of each node.
+// Settings of the retry budget of each node: over any RetryWindow, the retries of all
+// nodes are limited to RetryRatio times their requests plus RetrySlack attempts.
 const (
 	RetryRatio  = 0.2
 	RetrySlack  = 400
 	RetryWindow = 10 * time.Second
 )
 
-// Other settings of each node.
+// Settings of each node's load balancer, endpoint agent, proxies, request log and
+// session cache.
 const (
-	remoteWeight      = 2.2
-	bulkWeight        = 5
-	slowStart         = time.Second
-	queuePerSlot      = 1.5
-	missedHeartbeats  = 3
-	bufferBytes       = 64 << 10
-	maxRecords        = 1 << 16
-	maxSessions       = 1 << 16
+	// remoteWeight and bulkWeight multiply the scores of endpoints in other zones:
+	// bulkWeight for bulk requests, remoteWeight for all others.
+	remoteWeight = 2.2
+	bulkWeight   = 5
+	// slowStart is the time over which an endpoint that is added to a hot key reaches
+	// its full share of the key's reads.
+	slowStart = time.Second
+	// queuePerSlot is the number of requests that may be queued per slot.
+	queuePerSlot = 1.5
+	// missedHeartbeats is the number of heartbeat intervals without contact after which
+	// an endpoint is unhealthy.
+	missedHeartbeats = 3
+	// bufferBytes is the BufferLimit of the inbound and outbound proxies.
+	bufferBytes = 64 << 10
+	// maxRecords is the number of request records that a node keeps.
+	maxRecords = 1 << 16
+	// maxSessions is the number of session pins that a node caches.
+	maxSessions = 1 << 16
+	// sessionSettleTime is how long an endpoint must have been unavailable before its
+	// sessions move.
 	sessionSettleTime = 300 * time.Millisecond
-	sessionRefresh    = time.Minute
-	sessionIdle       = 10 * time.Minute
+	// sessionRefresh is the interval at which the pin of a session in use is refreshed.
+	sessionRefresh = time.Minute
+	// sessionIdle is how long a session is reported after its last use.
+	sessionIdle = 10 * time.Minute
 	// longTest is longer than any test runs: no heartbeat is due and no record
 	// expires in it.
 	longTest = time.Hour
--- a/internal/proxy/loadbalancer/hotkeys.go
+++ b/internal/proxy/loadbalancer/hotkeys.go
@@ -16,8 +16,8 @@
 	// fullShareCount is the number of leading endpoints that get their full share
 	// of the reads without a slow start.
 	fullShareCount int
-	// width is the number of endpoints that the view specifies. There are fewer if
-	// the service has fewer that are up.
+	// width is the number of endpoints that the view specifies. The endpoints slice
+	// is shorter if fewer endpoints of the service are up.
 	width int
 	// widthChangedAt is when the key became hot or its width last changed, in
 	// nanoseconds of the balancer's clock. The slow start of added endpoints begins
--- a/internal/proxy/localreply/localreply.go
+++ b/internal/proxy/localreply/localreply.go
@@ -54,7 +54,8 @@
 	// not ready. A node needs about this long to become ready.
 	retryAfterNotReady = 500 * time.Millisecond
 	// retryAfterNoCapacity is the minimum delay before clients retry if no endpoint
-	// had capacity.
+	// accepted the request (NoEndpoint) or the deadline passed before the request
+	// reached one (Expired).
 	retryAfterNoCapacity = 100 * time.Millisecond
 )
 
--- a/internal/proxy/outboundrequest.go
+++ b/internal/proxy/outboundrequest.go
@@ -38,8 +38,8 @@
 	ctx      context.Context
 	// firstSeen is set if the request is probably not a retry by the client.
 	firstSeen bool
-	// pending is the request's entry among those whose responses have not
-	// started.
+	// pending is the request's entry in Outbound.pending, the set of requests whose
+	// responses have not started.
 	pending *pendingRequest
 
 	// Set by readBody.
--- a/internal/replay/endpoint_model.go
+++ b/internal/replay/endpoint_model.go
@@ -43,11 +43,11 @@
 	direct bool
 }
 
-// recordedOutcome is the outcome of a recorded attempt at an endpoint, or one that
-// sampleOutcome estimated.
+// recordedOutcome is the outcome of a recorded attempt at an endpoint, or a success
+// that sampleOutcome assumes for an attempt that is not in the recording.
 type recordedOutcome struct {
-	// timeUs is when the attempt started, in Unix microseconds; it is 0 if the
-	// outcome was estimated.
+	// timeUs is when the recorded attempt started, in Unix microseconds, also if
+	// sampleOutcome reuses a recorded failure. It is 0 for an assumed success.
 	timeUs  int64
 	outcome retry.Outcome
 	// code is the HTTP status, 0 unless the endpoint answered.
--- a/internal/replay/flows.go
+++ b/internal/replay/flows.go
@@ -151,8 +151,8 @@
 	minDegreesOfFreedom = 4
 )
 
-// Shares counts the requests of a flow by destination, path and number of attempts.
-// Forecast files contain it.
+// Shares counts the requests of a flow by destination, by whether the destination is in
+// the zone of the origin, and by number of attempts. Forecast files contain it.
 type Shares struct {
 	// Requests is the total. Each map counts every request once.
 	Requests int `json:"requests"`
@@ -171,7 +171,8 @@
 	blocks map[int64]map[blockCell]int
 }
 
-// blockCell is the category by which the requests of a block of time are counted.
+// blockCell is the category by which the requests of a block of time are counted: the
+// destination's service and whether the destination is in the zone of the origin.
 type blockCell struct{ service, path string }
 
 func newShares() *Shares {
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -72,7 +72,9 @@
 func (l *replicaLog) recordSynced(version uint64) { l.synced = max(l.synced, version) }
 
 // lastEpochEnd returns the position at which the previous epoch ended. An owner's log
-// always has one, since becomeOwner changes the epoch or installs a state.
+// always has one: becomeOwner either changes the epoch, which records the end of the
+// previous one, or installs a newer state, whose position installState records as an
+// epoch end.
 func (l *replicaLog) lastEpochEnd() position { return l.epochEnds[len(l.epochEnds)-1] }
 
 // entriesAfter returns the entries that take a replica at from to this log's position.
--- a/internal/replication/replicate_test.go
+++ b/internal/replication/replicate_test.go
@@ -47,8 +47,9 @@
 
 // TestPeerWithoutEpochChangeSupportGetsFullStates checks that a member of an earlier
 // release, which processes states and entries but ignores epoch changes, still reaches
-// the epoch of a new owner. The limit on Replicate calls, which includes those of the
-// workload, guards against an owner that repeats ignored epoch changes in a loop.
+// the epoch of a new owner. It also guards against an owner that repeats ignored epoch
+// changes in a loop: fewer than 600 Replicate calls are allowed, including the calls that
+// replicate the workload's changes.
 func TestPeerWithoutEpochChangeSupportGetsFullStates(t *testing.T) {
 	cluster := newSimCluster(t, 2, 3)
 	load := newWorkload(cluster)
--- a/internal/replication/voting.go
+++ b/internal/replication/voting.go
@@ -70,8 +70,9 @@
 	return !s.isOwned() || now >= s.ownership.leaseUntil
 }
 
-// grantPreVote reports whether the candidate gets this member's pre-vote. Once granted,
-// pre-votes are refused to other candidates for preVoteReservation.
+// grantPreVote grants this member's pre-vote to the candidate, unless the pre-vote is
+// reserved for another candidate, and reports whether it did. A granted pre-vote is
+// reserved for its candidate for preVoteReservation.
 func (r *Replica) grantPreVote(s *shard, candidateID string) bool {
 	now := r.now()
 	if now < s.election.preVotedUntil && s.election.preVotedFor != candidateID {
