--- a/internal/meshtest/node.go
+++ b/internal/meshtest/node.go
@@ -17,32 +17,47 @@
 	"corkcove/internal/routeconfig"
 )
 
-// Settings of each node's retry budget, as in retry.NewBudget: the ratio of retries
-// to requests, the number of attempts in addition to this, and the window.
+// Settings of the retry budget of each node: over any RetryWindow, the retries of all
+// nodes are limited to RetryRatio times their requests plus RetrySlack attempts.
 const (
 	RetryRatio  = 0.2
 	RetrySlack  = 400
 	RetryWindow = 10 * time.Second
 )
 
-// Other settings of each node, which are passed to the constructors of its parts.
+// Settings of each node's load balancer, endpoint agent, proxies, request log and
+// session cache.
 const (
-	remoteWeight           = 2.2
-	bulkWeight             = 5
-	slowStart              = time.Second
-	queuePerSlot           = 1.5
-	missedHeartbeats       = 3
-	bufferBytes            = 64 << 10
-	maxRecords             = 1 << 16
-	maxSessions            = 1 << 16
-	sessionMoveDelay       = 300 * time.Millisecond
+	// remoteWeight and bulkWeight multiply the scores of endpoints in other zones:
+	// bulkWeight for bulk requests, remoteWeight for all others.
+	remoteWeight = 2.2
+	bulkWeight   = 5
+	// slowStart is the time over which an endpoint that is added to a hot key reaches
+	// its full share of the key's reads.
+	slowStart = time.Second
+	// queuePerSlot is the number of requests that may be queued per slot.
+	queuePerSlot = 1.5
+	// missedHeartbeats is the number of heartbeat intervals without contact after which
+	// an endpoint is unhealthy.
+	missedHeartbeats = 3
+	// bufferBytes is the BufferLimit of the inbound and outbound proxies.
+	bufferBytes = 64 << 10
+	// maxRecords is the number of request records that a node keeps.
+	maxRecords = 1 << 16
+	// maxSessions is the number of session pins that a node caches.
+	maxSessions = 1 << 16
+	// sessionMoveDelay is how long an endpoint must have been unavailable before its
+	// sessions move.
+	sessionMoveDelay = 300 * time.Millisecond
+	// sessionRefreshInterval is the interval at which the pin of a session in use is refreshed.
 	sessionRefreshInterval = time.Minute
-	sessionIdleTimeout     = 10 * time.Minute
-	// testDurationLimit exceeds the virtual duration of every test, so that no
-	// heartbeat becomes due and no record expires.
+	// sessionIdleTimeout is how long a session is reported after its last use.
+	sessionIdleTimeout = 10 * time.Minute
+	// testDurationLimit is longer than any test runs: no heartbeat is due and no record
+	// expires in it.
 	testDurationLimit = time.Hour
-	// initialUptime is added to the uptime of each node, so that its retry budget has
-	// its full size from the start.
+	// initialUptime is what nodes count as up before the test, so that their retry
+	// budgets are fully grown.
 	initialUptime = time.Hour
 )
 
