--- a/cmd/controlload/report_test.go
+++ b/cmd/controlload/report_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestReportKeysMatch242832a checks that the JSON keys are those of release 242832a,
-// because scripts read the report by these keys.
-func TestReportKeysMatch242832a(t *testing.T) {
+// TestReportKeysMatchPreviousRelease checks that the JSON keys are those of the
+// previous release, because scripts read the report by these keys.
+func TestReportKeysMatchPreviousRelease(t *testing.T) {
 	const usageKeys = `{"Seconds":0,"MasterCore":0,"OtherCore":0,"Node":0,"MasterMB":0,"OtherMB":0,"NodeMB":0,"NodeInKBs":0,"NodeOutKBs":0}`
 	report, err := json.Marshal(loadReport{})
 	qt.Assert(t, err, qt.IsNil)
--- a/cmd/corkcove/main_test.go
+++ b/cmd/corkcove/main_test.go
@@ -27,8 +27,10 @@
 
 // These tests run the command line end to end: the test binary runs itself as
 // corkcove against a core of two fake members and two fake traffic nodes with fixed
-// responses. The expected outputs in testdata/242832a were recorded with release
-// 242832a. To test a binary of that release in the same way, pass -binary=FILE.
+// responses. The expected outputs in testdata/242832a were recorded with the
+// previous release, the last one before RPC services, command-line flags and
+// packages were renamed. To test a binary of that release in the same way, pass
+// -binary=FILE.
 
 const (
 	runMainEnv = "CORKCOVE_TEST_RUN_MAIN"
@@ -330,8 +332,9 @@
 	return in
 }
 
-// The text and JSON output of the tools must stay the same as in release 242832a.
-func TestOutputMatchesRelease242832a(t *testing.T) {
+// The text and JSON output of the tools must stay the same as in the previous
+// release.
+func TestOutputMatchesPreviousRelease(t *testing.T) {
 	in := newInputs(t)
 	cases := []struct {
 		name string
@@ -366,7 +369,7 @@
 
 // A master that has stepped down still responds, but doesn't know the nodes or the
 // view.
-func TestStatusWithoutMasterMatchesRelease242832a(t *testing.T) {
+func TestStatusWithoutMasterMatchesPreviousRelease(t *testing.T) {
 	mesh := newFakeMesh(t)
 	mesh.master.stepDown()
 	compareWithRecorded(t, "status-no-master", mesh.runCommand(t, t.TempDir(), "status", "--core", mesh.coreAddr))
@@ -426,9 +429,9 @@
 }
 
 // Each command gets past flag parsing and then fails because a file or the core is
-// missing, so exit code 1 without a usage hint shows that the flags of release
-// 242832a are still accepted.
-func TestAcceptsFlagsOfRelease242832a(t *testing.T) {
+// missing, so exit code 1 without a usage hint shows that the flags of the
+// previous release are still accepted.
+func TestAcceptsFlagsOfPreviousRelease(t *testing.T) {
 	in := newInputs(t)
 	mesh := newFakeMesh(t)
 	for _, args := range [][]string{
--- a/cmd/corkcove/stored_test.go
+++ b/cmd/corkcove/stored_test.go
@@ -10,11 +10,12 @@
 	"corkcove/internal/rpc/meshpb"
 )
 
-// TestReadsBlobNamesOfRelease242832a checks the names under which release 242832a
-// stored the cluster controller's blobs in shard 0, and the number of shards, which
-// determines the shard of each stored name. Changing either makes a new release
-// miss the stored data.
-func TestReadsBlobNamesOfRelease242832a(t *testing.T) {
+// TestReadsBlobNamesOfPreviousRelease checks the names under which the previous
+// release stored the cluster controller's blobs in shard 0, and the number of shards,
+// which determines the shard of each stored name. Changing either makes a new release
+// miss the stored data. The previous release is the last one before RPC services,
+// command-line flags and packages were renamed.
+func TestReadsBlobNamesOfPreviousRelease(t *testing.T) {
 	const usersData = "\x0a\x14\x0a\x08endpoint\x12\x08draining"
 	table := coordination.NewTable(time.Minute)
 	table.Restore(&meshpb.ShardState{Blobs: []*meshpb.Blob{
@@ -29,9 +30,9 @@
 	qt.Check(t, shardCount, qt.Equals, 13)
 }
 
-// TestDecodesViewOfRelease242832a decodes a view as release 242832a stored it:
-// compressed with DEFLATE.
-func TestDecodesViewOfRelease242832a(t *testing.T) {
+// TestDecodesViewOfPreviousRelease decodes a view as the previous release stored
+// it: compressed with DEFLATE.
+func TestDecodesViewOfPreviousRelease(t *testing.T) {
 	view := decodeStoredView(&meshpb.Blob{Version: 7, Data: []byte("\x01\x08\x00\xf7\xff\x08\x03\x10\x07\x32\x02m0")})
 	qt.Check(t, view.Epoch, qt.Equals, uint64(3))
 	qt.Check(t, view.Version, qt.Equals, uint64(7))
--- a/internal/changetrace/stored_json_test.go
+++ b/internal/changetrace/stored_json_test.go
@@ -7,7 +7,8 @@
 )
 
 // Guards against changes to the JSON keys of a stored report. The file was written by
-// the code of commit 242832a from a value with every field set.
-func TestJSONKeysOf242832aAreKept(t *testing.T) {
+// the previous release, the last one before RPC services, command-line flags and
+// packages were renamed, from a value with every field set.
+func TestJSONKeysOfPreviousReleaseAreKept(t *testing.T) {
 	jsontest.AssertRoundTrip(t, "testdata/242832a/report.json", &Report{})
 }
--- a/internal/controlapi/config_change.go
+++ b/internal/controlapi/config_change.go
@@ -31,8 +31,8 @@
 	baseVersion uint64
 	// digest covers the method, the base version and the body.
 	digest []byte
-	// legacyDigest is the digest that releases before 242832a recorded. It does not
-	// cover the base version.
+	// legacyDigest is the digest that releases before the previous one recorded. It
+	// does not cover the base version.
 	legacyDigest []byte
 }
 
--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -288,9 +288,9 @@
 	})
 }
 
-// legacyDisk returns a disk with the content that a release before 242832a writes for
-// these changes: the record of accepted changes is part of the configuration's blob
-// and holds the newest 256. The last four changes are log entries that follow a
+// legacyDisk returns a disk with the content that a release before the previous one
+// writes for these changes: the record of accepted changes is part of the
+// configuration's blob and holds the newest 256. The last four changes are log entries that follow a
 // snapshot.
 func legacyDisk(changes []operatorRequest) *memoryDisk {
 	disk := &memoryDisk{}
@@ -381,8 +381,8 @@
 	}
 }
 
-// legacyDigest returns the digest that a release before 242832a recorded for a change.
-// It has 32 bytes, of which the current release compares the first 16.
+// legacyDigest returns the digest that a release before the previous one recorded
+// for a change. It has 32 bytes, of which the current release compares the first 16.
 func legacyDigest(change operatorRequest) []byte {
 	digest := newConfigChange(change.method, 0, []byte(change.body)).legacyDigest
 	return append(digest[:coordination.DigestSize:coordination.DigestSize], make([]byte, 16)...)
--- a/internal/coordination/accepted.go
+++ b/internal/coordination/accepted.go
@@ -19,9 +19,9 @@
 	// recorded.
 	DigestSize = 16
 
-	// maxLegacyAccepted is the number of changes that releases before 242832a
-	// recorded inside the configuration. A record of that length may have dropped
-	// older changes.
+	// maxLegacyAccepted is the number of changes that releases before the previous
+	// one recorded inside the configuration. A record of that length may have
+	// dropped older changes.
 	maxLegacyAccepted = 256
 )
 
@@ -89,8 +89,8 @@
 	}
 }
 
-// addLegacy adds the changes that a release before 242832a recorded inside the
-// configuration. It ignores blobs other than ConfigBlob.
+// addLegacy adds the changes that a release before the previous one recorded
+// inside the configuration. It ignores blobs other than ConfigBlob.
 func (a *acceptedChanges) addLegacy(b *meshpb.Blob) {
 	if b.Name != ConfigBlob {
 		return
--- a/internal/coordination/stored_test.go
+++ b/internal/coordination/stored_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The shards and groups of names must be those of release 242832a: a release that
-// assigned names to other shards would find none of the stored objects.
-func TestShardsAndGroupsMatchRelease242832a(t *testing.T) {
+// The shards and groups of names must be those of the previous release: a release
+// that assigned names to other shards would find none of the stored objects.
+func TestShardsAndGroupsMatchPreviousRelease(t *testing.T) {
 	const shards = 13
 	service := NewService(nil, shards)
 	for name, want := range map[string]int{"": 2, "lock": 7, "another lock": 12, "group.": 7, "orders": 9} {
--- a/internal/replay/stored_json_test.go
+++ b/internal/replay/stored_json_test.go
@@ -10,10 +10,10 @@
 	"corkcove/internal/jsontest"
 )
 
-// TestJSONKeysOf242832aAreKept guards against renamed or removed JSON keys, which would
-// break consumers of stored reports. The fixtures were written at commit 242832a from
-// values with every field set.
-func TestJSONKeysOf242832aAreKept(t *testing.T) {
+// TestJSONKeysOfPreviousReleaseAreKept guards against renamed or removed JSON keys,
+// which would break consumers of stored reports. The fixtures were written by the
+// previous release from values with every field set.
+func TestJSONKeysOfPreviousReleaseAreKept(t *testing.T) {
 	for file, v := range map[string]any{
 		"report.json":     &Report{},
 		"comparison.json": &Comparison{},
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestForecastOf242832aIsReadAndSavedUnchanged checks that a stored forecast can still
-// be read, and that saving it gives the same bytes.
-func TestForecastOf242832aIsReadAndSavedUnchanged(t *testing.T) {
+// TestForecastOfPreviousReleaseIsReadAndSavedUnchanged checks that a stored forecast
+// can still be read, and that saving it gives the same bytes.
+func TestForecastOfPreviousReleaseIsReadAndSavedUnchanged(t *testing.T) {
 	stored := filepath.Join(storedDir, "forecast.json")
 	f, err := ReadForecast(stored)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/replay/stored_test.go
+++ b/internal/replay/stored_test.go
@@ -13,8 +13,9 @@
 )
 
 // update writes the fixture of this package if it is missing. The committed fixture is
-// the reference: it was written at commit 242832a and must never be regenerated, so an
-// existing fixture directory is an error.
+// the reference: it was written by the previous release, the last one before RPC
+// services, command-line flags and packages were renamed, and must never be
+// regenerated, so an existing fixture directory is an error.
 var update = flag.Bool("update", false, "write a missing fixture directory")
 
 const (
@@ -23,9 +24,9 @@
 	storedText = storedDir + "/record.txt"
 )
 
-// TestReplayFileOf242832aIsRead guards against format changes that make stored
+// TestReplayFileOfPreviousReleaseIsRead guards against format changes that make stored
 // recordings unreadable. It reads a recording in which every field is set.
-func TestReplayFileOf242832aIsRead(t *testing.T) {
+func TestReplayFileOfPreviousReleaseIsRead(t *testing.T) {
 	if *update {
 		writeStoredRecording(t)
 	}
--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -21,8 +21,9 @@
 )
 
 // update makes the tests write fixture directories that are missing. The committed
-// directories are the reference: the code of commit 242832a wrote them, and they must
-// never be regenerated. An existing directory is therefore an error.
+// directories are the reference: the previous release, the last one before RPC services,
+// command-line flags and packages were renamed, wrote them, and they must never be
+// regenerated. An existing directory is therefore an error.
 var update = flag.Bool("update", false, "write missing fixture directories")
 
 const (
@@ -51,10 +52,10 @@
 	{"pending-membership", "m0", writePendingMembership},
 }
 
-// TestLogsOf242832aAreRead guards against a release that misreads the logs of an
-// earlier one. It compares the records read from each directory, and the snapshot that
-// a replica makes of them, with the text file next to the directory.
-func TestLogsOf242832aAreRead(t *testing.T) {
+// TestPreviousReleaseLogsAreRead guards against a release that misreads the logs of
+// the previous one. It compares the records read from each directory, and the snapshot
+// that a replica makes of them, with the text file next to the directory.
+func TestPreviousReleaseLogsAreRead(t *testing.T) {
 	for _, f := range fixtures {
 		t.Run(f.name, func(t *testing.T) {
 			dir := filepath.Join(fixtureDirectory, f.name)
@@ -72,9 +73,9 @@
 	}
 }
 
-// TestWrittenLogsMatch242832a guards against a release whose logs an earlier one can't
-// read. It requires the present code to write the same bytes as the directories hold.
-func TestWrittenLogsMatch242832a(t *testing.T) {
+// TestWrittenLogsMatchPreviousRelease guards against a release whose logs the previous
+// one can't read. It requires the present code to write the same bytes as the directories hold.
+func TestWrittenLogsMatchPreviousRelease(t *testing.T) {
 	for _, f := range fixtures {
 		t.Run(f.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -84,9 +85,9 @@
 	}
 }
 
-// TestStateOf242832aIsServed guards against stored fields that are read with another
-// meaning. It queries a replica restored from the log for everything that was stored.
-func TestStateOf242832aIsServed(t *testing.T) {
+// TestPreviousReleaseStateIsServed guards against stored fields that are read with
+// another meaning. It queries a replica restored from the log for everything that was stored.
+func TestPreviousReleaseStateIsServed(t *testing.T) {
 	for _, name := range []string{"member", "torn-snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			replica, _ := startFixture(t, fixture{name: name, address: "m0"})
@@ -160,10 +161,10 @@
 	qt.Check(t, table.HasAccepted(digestOf(72)), qt.IsFalse)
 }
 
-// TestPendingMembershipOf242832aIsAdopted starts a member that stopped after a new
-// membership was decided and before it was adopted. It guards against a change of the
-// names of the blobs that store the membership and the number of members.
-func TestPendingMembershipOf242832aIsAdopted(t *testing.T) {
+// TestPreviousReleasePendingMembershipIsAdopted starts a member that stopped after
+// a new membership was decided and before it was adopted. It guards against a change of
+// the names of the blobs that store the membership and the number of members.
+func TestPreviousReleasePendingMembershipIsAdopted(t *testing.T) {
 	replica, clock := startFixture(t, fixture{name: "pending-membership", address: "m0"})
 	qt.Assert(t, replica.Membership().Version, qt.Equals, uint64(1))
 	tickUntil(t, replica, clock, func() bool { return replica.Membership().Version == 2 })
--- a/internal/rpc/wire_test.go
+++ b/internal/rpc/wire_test.go
@@ -21,8 +21,9 @@
 )
 
 // update writes missing fixtures of this package. The committed fixtures are the
-// reference: the code of commit 242832a wrote them, and they must never be
-// regenerated, so an existing fixture directory is an error.
+// reference: the previous release, the last one before RPC services, command-line flags
+// and packages were renamed, wrote them, and they must never be regenerated, so an
+// existing fixture directory is an error.
 var update = flag.Bool("update", false, "write missing fixture directories")
 
 const (
@@ -30,7 +31,7 @@
 	wireAddr = "peer.test:7000"
 )
 
-// Wire paths of all calls between processes, as sent by commit 242832a.
+// Wire paths of all calls between processes, as sent by the previous release.
 const (
 	pathRenewLeases       = "/twirp/trunk.Exchange/Hold"
 	pathReplicate         = "/twirp/trunk.Exchange/Copy"
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -10,7 +10,8 @@
 )
 
 // update writes the fixtures that are missing. The committed files are the reference:
-// they were written by the code of commit 242832a and must never be regenerated, so an
+// they were written by the previous release, the last one before RPC services,
+// command-line flags and packages were renamed, and must never be regenerated, so an
 // existing directory is an error.
 var update = flag.Bool("update", false, "write missing fixture directories")
 
@@ -30,8 +31,9 @@
 	{"old-files-left", writeOldFilesLeft, []string{"first", "second", "\x00\xff third", "fourth"}},
 }
 
-// TestOpenReadsDirectoriesOf242832a opens directories written by an earlier release.
-func TestOpenReadsDirectoriesOf242832a(t *testing.T) {
+// TestOpenReadsDirectoriesOfPreviousRelease opens directories written by the
+// previous release.
+func TestOpenReadsDirectoriesOfPreviousRelease(t *testing.T) {
 	for _, fixture := range fixtures {
 		t.Run(fixture.name, func(t *testing.T) {
 			dir := filepath.Join(fixtureDirectory, fixture.name)
@@ -45,9 +47,10 @@
 	}
 }
 
-// TestWrittenDirectoriesMatch242832a writes the same records with the current code and
-// compares the files, since an earlier release must be able to read them.
-func TestWrittenDirectoriesMatch242832a(t *testing.T) {
+// TestWrittenDirectoriesMatchPreviousRelease writes the same records with the
+// current code and compares the files, since the previous release must be able to read
+// them.
+func TestWrittenDirectoriesMatchPreviousRelease(t *testing.T) {
 	for _, fixture := range fixtures {
 		t.Run(fixture.name, func(t *testing.T) {
 			dir := t.TempDir()
