--- a/internal/controlapi/config_change_test.go
+++ b/internal/controlapi/config_change_test.go
@@ -290,8 +290,8 @@
 
 // legacyDisk returns a disk with the content that a release before the previous one
 // writes for these changes: the record of accepted changes is part of the
-// configuration's blob and holds the newest 256. The last four changes are log entries that follow a
-// snapshot.
+// configuration's blob and holds the newest 256. The last four changes are log entries
+// that follow a snapshot.
 func legacyDisk(changes []operatorRequest) *memoryDisk {
 	disk := &memoryDisk{}
 	appendRecord := func(r *meshpb.Record) {
--- a/internal/loadestimate/stored_json_test.go
+++ b/internal/loadestimate/stored_json_test.go
@@ -9,8 +9,8 @@
 
 // Estimates that an earlier version saved must stay readable. The files were
 // written by the previous release, the last one before RPC services, command-line
-// flags and packages were renamed, from values with all fields set; of an added endpoint, only
-// the fields that `estimate add` sets.
+// flags and packages were renamed, from values with all fields set; of an added
+// endpoint, only the fields that `estimate add` sets.
 func TestStoredJSONKeysAreUnchanged(t *testing.T) {
 	for file, v := range map[string]any{
 		"estimate.json": &Estimate{},
--- a/internal/replication/stored_test.go
+++ b/internal/replication/stored_test.go
@@ -74,7 +74,8 @@
 }
 
 // TestWrittenLogsMatchPreviousRelease guards against a release whose logs the previous
-// one can't read. It requires the present code to write the same bytes as the directories hold.
+// one can't read. It requires the present code to write the same bytes as
+// the directories hold.
 func TestWrittenLogsMatchPreviousRelease(t *testing.T) {
 	for _, f := range fixtures {
 		t.Run(f.name, func(t *testing.T) {
@@ -86,7 +87,8 @@
 }
 
 // TestPreviousReleaseStateIsServed guards against stored fields that are read with
-// another meaning. It queries a replica restored from the log for everything that was stored.
+// another meaning. It queries a replica restored from the log for
+// everything that was stored.
 func TestPreviousReleaseStateIsServed(t *testing.T) {
 	for _, name := range []string{"member", "torn-snapshot"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rpc/stored_test.go
+++ b/internal/rpc/stored_test.go
@@ -13,8 +13,7 @@
 )
 
 // storedDir holds a fixture for each type of stored message: log records, contents
-// of blobs, and parts of replay files. The previous release wrote
-// them.
+// of blobs, and parts of replay files. The previous release wrote them.
 const storedDir = "testdata/stored/242832a"
 
 // storedMessages lists the stored messages by fixture name. The fixture keeps its
