--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -15,28 +15,30 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const root = "../.."
+const repoRoot = "../.."
 
-// sourceTree is what the Go files under cmd and internal declare.
+// sourceTree holds the names that the Go files under cmd and internal declare.
 type sourceTree struct {
-	// declared has `package.Name` and `package.Type.Member`, members being
-	// methods and fields; a package goes by the name of its folder.
+	// declared contains `package.Name` and `package.Type.Member`, where a member is a
+	// method or a field and a package has the name of its directory.
 	declared map[string]bool
 	packages map[string]bool
-	tests    map[string]bool
+	// tests contains the names of the test and benchmark functions.
+	tests map[string]bool
 }
 
-// eachFile parses the Go files under cmd and internal, tests and others.
-func eachFile(t *testing.T, do func(path string, file *ast.File)) {
+// forEachGoFile parses each Go file under cmd and internal, including tests, and calls
+// visit with it.
+func forEachGoFile(t *testing.T, visit func(path string, file *ast.File)) {
 	t.Helper()
-	for _, folder := range []string{"cmd", "internal"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+	for _, dir := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(repoRoot, dir), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" {
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 			if err == nil {
-				do(path, file)
+				visit(path, file)
 			}
 			return err
 		})
@@ -47,7 +49,7 @@
 func parseTree(t *testing.T) sourceTree {
 	t.Helper()
 	tree := sourceTree{map[string]bool{}, map[string]bool{}, map[string]bool{}}
-	eachFile(t, func(path string, file *ast.File) {
+	forEachGoFile(t, func(path string, file *ast.File) {
 		if strings.HasSuffix(path, "_test.go") {
 			tree.addTests(file)
 			return
@@ -73,7 +75,7 @@
 		case *ast.FuncDecl:
 			name := d.Name.Name
 			if d.Recv != nil {
-				name = receiver(d.Recv.List[0].Type) + "." + name
+				name = receiverTypeName(d.Recv.List[0].Type) + "." + name
 			}
 			s.declared[pkg+"."+name] = true
 		case *ast.GenDecl:
@@ -109,35 +111,36 @@
 	}
 }
 
-// receiver is the name of a method's type, without pointer and type parameters.
-func receiver(e ast.Expr) string {
+// receiverTypeName returns the name of a receiver's type without pointer and type parameters.
+func receiverTypeName(e ast.Expr) string {
 	switch x := e.(type) {
 	case *ast.StarExpr:
-		return receiver(x.X)
+		return receiverTypeName(x.X)
 	case *ast.IndexExpr:
-		return receiver(x.X)
+		return receiverTypeName(x.X)
 	case *ast.IndexListExpr:
-		return receiver(x.X)
+		return receiverTypeName(x.X)
 	case *ast.Ident:
 		return x.Name
 	}
 	return ""
 }
 
-// pages gives the text of each page by its path from the root.
-func pages(t *testing.T) map[string]string {
+// readPages returns the text of README.md, CONTRIBUTING.md and each page under docs,
+// keyed by its path relative to the root of the repository.
+func readPages(t *testing.T) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	read := func(path string) {
 		b, err := os.ReadFile(path)
 		qt.Assert(t, err, qt.IsNil)
-		name, err := filepath.Rel(root, path)
+		name, err := filepath.Rel(repoRoot, path)
 		qt.Assert(t, err, qt.IsNil)
 		out[name] = string(b)
 	}
-	read(filepath.Join(root, "README.md"))
-	read(filepath.Join(root, "CONTRIBUTING.md"))
-	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, entry fs.DirEntry, err error) error {
+	read(filepath.Join(repoRoot, "README.md"))
+	read(filepath.Join(repoRoot, "CONTRIBUTING.md"))
+	err := filepath.WalkDir(filepath.Join(repoRoot, "docs"), func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && filepath.Ext(path) == ".md" {
 			read(path)
 		}
@@ -148,96 +151,99 @@
 }
 
 var (
-	quoted   = regexp.MustCompile("`([^`\n]+)`")
-	goName   = regexp.MustCompile(`^([a-z][a-z0-9]*)\.[A-Za-z]\w*(\.[A-Za-z]\w*)?$`)
-	fileName = regexp.MustCompile(`\.(go|md|toml|json|proto|sh|yml|txt|bin)$`)
-	testName = regexp.MustCompile(`\b(Test|Benchmark)[A-Z0-9]\w*`)
-	pathName = regexp.MustCompile(`(^|[^\w/.])((internal|cmd|deploy|examples|docs|days)/[\w./-]*\w)`)
-	// oldName marks the names that a test or function had when a record was written.
-	oldName = regexp.MustCompile("then called `[^`]+`")
+	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	qualifiedName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.[A-Za-z]\w*(\.[A-Za-z]\w*)?$`)
+	fileExtension = regexp.MustCompile(`\.(go|md|toml|json|proto|sh|yml|txt|bin)$`)
+	testName      = regexp.MustCompile(`\b(Test|Benchmark)[A-Z0-9]\w*`)
+	pathName      = regexp.MustCompile(`(^|[^\w/.])((internal|cmd|deploy|examples|docs|days)/[\w./-]*\w)`)
+	// formerName matches a name that a record of an earlier state gives as a former one.
+	formerName = regexp.MustCompile("then called `[^`]+`")
 )
 
-// allNamesKnown are the pages on which every `package.Name` is one of this tree;
-// elsewhere a name counts only if its first part is a package.
-var allNamesKnown = []string{"docs/architecture.md", "docs/glossary.md"}
+// strictPages are the pages on which each `package.Name` must be declared in this
+// repository; on other pages only names whose first part is one of its packages are checked.
+var strictPages = []string{"docs/architecture.md", "docs/glossary.md"}
 
+// Guards against pages that still use the old name of a renamed or removed declaration.
 func TestPagesNameOnlyWhatTheCodeDeclares(t *testing.T) {
 	tree := parseTree(t)
-	for page, text := range pages(t) {
-		strict := slices.Contains(allNamesKnown, page)
+	for page, text := range readPages(t) {
+		strict := slices.Contains(strictPages, page)
 		count := 0
-		for _, m := range quoted.FindAllStringSubmatch(text, -1) {
+		for _, m := range codeSpan.FindAllStringSubmatch(text, -1) {
 			name := strings.TrimSuffix(m[1], "()")
-			parts := goName.FindStringSubmatch(name)
-			if parts == nil || fileName.MatchString(name) || !strict && !tree.packages[parts[1]] {
+			parts := qualifiedName.FindStringSubmatch(name)
+			if parts == nil || fileExtension.MatchString(name) || !strict && !tree.packages[parts[1]] {
 				continue
 			}
 			count++
-			qt.Check(t, tree.declared[name], qt.IsTrue, qt.Commentf("%s names %s", page, name))
+			qt.Check(t, tree.declared[name], qt.IsTrue, qt.Commentf("%s names %s, which does not exist", page, name))
 		}
 		if strict {
-			qt.Check(t, count > 30, qt.IsTrue, qt.Commentf("%s names only %d", page, count))
+			qt.Check(t, count > 30, qt.IsTrue, qt.Commentf("%s names only %d declarations, want more than 30", page, count))
 		}
 	}
 }
 
+// Guards against pages that refer to a renamed or removed test.
 func TestPagesNameOnlyTestsThatExist(t *testing.T) {
 	tree := parseTree(t)
 	count := 0
-	for page, text := range pages(t) {
-		for _, name := range testName.FindAllString(oldName.ReplaceAllString(text, ""), -1) {
+	for page, text := range readPages(t) {
+		for _, name := range testName.FindAllString(formerName.ReplaceAllString(text, ""), -1) {
 			count++
-			qt.Check(t, tree.tests[name], qt.IsTrue, qt.Commentf("%s names %s", page, name))
+			qt.Check(t, tree.tests[name], qt.IsTrue, qt.Commentf("%s names %s, which does not exist", page, name))
 		}
 	}
-	qt.Check(t, count > 100, qt.IsTrue, qt.Commentf("only %d names found", count))
+	qt.Check(t, count > 100, qt.IsTrue, qt.Commentf("the pages name only %d tests, want more than 100", count))
 }
 
+// Guards against pages that refer to a moved or removed file.
 func TestPagesNameOnlyFilesThatExist(t *testing.T) {
 	count := 0
-	for page, text := range pages(t) {
-		for _, m := range pathName.FindAllStringSubmatch(oldName.ReplaceAllString(text, ""), -1) {
+	for page, text := range readPages(t) {
+		for _, m := range pathName.FindAllStringSubmatch(formerName.ReplaceAllString(text, ""), -1) {
 			count++
-			_, err := os.Stat(filepath.Join(root, m[2]))
-			qt.Check(t, err, qt.IsNil, qt.Commentf("%s names %s", page, m[2]))
+			_, err := os.Stat(filepath.Join(repoRoot, m[2]))
+			qt.Check(t, err, qt.IsNil, qt.Commentf("%s names %s, which does not exist", page, m[2]))
 		}
 	}
-	qt.Check(t, count > 50, qt.IsTrue, qt.Commentf("only %d paths found", count))
+	qt.Check(t, count > 50, qt.IsTrue, qt.Commentf("the pages name only %d paths, want more than 50", count))
 }
 
-// packageFolders are the folders under internal that hold packages, by their
-// paths below it.
-func packageFolders(t *testing.T) map[string]bool {
+// packageDirs returns the directories that hold packages, as paths relative to internal.
+func packageDirs(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
-	eachFile(t, func(path string, _ *ast.File) {
-		folder, err := filepath.Rel(filepath.Join(root, "internal"), filepath.Dir(path))
+	forEachGoFile(t, func(path string, _ *ast.File) {
+		dir, err := filepath.Rel(filepath.Join(repoRoot, "internal"), filepath.Dir(path))
 		qt.Assert(t, err, qt.IsNil)
-		if !strings.HasPrefix(folder, "..") {
-			out[folder] = true
+		if !strings.HasPrefix(dir, "..") {
+			out[dir] = true
 		}
 	})
 	return out
 }
 
+// Guards against a package table that lacks a new package or still lists a removed one.
 func TestDesignPageListsEachPackageOnce(t *testing.T) {
-	_, table, found := strings.Cut(pages(t)["docs/design.md"], "\n## The packages\n")
+	_, table, found := strings.Cut(readPages(t)["docs/design.md"], "\n## The packages\n")
 	qt.Assert(t, found, qt.IsTrue)
 	table, _, _ = strings.Cut(table, "\n## ")
-	folders := packageFolders(t)
+	dirs := packageDirs(t)
 	listed := map[string]bool{}
 	for line := range strings.Lines(table) {
 		cell, _, _ := strings.Cut(strings.TrimPrefix(line, "| "), " |")
 		if !strings.HasPrefix(line, "| `") {
 			continue
 		}
-		for _, m := range quoted.FindAllStringSubmatch(cell, -1) {
-			qt.Check(t, folders[m[1]], qt.IsTrue, qt.Commentf("the table lists %s", m[1]))
+		for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
+			qt.Check(t, dirs[m[1]], qt.IsTrue, qt.Commentf("the table lists %s, which is not a package", m[1]))
 			qt.Check(t, listed[m[1]], qt.IsFalse, qt.Commentf("the table lists %s twice", m[1]))
 			listed[m[1]] = true
 		}
 	}
-	for folder := range folders {
-		qt.Check(t, listed[folder], qt.IsTrue, qt.Commentf("the table lacks %s", folder))
+	for dir := range dirs {
+		qt.Check(t, listed[dir], qt.IsTrue, qt.Commentf("the table does not list %s", dir))
 	}
 }
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -10,39 +10,40 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// logLevels are the methods of logring.Logger and logring.Ring that take a
-// message, and the subsection of the operators' page that explains it.
-var logLevels = map[string]string{"Warn": warnings, "Flush": warnings, "Info": otherMessages}
+// sectionByLogMethod maps each method of logring.Logger and logring.Ring that takes a
+// message to the subsection of the operators' page that explains the message.
+var sectionByLogMethod = map[string]string{"Warn": warningsHeading, "Flush": warningsHeading, "Info": otherMessagesHeading}
 
 const (
-	warnings      = "### Warnings"
-	otherMessages = "### Other messages"
+	warningsHeading      = "### Warnings"
+	otherMessagesHeading = "### Other messages"
 )
 
-// addMessages adds the texts of a file's log calls, each with its subsection.
-func addMessages(messages map[string]string, file *ast.File) {
+// addLogMessages adds the messages that a file logs, each with its subsection.
+func addLogMessages(messages map[string]string, file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok || len(call.Args) == 0 {
 			return true
 		}
 		method, ok := call.Fun.(*ast.SelectorExpr)
-		if !ok || logLevels[method.Sel.Name] == "" {
+		if !ok || sectionByLogMethod[method.Sel.Name] == "" {
 			return true
 		}
-		// Package logring itself writes out through klog.
+		// Package logring writes its messages through klog; these calls take no new message.
 		if pkg, ok := method.X.(*ast.Ident); ok && pkg.Name == "klog" {
 			return true
 		}
-		if text, ok := flatten(call.Args[0]); ok {
-			messages[text] = logLevels[method.Sel.Name]
+		if text, ok := messageText(call.Args[0]); ok {
+			messages[text] = sectionByLogMethod[method.Sel.Name]
 		}
 		return true
 	})
 }
 
-// flatten joins the literals of a concatenation, with `…` for what is no literal.
-func flatten(e ast.Expr) (text string, literal bool) {
+// messageText returns the text of a string expression, with `…` in place of each operand
+// that is not a literal, and reports whether it contains a literal at all.
+func messageText(e ast.Expr) (text string, literal bool) {
 	switch x := e.(type) {
 	case *ast.BasicLit:
 		if x.Kind != token.STRING {
@@ -51,8 +52,8 @@
 		text, err := strconv.Unquote(x.Value)
 		return text, err == nil
 	case *ast.BinaryExpr:
-		left, leftLiteral := flatten(x.X)
-		right, rightLiteral := flatten(x.Y)
+		left, leftLiteral := messageText(x.X)
+		right, rightLiteral := messageText(x.Y)
 		if !leftLiteral {
 			left = "…"
 		}
@@ -64,24 +65,24 @@
 	return "", false
 }
 
-// loggedMessages are the texts of log calls outside of tests, each with the
+// loggedMessages returns the messages that code other than tests logs, each with the
 // subsection of the operators' page that explains it.
 func loggedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	messages := map[string]string{}
-	eachFile(t, func(path string, file *ast.File) {
+	forEachGoFile(t, func(path string, file *ast.File) {
 		if !strings.HasSuffix(path, "_test.go") {
-			addMessages(messages, file)
+			addLogMessages(messages, file)
 		}
 	})
 	return messages
 }
 
-// onCall gives the messages in the tables of the operators' page, each with its
-// subsection.
-func onCall(t *testing.T) map[string]string {
+// documentedMessages returns the messages in the tables of the operators' page, each with
+// its subsection.
+func documentedMessages(t *testing.T) map[string]string {
 	t.Helper()
-	_, section, found := strings.Cut(pages(t)["docs/operators.md"], "\n## On call\n")
+	_, section, found := strings.Cut(readPages(t)["docs/operators.md"], "\n## On call\n")
 	qt.Assert(t, found, qt.IsTrue)
 	section, _, _ = strings.Cut(section, "\n## ")
 	out := map[string]string{}
@@ -96,7 +97,7 @@
 		}
 		text, _, found := strings.Cut(rest, "` |")
 		qt.Assert(t, found, qt.IsTrue, qt.Commentf("%s", line))
-		qt.Check(t, out[text], qt.Equals, "", qt.Commentf("%q stands twice", text))
+		qt.Check(t, out[text], qt.Equals, "", qt.Commentf("the operators' page lists %q twice", text))
 		out[text] = subsection
 		cells := strings.Split(strings.Trim(line, "| \n"), " | ")
 		qt.Check(t, cells, qt.HasLen, onCallColumns, qt.Commentf("%s", line))
@@ -104,17 +105,20 @@
 	return out
 }
 
-// onCallColumns: the message, what it means, what to look at, what to do.
+// onCallColumns is the number of columns of a table: the message, what it means, what to
+// look at, what to do.
 const onCallColumns = 4
 
+// Guards against a log message that operators find no explanation for, and against an
+// explanation of a message that the code no longer logs.
 func TestOnCallPageExplainsEachLogMessage(t *testing.T) {
 	messages := loggedMessages(t)
-	listed := onCall(t)
+	listed := documentedMessages(t)
 	for text, subsection := range messages {
-		qt.Check(t, listed[text], qt.Equals, subsection, qt.Commentf("the code logs %q; the operators' page has it elsewhere or not at all", text))
+		qt.Check(t, listed[text], qt.Equals, subsection, qt.Commentf("the code logs %q, but the operators' page lists it in another subsection or not at all", text))
 	}
 	for text := range listed {
-		qt.Check(t, messages[text], qt.Not(qt.Equals), "", qt.Commentf("the operators' page explains %q; no code logs it", text))
+		qt.Check(t, messages[text], qt.Not(qt.Equals), "", qt.Commentf("the operators' page explains %q, but no code logs it", text))
 	}
-	qt.Check(t, len(messages) > 20, qt.IsTrue, qt.Commentf("only %d messages found", len(messages)))
+	qt.Check(t, len(messages) > 20, qt.IsTrue, qt.Commentf("the code logs only %d messages, want more than 20", len(messages)))
 }
