--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -1,4 +1,4 @@
-// Package ci tests what CI itself does.
+// Package ci tests the scripts in .ci and checks that the documentation matches the code.
 package ci
 
 import (
@@ -19,12 +19,12 @@
 	knownRedTwo = "TestTwo; go test ./internal/pkg -run '^TestTwo$' -cpu 1,4 -seed 7; no answer, then a late one; #5\n"
 	// maxEntryChars is the longest entry that .ci/known-red accepts, in characters.
 	maxEntryChars = 300
-	// goCalled begins each line that the go command of runKnownRed prints about
+	// goCallPrefix begins each line that the go command of runKnownRed prints about
 	// its arguments.
-	goCalled = "go called: "
+	goCallPrefix = "go called: "
 )
 
-// knownRedVerbs are the commands of .ci/known-red.
+// knownRedVerbs are the subcommands of .ci/known-red.
 var knownRedVerbs = []string{"check", "skip", "run"}
 
 // writeFile writes an executable file into the directory.
@@ -38,22 +38,22 @@
 func runKnownRed(t *testing.T, directory, verb string) (stdout, stderr string, err error) {
 	t.Helper()
 	return runKnownRedWithGo(t, directory, verb, "printf '%s\\n' TestOne TestTwo TestThree TestFour TestFive\n"+
-		"echo \""+goCalled+"$*\"\n"+
+		"echo \""+goCallPrefix+"$*\"\n"+
 		"[ \"$2\" = -list ]\n")
 }
 
 // runKnownRedWithGo runs .ci/known-red in the directory, with a go command that runs
-// these shell commands. It returns the standard output and the standard error
+// the shell commands of goScript. It returns the standard output and the standard error
 // separately.
-func runKnownRedWithGo(t *testing.T, directory, verb, commandsOfGo string) (stdout, stderr string, err error) {
+func runKnownRedWithGo(t *testing.T, directory, verb, goScript string) (stdout, stderr string, err error) {
 	t.Helper()
-	commands := t.TempDir()
-	writeFile(t, commands, "go", "#!/bin/sh\n"+commandsOfGo)
+	binDir := t.TempDir()
+	writeFile(t, binDir, "go", "#!/bin/sh\n"+goScript)
 	script, err := filepath.Abs("../../.ci/known-red")
 	qt.Assert(t, err, qt.IsNil)
 	command := exec.Command(script, verb)
 	command.Dir = directory
-	command.Env = append(os.Environ(), "PATH="+commands+":"+os.Getenv("PATH"))
+	command.Env = append(os.Environ(), "PATH="+binDir+":"+os.Getenv("PATH"))
 	var outText, errText strings.Builder
 	command.Stdout, command.Stderr = &outText, &errText
 	err = command.Run()
@@ -95,7 +95,7 @@
 }
 
 // Guards against a malformed list that is taken for a shorter or a different one, so
-// that CI skips a test without a record of how it fails. Each command has to reject
+// that CI skips a test without a record of how it fails. Each subcommand has to reject
 // the list before it calls go, and to name the file, the line and the problem.
 func TestKnownRedRejectsMalformedLists(t *testing.T) {
 	tests := []struct {
@@ -108,7 +108,7 @@
 		{"blank line only", " \t", 1, "the line is empty, want an entry"},
 		{"empty line at the end", knownRedOne + "\n", 2, "the line is empty, want an entry"},
 		{"empty line between entries", knownRedOne + "\n" + knownRedTwo, 2, "the line is empty, want an entry"},
-		{"old form", "TestOne, a lost wake-up, #4\n", 1, "the entry has 1 field, want 4"},
+		{"separated by commas", "TestOne, a lost wake-up, #4\n", 1, "the entry has 1 field, want 4"},
 		{"three fields", knownRedOne + "TestTwo; go test -run TestTwo; #5\n", 2, "the entry has 3 fields, want 4"},
 		{"five fields", "TestOne; go test -run TestOne; late; wrong; #4\n", 1, "the entry has 5 fields, want 4"},
 		{"separators without spaces", "TestOne;go test -run TestOne;late;#4\n", 1, "the entry has 1 field, want 4"},
@@ -191,8 +191,8 @@
 	stdout, stderr, err := runKnownRed(t, directory, "run")
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", stderr))
 	qt.Assert(t, strings.Contains(stdout, list+"\n"), qt.IsTrue, qt.Commentf("%s", stdout))
-	qt.Assert(t, strings.Count(stdout, goCalled), qt.Equals, 1, qt.Commentf("%s", stdout))
-	qt.Assert(t, strings.Contains(stdout, goCalled+"test -race -run ^(TestOne|TestTwo)$ ./...\n"), qt.IsTrue, qt.Commentf("%s", stdout))
+	qt.Assert(t, strings.Count(stdout, goCallPrefix), qt.Equals, 1, qt.Commentf("%s", stdout))
+	qt.Assert(t, strings.Contains(stdout, goCallPrefix+"test -race -run ^(TestOne|TestTwo)$ ./...\n"), qt.IsTrue, qt.Commentf("%s", stdout))
 }
 
 // Guards against CI output in which the listed tests are lost among the packages that
