--- a/days/play.sh
+++ b/days/play.sh
@@ -1,7 +1,10 @@
 #!/bin/sh
-# Plays all days of this folder on a deployment, one after the other: BENCH is the
-# bench's program, the first word the site file, further ones go to the bench.
-# Prints for each day its row of the report and every broken rule.
+# Runs every fault scenario of this directory against a deployment, one after the other.
+#
+# Usage: BENCH=program days/play.sh site-file [argument...]
+#
+# BENCH is the path of the benchmark program; the further arguments are passed on to it.
+# Prints the report row of each scenario, the rules it broke and its errors.
 set -u
 cd "$(dirname "$0")/.."
 site=$1
