--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -108,7 +108,7 @@
 		{"blank line only", " \t", 1, "the line is empty, want an entry"},
 		{"empty line at the end", knownRedOne + "\n", 2, "the line is empty, want an entry"},
 		{"empty line between entries", knownRedOne + "\n" + knownRedTwo, 2, "the line is empty, want an entry"},
-		{"separated by commas", "TestOne, a lost wake-up, #4\n", 1, "the entry has 1 field, want 4"},
+		{"former form with commas", "TestOne, a lost wake-up, #4\n", 1, "the entry has 1 field, want 4"},
 		{"three fields", knownRedOne + "TestTwo; go test -run TestTwo; #5\n", 2, "the entry has 3 fields, want 4"},
 		{"five fields", "TestOne; go test -run TestOne; late; wrong; #4\n", 1, "the entry has 5 fields, want 4"},
 		{"separators without spaces", "TestOne;go test -run TestOne;late;#4\n", 1, "the entry has 1 field, want 4"},
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -30,7 +30,7 @@
 		if !ok || sectionByLogMethod[method.Sel.Name] == "" {
 			return true
 		}
-		// Package logring writes its messages through klog; these calls take no new message.
+		// Package logring itself writes its output through klog.
 		if pkg, ok := method.X.(*ast.Ident); ok && pkg.Name == "klog" {
 			return true
 		}
